--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -82,7 +82,7 @@
 			}
 		}
 		t.Logf("most that was kept: %+v; longest answer %v", most, f.longest)
-		require.LessOrEqual(t, most.recentBytes, limits.RecentBytes)
+		require.LessOrEqual(t, most.recentBytes, limits.EntryCacheBytes)
 		require.LessOrEqual(t, most.logBytes, limits.LogBytes+2*changeBytes)
 		require.LessOrEqual(t, most.tailBytes, limits.LogBytes+2*changeBytes)
 		require.Zero(t, most.calls)
@@ -109,7 +109,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		waiting := f.keptBy(p)
-		limit := core.DefaultLimits().Waiting
+		limit := core.DefaultLimits().MaxPending
 		require.LessOrEqual(t, waiting.orders, limit)
 		require.LessOrEqual(t, waiting.calls, limit+1, "the one that is written, and those that wait")
 		all.Wait()
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -10,7 +10,7 @@
 
 // call is an order or a read that waits for its answer.
 type call struct {
-	answered chan core.Answer
+	answered chan core.Result
 	look     func() // of a read; it runs while the state is the confirmed one
 }
 
@@ -28,7 +28,7 @@
 		c.waiting = map[core.Token]*call{}
 	}
 	c.last++
-	added := &call{answered: make(chan core.Answer, 1), look: look}
+	added := &call{answered: make(chan core.Result, 1), look: look}
 	c.waiting[c.last] = added
 	return c.last, added
 }
@@ -43,7 +43,7 @@
 }
 
 // answer is called by the stepping goroutine.
-func (c *calls) answer(answer core.Answer) {
+func (c *calls) answer(answer core.Result) {
 	taken := c.take(answer.Token)
 	if taken == nil {
 		return
@@ -59,7 +59,7 @@
 // No error means that the change is synced on all copies or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. NotHere means that this member is not the primary and that nothing was begun; Unready that the change may be made or not.
 func (m *Member) Propose(deadline time.Time, decide func() ([]byte, error)) error {
 	token, waiting := m.calls.add(nil)
-	order := core.Order{Token: token, Deadline: deadline.Sub(m.born), Decide: decide}
+	order := core.Command{Token: token, Deadline: deadline.Sub(m.born), Decide: decide}
 	return m.await(deadline, token, waiting, order)
 }
 
@@ -97,11 +97,11 @@
 }
 
 // outcomeError says how a call ended.
-func outcomeError(answer core.Answer) error {
+func outcomeError(answer core.Result) error {
 	switch answer.Outcome {
-	case core.Committed, core.InForce, core.Current:
+	case core.Committed, core.NoChange, core.Current:
 		return nil
-	case core.Refused:
+	case core.Rejected:
 		return answer.Err
 	case core.Deposed:
 		return errkind.New(errkind.NotHere, "not the primary")
--- a/coord/replication/catchup_test.go
+++ b/coord/replication/catchup_test.go
@@ -73,7 +73,7 @@
 	f.longest = 0
 	lost := time.Now()
 	f.stop(other)
-	for index(f.m[leader].View().Copies(), f.m[member].self.ID) < 0 {
+	for index(f.m[leader].View().Replicas(), f.m[member].self.ID) < 0 {
 		f.order(t)
 	}
 	sent, _ := f.stateSent(member)
@@ -136,11 +136,11 @@
 		f.order(t)
 	}
 	leader, other, member := f.roles(t)
-	partSize := core.DefaultLimits().SnapshotPart
+	partSize := core.DefaultLimits().SnapshotChunkBytes
 	size := len(f.settings[leader].Checkpoint())
 	left := cuts
 	cutOffset := int64(-1)
-	f.watchParts(member, func(to string, part core.SnapshotPart) {
+	f.watchParts(member, func(to string, part core.SnapshotChunk) {
 		if to != address(member) || left == 0 || part.Offset == cutOffset || part.Offset == 0 {
 			return
 		}
@@ -158,7 +158,7 @@
 	t.Logf("taken after %v, %d bytes of state sent for %d", took, sent, size)
 	require.Zero(t, left, "it was cut that often")
 	require.Less(t, took, time.Duration(cuts)*cut+resumeWait)
-	again := 1 + int(cut/core.DefaultTiming().AnswerWait) // parts sent again for each cut: the one that was lost, and the first with each new offer
+	again := 1 + int(cut/core.DefaultTiming().ReplyTimeout) // parts sent again for each cut: the one that was lost, and the first with each new offer
 	require.LessOrEqual(t, sent, size+cuts*again*partSize+partSize/16)
 	require.True(t, slices.IsSorted(received), "what was received stays: %v", received)
 	f.copiesAgree(t)
@@ -173,12 +173,12 @@
 		leader, _, _ := f.roles(t)
 		deaf := -1
 		for i := range f.m {
-			if index(f.m[leader].View().Copies(), f.m[i].self.ID) < 0 {
+			if index(f.m[leader].View().Replicas(), f.m[i].self.ID) < 0 {
 				deaf = i
 			}
 		}
 		f.h.setDrop(func(to string, message core.Message) bool {
-			_, isPart := message.(core.SnapshotPart)
+			_, isPart := message.(core.SnapshotChunk)
 			return f.watch(to, message) || isPart && to == address(deaf)
 		})
 		for range 8 {
--- a/coord/replication/core/ballot_test.go
+++ b/coord/replication/core/ballot_test.go
@@ -17,7 +17,7 @@
 	w.startAll()
 	w.run(2 * time.Second)
 	w.drop = func(_ *node, m Message) bool {
-		_, is := m.(SnapshotPart)
+		_, is := m.(SnapshotChunk)
 		return is && m.Route().To != learner.disk.id
 	}
 	p := w.commit("first")
--- a/coord/replication/core/bootstrap.go
+++ b/coord/replication/core/bootstrap.go
@@ -28,12 +28,12 @@
 		if p.status.Relay {
 			continue
 		}
-		if p.status.FirstDisk {
+		if p.status.BootstrapDisk {
 			firstDisks++
 		}
 		base.Witnesses = append(base.Witnesses, p.member)
 	}
-	if firstDisks < majority(len(base.Witnesses)) || c.now-c.born < time.Duration(rank)*c.timing.WitnessLost {
+	if firstDisks < majority(len(base.Witnesses)) || c.now-c.born < time.Duration(rank)*c.timing.WitnessTimeout {
 		return nil, false
 	}
 	return base, true
@@ -41,7 +41,7 @@
 
 // firstSeeds are the addresses of the first start, sorted.
 func (c *Core) firstSeeds() []string {
-	seeds := c.config.FirstSeeds
+	seeds := c.config.BootstrapSeeds
 	if len(seeds) == 0 {
 		seeds = c.config.Seeds
 	}
--- a/coord/replication/core/clone_test.go
+++ b/coord/replication/core/clone_test.go
@@ -22,7 +22,7 @@
 
 var sharedTypes = map[reflect.Type]bool{
 	reflect.TypeFor[Config](): true, reflect.TypeFor[View](): true, reflect.TypeFor[Register](): true, reflect.TypeFor[Entry](): true,
-	reflect.TypeFor[Snapshot](): true, reflect.TypeFor[Order](): true, reflect.TypeFor[AppendReply](): true,
+	reflect.TypeFor[Snapshot](): true, reflect.TypeFor[Command](): true, reflect.TypeFor[AppendReply](): true,
 }
 
 // unshareFunc gives the value at a place slices and pointers of its own, all the way down; nil where there are none.
--- a/coord/replication/core/confirm.go
+++ b/coord/replication/core/confirm.go
@@ -64,8 +64,8 @@
 		c.answer(read.Token, Deposed, nil)
 		return
 	}
-	if len(c.confirm.asked)+len(c.confirm.waiting) >= c.limits.Waiting {
-		c.answer(read.Token, Unclear, ErrTooMany)
+	if len(c.confirm.asked)+len(c.confirm.waiting) >= c.limits.MaxPending {
+		c.answer(read.Token, Indeterminate, ErrTooManyPending)
 		return
 	}
 	c.confirmBefore(call{token: read.Token, deadline: read.Deadline, outcome: Current}, c.mutation == mutation.SkipConfirmOnRead)
@@ -118,8 +118,8 @@
 	if indexOf(view.Witnesses, m.From.ID) < 0 || slices.Contains(f.granted, m.From.ID) {
 		return
 	}
-	if m.Refusal != Granted {
-		f.overtaken = f.overtaken || m.Refusal == Promised
+	if m.Rejection != Granted {
+		f.overtaken = f.overtaken || m.Rejection == HigherPromise
 		return
 	}
 	f.granted = append(f.granted, m.From.ID)
@@ -146,7 +146,7 @@
 
 func (c *Core) answerInTime(waiting call) {
 	if c.now > waiting.deadline {
-		c.answer(waiting.token, Unclear, ErrTooLate)
+		c.answer(waiting.token, Indeterminate, ErrDeadlineExceeded)
 		return
 	}
 	c.answer(waiting.token, waiting.outcome, waiting.err)
@@ -158,12 +158,12 @@
 	if !f.running || c.change != nil {
 		return
 	}
-	if c.now-f.begun >= c.timing.AnswerWait {
+	if c.now-f.begun >= c.timing.ReplyTimeout {
 		f.void()
 		c.viewChangeDue = c.viewChangeDue || f.overtaken // what was begun must be finished before anybody can be sure
 		return
 	}
-	if c.now-f.sentAt >= c.timing.Resend {
+	if c.now-f.sentAt >= c.timing.ResendInterval {
 		c.askConfirm()
 	}
 }
@@ -173,12 +173,12 @@
 	c.expireOrders()
 	if w := c.write; w != nil && !w.answered && c.now > w.order.Deadline {
 		w.answered = true
-		c.answer(w.order.Token, Unclear, ErrTooLate)
+		c.answer(w.order.Token, Indeterminate, ErrDeadlineExceeded)
 	}
 	late := func(waiting call) bool {
 		over := c.now > waiting.deadline
 		if over {
-			c.answer(waiting.token, Unclear, ErrTooLate)
+			c.answer(waiting.token, Indeterminate, ErrDeadlineExceeded)
 		}
 		return over
 	}
--- a/coord/replication/core/core.go
+++ b/coord/replication/core/core.go
@@ -9,13 +9,13 @@
 )
 
 // ErrDamaged says that what the disk held is no whole state.
-var ErrDamaged = errors.New("the stored state is damaged")
+var ErrCorrupt = errors.New("the stored state is damaged")
 
 // ErrTooMany comes with an Unclear answer if too many orders or reads wait already.
-var ErrTooMany = errors.New("too many calls wait")
+var ErrTooManyPending = errors.New("too many calls wait")
 
 // ErrTooLate comes with an Unclear answer if the deadline passed.
-var ErrTooLate = errors.New("the deadline passed")
+var ErrDeadlineExceeded = errors.New("the deadline passed")
 
 // Core is one member's part of the protocol. It is not safe for concurrent use: one driver steps it.
 type Core struct {
@@ -53,7 +53,7 @@
 	change        *viewChange
 	warnedEpoch   Epoch // for which the tolerance was said to be out of reach
 
-	orders  []Order
+	orders  []Command
 	write   *write
 	widened int // view changes made for the order that is first in the queue
 	confirm confirmation
@@ -111,7 +111,7 @@
 		c.diskDone(event)
 	case DiskStalled:
 		c.diskStalled(event)
-	case Order:
+	case Command:
 		c.takeOrder(event)
 	case Read:
 		c.takeRead(event)
@@ -140,7 +140,7 @@
 	c.lastHeard = c.now
 	view := c.register.View
 	if view != nil && view.Primary.ID == c.self.ID {
-		c.lastHeard = c.now - 2*c.timing.Heartbeat // a primary that comes back asks at once; the witnesses know better if it was followed
+		c.lastHeard = c.now - 2*c.timing.HeartbeatInterval // a primary that comes back asks at once; the witnesses know better if it was followed
 	}
 	c.hello()
 	c.considerViewChange()
@@ -168,7 +168,7 @@
 	}
 	meant := envelope.To == 0 || envelope.To == c.self.ID
 	if !meant {
-		c.refuse(message, OtherDisk)
+		c.refuse(message, WrongDisk)
 		return
 	}
 	if c.config.Relay && needsDisk(message) {
@@ -194,7 +194,7 @@
 		c.onAccept(m)
 	case Install:
 		c.onInstall(m)
-	case SnapshotPart:
+	case SnapshotChunk:
 		c.onSnapshotPart(m)
 	case Append:
 		c.onAppend(m)
@@ -222,7 +222,7 @@
 		c.onAcceptReply(m)
 	case InstallReply:
 		c.onInstallReply(m)
-	case SnapshotPartReply:
+	case SnapshotChunkReply:
 		c.onSnapshotPartReply(m)
 	case AppendReply:
 		c.onAppendReply(m)
@@ -240,7 +240,7 @@
 }
 
 func (c *Core) log(level slog.Level, text string, attributes ...slog.Attr) {
-	c.emit(Log{Level: level, Text: text, Attributes: attributes})
+	c.emit(Log{Level: level, Message: text, Attributes: attributes})
 }
 
 // to addresses a message to a member, where it was last heard.
--- a/coord/replication/core/core_test.go
+++ b/coord/replication/core/core_test.go
@@ -29,9 +29,9 @@
 	eachLayout(t, func(t *testing.T, w *world) {
 		p := w.commit("first")
 		view := p.core.View()
-		require.Len(t, view.Copies(), w.losses+1)
+		require.Len(t, view.Replicas(), w.losses+1)
 		require.Len(t, view.Witnesses, 2*w.losses+1)
-		require.Greater(t, len(p.core.places(view.Copies())), 1, "the loss of a zone leaves a copy")
+		require.Greater(t, len(p.core.places(view.Replicas())), 1, "the loss of a zone leaves a copy")
 		for zone, n := range p.core.places(view.Witnesses) {
 			require.LessOrEqual(t, n, w.losses, "the loss of zone %s leaves a majority", zone)
 		}
@@ -105,9 +105,9 @@
 	refusal := fmt.Errorf("not on this base")
 	token := p.order(func() ([]byte, error) { return nil, refusal })
 	require.NotContains(t, p.answers, token, "the witnesses come first")
-	require.Equal(t, Refused, p.outcome(token))
+	require.Equal(t, Rejected, p.outcome(token))
 	require.Equal(t, refusal, p.answers[token].Err)
-	require.Equal(t, InForce, p.outcome(p.order(func() ([]byte, error) { return nil, nil })))
+	require.Equal(t, NoChange, p.outcome(p.order(func() ([]byte, error) { return nil, nil })))
 }
 
 // TestACutOffPrimaryAnswersNothingClearly is the proven fault: a primary that was followed while it was frozen or cut off refuses an order on the newer state.
@@ -136,7 +136,7 @@
 				for _, token := range tokens {
 					outcome := p.outcome(token)
 					if !frozen || after > time.Second {
-						require.False(t, outcome.Clear(), outcome.String())
+						require.False(t, outcome.IsDefinite(), outcome.String())
 					}
 				}
 				w.heal()
@@ -164,8 +164,8 @@
 	w.heal()
 	p.thaw()
 	w.run(3 * time.Second)
-	require.False(t, p.outcome(first).Clear())
-	require.False(t, p.outcome(second).Clear())
+	require.False(t, p.outcome(first).IsDefinite())
+	require.False(t, p.outcome(second).IsDefinite())
 	require.False(t, begun)
 }
 
@@ -184,12 +184,12 @@
 		}
 		return is
 	}
-	ask := func(entry Entry) Refusal {
+	ask := func(entry Entry) Rejection {
 		replies = nil
 		backup.step(Received{Append{Envelope: Envelope{From: p.member(), To: backup.disk.id, ToAddress: backup.address}, Entry: entry}})
 		w.run(10 * time.Millisecond)
 		require.Len(t, replies, 1)
-		return replies[0].Refusal
+		return replies[0].Rejection
 	}
 	entries := backup.disk.entries
 	last := entries[len(entries)-1]
@@ -199,13 +199,13 @@
 	require.Equal(t, Granted, ask(before), "an older repeat")
 	changed := before
 	changed.Data = []byte("other")
-	require.Equal(t, Fork, ask(changed))
+	require.Equal(t, DivergedHistory, ask(changed))
 	gap := last
 	gap.Index += 2
-	require.Equal(t, Gap, ask(gap))
+	require.Equal(t, MissingEntries, ask(gap))
 	fork := last
 	fork.Index++
-	require.Equal(t, Fork, ask(fork), "its previous digest is another")
+	require.Equal(t, DivergedHistory, ask(fork), "its previous digest is another")
 	otherView := last
 	otherView.Ballot++
 	require.Equal(t, NotJoined, ask(otherView))
@@ -251,7 +251,7 @@
 	backup.disk.full = false
 	p = w.primary()
 	p.disk.full = true
-	require.False(t, p.outcome(p.orderText("third")).Clear())
+	require.False(t, p.outcome(p.orderText("third")).IsDefinite())
 	w.run(3 * time.Second)
 	q := w.primary()
 	require.NotNil(t, q)
@@ -264,7 +264,7 @@
 	p := w.commit("first")
 	p.disk.stalled = true
 	token := p.orderText("second")
-	require.Equal(t, Unclear, p.outcome(token))
+	require.Equal(t, Indeterminate, p.outcome(token))
 	w.run(time.Second)
 	q := w.primary()
 	require.NotNil(t, q)
--- a/coord/replication/core/events.go
+++ b/coord/replication/core/events.go
@@ -27,7 +27,7 @@
 type DiskStalled struct{ Token Token }
 
 // Order asks for one change.
-type Order struct {
+type Command struct {
 	Token    Token
 	Deadline time.Duration // on the clock of Step; past it the order never begins
 	// Decide runs inside Step, once at most, with the state as all earlier orders left it. It gives the entry, or nil if nothing is to be done, or the error of a refusal. It must not change the state.
@@ -48,7 +48,7 @@
 func (Received) isEvent()    {}
 func (DiskDone) isEvent()    {}
 func (DiskStalled) isEvent() {}
-func (Order) isEvent()       {}
+func (Command) isEvent()     {}
 func (Read) isEvent()        {}
 func (Leave) isEvent()       {}
 
@@ -81,7 +81,7 @@
 }
 
 // Answer ends an order or a read.
-type Answer struct {
+type Result struct {
 	Token   Token
 	Outcome Outcome
 	Err     error // the refusal that Decide gave
@@ -91,7 +91,7 @@
 type BecamePrimary struct{ Epoch Epoch }
 
 // StoppedBeingPrimary says that this member writes no more.
-type StoppedBeingPrimary struct{ Reason StopReason }
+type SteppedDown struct{ Reason StopReason }
 
 // LearnedView says that a newer view is known.
 type LearnedView struct{ View View }
@@ -105,20 +105,20 @@
 // Log is a line for the log.
 type Log struct {
 	Level      slog.Level
-	Text       string
+	Message    string
 	Attributes []slog.Attr
 }
 
-func (Send) isEffect()                {}
-func (SaveRegister) isEffect()        {}
-func (AppendEntry) isEffect()         {}
-func (SaveSnapshot) isEffect()        {}
-func (Answer) isEffect()              {}
-func (BecamePrimary) isEffect()       {}
-func (StoppedBeingPrimary) isEffect() {}
-func (LearnedView) isEffect()         {}
-func (Left) isEffect()                {}
-func (Log) isEffect()                 {}
+func (Send) isEffect()          {}
+func (SaveRegister) isEffect()  {}
+func (AppendEntry) isEffect()   {}
+func (SaveSnapshot) isEffect()  {}
+func (Result) isEffect()        {}
+func (BecamePrimary) isEffect() {}
+func (SteppedDown) isEffect()   {}
+func (LearnedView) isEffect()   {}
+func (Left) isEffect()          {}
+func (Log) isEffect()           {}
 
 // StopReason is why a primary stopped.
 type StopReason uint8
--- a/coord/replication/core/explore_call_test.go
+++ b/coord/replication/core/explore_call_test.go
@@ -68,7 +68,7 @@
 // noteProof notes whose confirmation reaches whom.
 func (m *model) noteProof(i int, message Message) {
 	reply, ok := message.(ConfirmReply)
-	if !ok || reply.Refusal != Granted {
+	if !ok || reply.Rejection != Granted {
 		return
 	}
 	for j := range m.calls {
@@ -79,7 +79,7 @@
 }
 
 // answered checks a clear answer against all that were given before.
-func (m *model) answered(answer Answer) {
+func (m *model) answered(answer Result) {
 	call := m.callOf(answer.Token)
 	if call == nil || call.done {
 		return
@@ -94,7 +94,7 @@
 	if answer.Outcome == Deposed {
 		m.watch.neverDone = append(m.watch.neverDone, writeName(call.token))
 	}
-	if answer.Outcome.Clear() {
+	if answer.Outcome.IsDefinite() {
 		m.watch.clear(m, call, spoken)
 	}
 }
@@ -110,6 +110,6 @@
 		out.step(i, Read{Token: token, Deadline: deadline})
 		return out
 	}
-	out.step(i, Order{Token: token, Deadline: deadline, Decide: out.decide(i, token)})
+	out.step(i, Command{Token: token, Deadline: deadline, Decide: out.decide(i, token)})
 	return out
 }
--- a/coord/replication/core/explore_model_test.go
+++ b/coord/replication/core/explore_model_test.go
@@ -15,8 +15,8 @@
 
 func modelTiming() Timing {
 	return Timing{
-		Tick: unit, Heartbeat: unit, PrimaryLost: 2 * unit, AnswerWait: 2 * unit, Resend: 100 * unit, DiskWait: 100 * unit, SnapshotWait: 100 * unit,
-		TransferWait: 2 * unit, WitnessLost: 4 * unit, StepPause: 0, RankWait: unit, LateAnswer: unit, RefusedFor: 2 * unit, Forget: 100 * unit, LeaveMargin: 0,
+		TickInterval: unit, HeartbeatInterval: unit, PrimaryTimeout: 2 * unit, ReplyTimeout: 2 * unit, ResendInterval: 100 * unit, DiskTimeout: 100 * unit, SnapshotTimeout: 100 * unit,
+		TransferTimeout: 2 * unit, WitnessTimeout: 4 * unit, ViewChangeBackoff: 0, RankDelay: unit, LateReplyWait: unit, RejectionBackoff: 2 * unit, ForgetAfter: 100 * unit, LeaveMargin: 0,
 	}
 }
 
@@ -121,8 +121,8 @@
 
 func (m *model) config(i int, disk *storedDisk, machine *text) Config {
 	return Config{
-		Self: modelMember(i, disk.id), Seeds: []string{"m0", "m1", "m2"}, Losses: 1, Areas: 1,
-		Bootstrap: disk.first, Machine: machine, Timing: modelTiming(), Limits: DefaultLimits(),
+		Self: modelMember(i, disk.id), Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, MaxDomainFailures: 1,
+		Bootstrap: disk.first, StateMachine: machine, Timing: modelTiming(), Limits: DefaultLimits(),
 	}
 }
 
@@ -190,7 +190,7 @@
 	}
 	out.machine = &text{content: n.machine.content}
 	out.core = copyCore(n.core)
-	out.core.config.Machine = out.machine
+	out.core.config.StateMachine = out.machine
 	return &out
 }
 
@@ -227,7 +227,7 @@
 		m.watch.becamePrimary(m, i, effect.Epoch)
 	case LearnedView:
 		m.watch.learned(effect.View)
-	case Answer:
+	case Result:
 		m.answered(effect)
 	}
 }
@@ -237,7 +237,7 @@
 	out := m.copied()
 	disk.pending = nil
 	machine := &text{}
-	stored := Stored{Register: disk.register, Snapshot: disk.snapshot, Entries: slices.Clone(disk.entries), TailIsOpen: disk.snapshot != nil}
+	stored := Stored{Register: disk.register, Snapshot: disk.snapshot, Entries: slices.Clone(disk.entries), Appendable: disk.snapshot != nil}
 	c, err := New(out.config(i, &disk, machine), stored)
 	if err != nil {
 		out.watch.fail("a disk can't be read: %v", err)
@@ -266,7 +266,7 @@
 	for j := range out.calls {
 		if out.calls[j].node == i && !out.calls[j].done {
 			out.calls[j].done = true
-			out.calls[j].outcome = Unclear
+			out.calls[j].outcome = Indeterminate
 		}
 	}
 	return out
--- a/coord/replication/core/explore_monitor_test.go
+++ b/coord/replication/core/explore_monitor_test.go
@@ -105,7 +105,7 @@
 func (w *monitors) sent(m *model, message Message) {
 	switch reply := message.(type) {
 	case PrepareReply:
-		if reply.Refusal != Granted {
+		if reply.Rejection != Granted {
 			return
 		}
 		vote := w.vote(reply.From.ID, reply.Epoch)
@@ -117,7 +117,7 @@
 		}
 		vote.promised = max(vote.promised, reply.Ballot)
 	case AcceptReply:
-		if reply.Refusal != Granted {
+		if reply.Rejection != Granted {
 			return
 		}
 		vote := w.vote(reply.From.ID, reply.Epoch)
@@ -215,7 +215,7 @@
 	if newest.Epoch < w.ackEpoch {
 		return
 	}
-	for _, member := range newest.Copies() {
+	for _, member := range newest.Replicas() {
 		node := m.nodes[memberIndex(member.Address)]
 		if node == nil || node.disk.id != member.ID {
 			continue
--- a/coord/replication/core/failure.go
+++ b/coord/replication/core/failure.go
@@ -97,7 +97,7 @@
 // forgetPeers drops members that were not seen for long, unless the view names them.
 func (c *Core) forgetPeers() {
 	c.peers = slices.DeleteFunc(c.peers, func(p peer) bool {
-		return c.now-p.seen > c.timing.Forget && rolesOf(c.register.View, p.member.ID) == 0
+		return c.now-p.seen > c.timing.ForgetAfter && rolesOf(c.register.View, p.member.ID) == 0
 	})
 }
 
@@ -131,17 +131,17 @@
 
 func (c *Core) status() Status {
 	return Status{
-		Fit:       !c.config.Relay && !c.disk.stalled,
-		Relay:     c.config.Relay,
-		Leaving:   c.leaving != nil,
-		FirstDisk: c.config.Bootstrap && !c.config.Relay,
-		Position:  c.state.position,
+		Writable:      !c.config.Relay && !c.disk.stalled,
+		Relay:         c.config.Relay,
+		Leaving:       c.leaving != nil,
+		BootstrapDisk: c.config.Bootstrap && !c.config.Relay,
+		Position:      c.state.position,
 	}
 }
 
 // contactTimeout is how long ago a majority of the witnesses may have answered.
 func (c *Core) contactTimeout() time.Duration {
-	return c.timing.PrimaryLost + c.timing.Heartbeat
+	return c.timing.PrimaryTimeout + c.timing.HeartbeatInterval
 }
 
 // hearsWitnesses tells whether a majority of the view's witnesses answered lately.
@@ -166,8 +166,8 @@
 	if !c.active || c.hearsWitnesses() {
 		return
 	}
-	if slept > c.timing.PrimaryLost {
-		c.confirm.proveBefore = c.now + c.timing.AnswerWait
+	if slept > c.timing.PrimaryTimeout {
+		c.confirm.proveBefore = c.now + c.timing.ReplyTimeout
 	}
 	c.confirm.doubt()
 }
@@ -183,7 +183,7 @@
 		c.startYielding(view) // its way out may work though it hears nobody
 		return
 	}
-	if c.now-c.lastHeartbeat < c.timing.Heartbeat {
+	if c.now-c.lastHeartbeat < c.timing.HeartbeatInterval {
 		return
 	}
 	c.heartbeat()
@@ -216,7 +216,7 @@
 func (c *Core) lostBackup(view *View) bool {
 	for _, backup := range view.Backups {
 		p := c.peer(backup.ID)
-		if p == nil || c.now-p.answered > c.timing.PrimaryLost || !p.status.Fit {
+		if p == nil || c.now-p.answered > c.timing.PrimaryTimeout || !p.status.Writable {
 			return true
 		}
 	}
@@ -225,15 +225,15 @@
 
 // warnOfLosses says once in an epoch that the view bears fewer losses than it should and nobody is there to mend it.
 func (c *Core) warnOfLosses(view *View) {
-	if c.warnedEpoch == view.Epoch || c.now-c.born <= c.timing.WitnessLost {
+	if c.warnedEpoch == view.Epoch || c.now-c.born <= c.timing.WitnessTimeout {
 		return
 	}
 	borne := lossesBorne(view)
-	if borne >= c.config.Losses {
+	if borne >= c.config.MaxFailures {
 		return
 	}
 	c.warnedEpoch = view.Epoch
-	c.log(slog.LevelWarn, "fewer losses are borne than the settings want", slog.Int("borne", borne), slog.Int("wanted", c.config.Losses), slog.Int("members", 1+len(c.peers)))
+	c.log(slog.LevelWarn, "fewer losses are borne than the settings want", slog.Int("borne", borne), slog.Int("wanted", c.config.MaxFailures), slog.Int("members", 1+len(c.peers)))
 }
 
 func (c *Core) onHeartbeat(m Heartbeat) {
@@ -241,7 +241,7 @@
 		return
 	}
 	if p := c.touch(m.From); p != nil {
-		p.status.Fit = true // or it would not be primary
+		p.status.Writable = true // or it would not be primary
 	}
 	c.learn(m.View)
 	c.hearOf(m.Members)
@@ -279,7 +279,7 @@
 	c.heardFrom = Member{}
 	c.viewChangeDue = false
 	c.log(slog.LevelWarn, "no longer primary", slog.String("reason", reason.String()))
-	c.emit(StoppedBeingPrimary{Reason: reason})
+	c.emit(SteppedDown{Reason: reason})
 	c.answerAllDeposed()
 }
 
@@ -288,9 +288,9 @@
 	if c.active {
 		return
 	}
-	pause := c.timing.Heartbeat
+	pause := c.timing.HeartbeatInterval
 	if c.register.View == nil {
-		pause = c.timing.StepPause
+		pause = c.timing.ViewChangeBackoff
 	}
 	if c.now-c.lastHello < pause {
 		return
@@ -298,9 +298,9 @@
 	quiet := c.now - c.lastHeard
 	isCopy := rolesOf(c.register.View, c.self.ID)&(RolePrimary|RoleBackup) != 0
 	switch {
-	case c.register.View == nil, len(c.peers) == 0, quiet > c.timing.PrimaryLost:
+	case c.register.View == nil, len(c.peers) == 0, quiet > c.timing.PrimaryTimeout:
 		c.hello()
-	case isCopy && quiet > c.timing.PrimaryLost/2: // it may soon take over
+	case isCopy && quiet > c.timing.PrimaryTimeout/2: // it may soon take over
 		c.hello()
 	}
 }
@@ -318,7 +318,7 @@
 		addresses = append(addresses, p.member.Address)
 	}
 	if view := c.register.View; view != nil {
-		for _, member := range append(view.Copies(), view.Witnesses...) {
+		for _, member := range append(view.Replicas(), view.Witnesses...) {
 			addresses = append(addresses, member.Address)
 		}
 	}
--- a/coord/replication/core/leave.go
+++ b/coord/replication/core/leave.go
@@ -47,7 +47,7 @@
 		c.handOver()
 		return
 	}
-	if c.now-l.sentAt >= c.timing.Resend {
+	if c.now-l.sentAt >= c.timing.ResendInterval {
 		c.askToLeave()
 	}
 }
@@ -74,7 +74,7 @@
 func (c *Core) hasSuccessor(view *View) bool {
 	for _, backup := range view.Backups {
 		p := c.peer(backup.ID)
-		if p != nil && c.fresh(*p) && p.status.Fit && !p.status.Leaving {
+		if p != nil && c.fresh(*p) && p.status.Writable && !p.status.Leaving {
 			return true
 		}
 	}
@@ -97,20 +97,20 @@
 	c.saw(m.From, m.Status)
 	reply := LeaveRequestReply{Envelope: c.back(m), View: c.View()}
 	if !c.active {
-		reply.Refusal = NotPrimary
+		reply.Rejection = NotPrimary
 		c.send(reply)
 		return
 	}
 	view := c.register.View
 	if c.change != nil { // the next view may name the sender
-		reply.Refusal = Busy
+		reply.Rejection = Busy
 		c.send(reply)
 		return
 	}
 	if rolesOf(view, m.From.ID) != 0 {
-		reply.Refusal = Busy
+		reply.Rejection = Busy
 		if !c.short(view) && c.wantedWitnesses(view) == nil {
-			reply.Refusal = NobodyInstead
+			reply.Rejection = NoReplacement
 		} else {
 			c.viewChangeDue = true
 		}
@@ -123,7 +123,7 @@
 func (c *Core) onLeaveRequestReply(m LeaveRequestReply) {
 	c.learn(m.View)
 	l := c.leaving
-	if l == nil || l.done || m.Refusal != Granted || m.View == nil || m.View.Epoch != c.knownEpoch() {
+	if l == nil || l.done || m.Rejection != Granted || m.View == nil || m.View.Epoch != c.knownEpoch() {
 		return
 	}
 	if rolesOf(c.register.View, c.self.ID) == 0 {
@@ -153,16 +153,16 @@
 }
 
 func (c *Core) tickYield() {
-	if c.yielding != nil && c.now-c.yielding.sentAt >= c.timing.AnswerWait {
+	if c.yielding != nil && c.now-c.yielding.sentAt >= c.timing.ReplyTimeout {
 		c.sendYield()
 	}
 }
 
 // onYield takes over at once, if this member may.
 func (c *Core) onYield(m Yield) {
-	reply := YieldReply{Envelope: c.back(m), Epoch: m.Epoch, Refusal: c.checkYield(m)}
+	reply := YieldReply{Envelope: c.back(m), Epoch: m.Epoch, Rejection: c.checkYield(m)}
 	c.send(reply)
-	if reply.Refusal != Granted {
+	if reply.Rejection != Granted {
 		return
 	}
 	c.viewChangeDue = true
@@ -170,13 +170,13 @@
 	c.considerViewChange()
 }
 
-func (c *Core) checkYield(m Yield) Refusal {
+func (c *Core) checkYield(m Yield) Rejection {
 	view := c.register.View
 	switch {
 	case view == nil || view.Tag() != StateTag{Epoch: m.Epoch, Ballot: m.Ballot}:
 		return UnknownView
 	case c.disk.stalled || c.leaving != nil:
-		return Unfit
+		return Unavailable
 	case !c.mayLead(view):
 		return NotJoined
 	}
@@ -188,7 +188,7 @@
 	if y == nil || m.Epoch != y.view.Epoch {
 		return
 	}
-	if m.Refusal == Granted {
+	if m.Rejection == Granted {
 		c.yielding = nil
 		return
 	}
--- a/coord/replication/core/leave_test.go
+++ b/coord/replication/core/leave_test.go
@@ -43,7 +43,7 @@
 			require.True(t, member.left.Complete)
 			q := w.holds("first;")
 			require.Zero(t, rolesOf(q.core.View(), member.disk.id))
-			require.Len(t, q.core.View().Copies(), 2)
+			require.Len(t, q.core.View().Replicas(), 2)
 			require.Len(t, q.core.View().Witnesses, 3)
 			member.stop()
 			q.stop()
@@ -66,7 +66,7 @@
 	require.NotNil(t, backup.left)
 	require.False(t, backup.left.Complete)
 	require.NotZero(t, backup.left.Roles&RoleWitness)
-	require.Len(t, w.primary().core.View().Copies(), 2)
+	require.Len(t, w.primary().core.View().Replicas(), 2)
 }
 
 // TestAMemberThatKnowsNoViewAsksBeforeItLeaves: a view that names it may be on its way.
--- a/coord/replication/core/membership.go
+++ b/coord/replication/core/membership.go
@@ -40,23 +40,23 @@
 }
 
 // copiesWanted is how many copies a view should have. With nothing to bear, a backup is kept where one is to be had.
-func (c *Core) copiesWanted() int { return max(c.config.Losses, 1) + 1 }
+func (c *Core) copiesWanted() int { return max(c.config.MaxFailures, 1) + 1 }
 
 // fewestCopies is the number below which no view is made: what its witnesses bear, and one more.
 func (c *Core) fewestCopies(base *View) int {
-	if c.config.Losses == 0 {
+	if c.config.MaxFailures == 0 {
 		return 1
 	}
 	return max(2, (len(base.Witnesses)-1)/2+1)
 }
 
-func (c *Core) witnessesWanted() int { return 2*max(c.config.Losses, 1) + 1 }
+func (c *Core) witnessesWanted() int { return 2*max(c.config.MaxFailures, 1) + 1 }
 
 // fit are the other members that answered lately, whose disks take writes, and that want to stay.
 func (c *Core) fit() []Member {
 	var members []Member
 	for _, p := range c.peers {
-		if c.fresh(p) && p.status.Fit && !p.status.Leaving {
+		if c.fresh(p) && p.status.Writable && !p.status.Leaving {
 			members = append(members, p.member)
 		}
 	}
@@ -67,19 +67,19 @@
 func (c *Core) fitButLeaving() []Member {
 	var members []Member
 	for _, p := range c.peers {
-		if c.fresh(p) && p.status.Fit && p.status.Leaving {
+		if c.fresh(p) && p.status.Writable && p.status.Leaving {
 			members = append(members, p.member)
 		}
 	}
 	return members
 }
 
-func (c *Core) fresh(p peer) bool { return c.now-p.answered < c.timing.PrimaryLost }
+func (c *Core) fresh(p peer) bool { return c.now-p.answered < c.timing.PrimaryTimeout }
 
 // spare are the fit members that are no copies and have not refused to be one lately.
 func (c *Core) spare(view *View) []Member {
 	return slices.DeleteFunc(c.fit(), func(m Member) bool {
-		return c.refusedLately(m) || indexOf(view.Copies(), m.ID) >= 0
+		return c.refusedLately(m) || indexOf(view.Replicas(), m.ID) >= 0
 	})
 }
 
@@ -90,7 +90,7 @@
 
 // short tells whether the view has fewer copies or witnesses than wanted, has them in too few areas, or has one that wants to leave, while others are to be had.
 func (c *Core) short(view *View) bool {
-	if len(view.Copies()) < c.copiesWanted() && len(c.spare(view)) > 0 {
+	if len(view.Replicas()) < c.copiesWanted() && len(c.spare(view)) > 0 {
 		return true
 	}
 	return c.narrow(view) || c.leavingBackup(view) || c.grown(view) != nil || c.spread(view) != nil
@@ -98,8 +98,8 @@
 
 // narrow tells whether the copies lie in so few areas that these may all be lost, while a member elsewhere could be one.
 func (c *Core) narrow(view *View) bool {
-	places := c.places(view.Copies())
-	if len(places) > c.config.Areas {
+	places := c.places(view.Replicas())
+	if len(places) > c.config.MaxDomainFailures {
 		return false
 	}
 	return slices.ContainsFunc(c.spare(view), func(m Member) bool { return places[c.area(m)] == 0 })
@@ -111,7 +111,7 @@
 	if !leaves {
 		return false
 	}
-	return len(c.spare(view)) > 0 || len(view.Copies()) > c.copiesWanted()
+	return len(c.spare(view)) > 0 || len(view.Replicas()) > c.copiesWanted()
 }
 
 func (c *Core) isLeaving(m Member) bool {
@@ -123,10 +123,10 @@
 }
 
 func (c *Core) area(m Member) string {
-	if c.config.Area == nil {
+	if c.config.FailureDomain == nil {
 		return m.Zone
 	}
-	return c.config.Area(m.Zone)
+	return c.config.FailureDomain(m.Zone)
 }
 
 func (c *Core) places(members []Member) map[string]int {
@@ -184,11 +184,11 @@
 // spread gives the witnesses with one moved out of an area that holds too many, nil if all is well or nobody is elsewhere.
 func (c *Core) spread(view *View) []Member {
 	free := c.learners(view)
-	if c.config.Areas == 0 || len(free) == 0 {
+	if c.config.MaxDomainFailures == 0 || len(free) == 0 {
 		return nil
 	}
 	places := c.places(view.Witnesses)
-	most := max(1, c.config.Losses/c.config.Areas)
+	most := max(1, c.config.MaxFailures/c.config.MaxDomainFailures)
 	m := c.emptiest(free, places)
 	if places[c.area(m)] >= most {
 		return nil
@@ -238,7 +238,7 @@
 	if p := c.peer(witness.ID); p != nil {
 		answered = max(p.answered, c.born)
 	}
-	return c.now-answered > c.timing.WitnessLost
+	return c.now-answered > c.timing.WitnessTimeout
 }
 
 // nextCandidate picks whom to give the state next: those that answer, then other areas, then the old copies, then witnesses, then the rest. Members that want to leave come last, when nobody else is to be had.
@@ -279,7 +279,7 @@
 
 func nearness(base *View, m Member) int {
 	switch {
-	case indexOf(base.Copies(), m.ID) >= 0:
+	case indexOf(base.Replicas(), m.ID) >= 0:
 		return 0
 	case indexOf(base.Witnesses, m.ID) >= 0:
 		return 1
--- a/coord/replication/core/messages.go
+++ b/coord/replication/core/messages.go
@@ -18,11 +18,11 @@
 
 // Status is what a member says of itself.
 type Status struct {
-	Fit       bool     // its disk takes writes
-	Relay     bool     // it has no disk
-	Leaving   bool     // it wants to be no copy and no witness any more
-	FirstDisk bool     // its disk was made for the first start
-	Position  Position // of the state on its disk
+	Writable      bool     // its disk takes writes
+	Relay         bool     // it has no disk
+	Leaving       bool     // it wants to be no copy and no witness any more
+	BootstrapDisk bool     // its disk was made for the first start
+	Position      Position // of the state on its disk
 }
 
 // Hello asks whoever lives at an address who it is and what it knows.
@@ -68,7 +68,7 @@
 	Envelope
 	Epoch          Epoch // Base's and one more
 	Ballot         Ballot
-	Refusal        Refusal
+	Rejection      Rejection
 	Promised       Ballot // if refused for a higher promise
 	AcceptedBallot Ballot
 	Accepted       *View // what the witness accepted for that epoch before
@@ -87,11 +87,11 @@
 // AcceptReply answers an Accept. What was accepted is synced before it is sent.
 type AcceptReply struct {
 	Envelope
-	Epoch    Epoch
-	Ballot   Ballot
-	Refusal  Refusal
-	Promised Ballot
-	View     *View
+	Epoch     Epoch
+	Ballot    Ballot
+	Rejection Rejection
+	Promised  Ballot
+	View      *View
 }
 
 // Install tells a new witness of a view that was chosen.
@@ -103,35 +103,35 @@
 // InstallReply answers an Install. The view is synced before it is sent.
 type InstallReply struct {
 	Envelope
-	Epoch   Epoch
-	Ballot  Ballot
-	Refusal Refusal
-	View    *View
+	Epoch     Epoch
+	Ballot    Ballot
+	Rejection Rejection
+	View      *View
 }
 
 // SnapshotPart is a bounded part of the state, given to a member that is to be a copy of the view proposed under Tag. The parts together are the stream of EncodeState.
-type SnapshotPart struct {
+type SnapshotChunk struct {
 	Envelope
-	Tag      StateTag
-	Base     *View    // the view before the proposed one; nil before the first
-	Since    Position // the stream holds the entries after this position only; zero: the whole state
-	Position Position // of the state once it is whole
-	Size     int64    // of the stream
-	Stream   Digest   // of the stream: parts of equal streams belong together, also under another tag
-	Offset   int64    // of Data in it
-	Data     []byte
+	Tag          StateTag
+	Base         *View    // the view before the proposed one; nil before the first
+	Since        Position // the stream holds the entries after this position only; zero: the whole state
+	Position     Position // of the state once it is whole
+	Size         int64    // of the stream
+	StreamDigest Digest   // of the stream: parts of equal streams belong together, also under another tag
+	Offset       int64    // of Data in it
+	Data         []byte
 }
 
 // SnapshotPartReply answers a SnapshotPart.
-type SnapshotPartReply struct {
+type SnapshotChunkReply struct {
 	Envelope
-	Tag      StateTag
-	Stream   Digest
-	Received int64 // bytes of the stream held from its start on: go on from here
-	Complete bool  // the state is whole and synced
-	Refusal  Refusal
-	Held     Position // of the state on this member's disk
-	View     *View    // if a newer one is known
+	Tag          StateTag
+	StreamDigest Digest
+	Received     int64 // bytes of the stream held from its start on: go on from here
+	Complete     bool  // the state is whole and synced
+	Rejection    Rejection
+	DiskPosition Position // of the state on this member's disk
+	View         *View    // if a newer one is known
 }
 
 // Append gives a backup the next entry of a view.
@@ -143,12 +143,12 @@
 // AppendReply answers an Append. The entry is synced before it is sent.
 type AppendReply struct {
 	Envelope
-	Epoch   Epoch
-	Ballot  Ballot
-	Index   Index // of the entry sent
-	Refusal Refusal
-	Held    Position // of the state on this member's disk
-	View    *View    // if a newer one is known
+	Epoch        Epoch
+	Ballot       Ballot
+	Index        Index // of the entry sent
+	Rejection    Rejection
+	DiskPosition Position // of the state on this member's disk
+	View         *View    // if a newer one is known
 }
 
 // Confirm asks a witness whether it has accepted no later view.
@@ -162,11 +162,11 @@
 // ConfirmReply answers a Confirm.
 type ConfirmReply struct {
 	Envelope
-	Epoch   Epoch
-	Ballot  Ballot
-	Round   uint64
-	Refusal Refusal
-	View    *View // if a newer one is known
+	Epoch     Epoch
+	Ballot    Ballot
+	Round     uint64
+	Rejection Rejection
+	View      *View // if a newer one is known
 }
 
 // Yield asks a backup to take over from the primary that sends it.
@@ -179,8 +179,8 @@
 // YieldReply answers a Yield.
 type YieldReply struct {
 	Envelope
-	Epoch   Epoch
-	Refusal Refusal
+	Epoch     Epoch
+	Rejection Rejection
 }
 
 // LeaveRequest asks the primary for a view in which the sender is neither copy nor witness.
@@ -192,27 +192,27 @@
 // LeaveRequestReply answers a LeaveRequest.
 type LeaveRequestReply struct {
 	Envelope
-	Refusal Refusal
-	View    *View
-}
-
-func (Hello) isMessage()             {}
-func (HelloReply) isMessage()        {}
-func (Heartbeat) isMessage()         {}
-func (HeartbeatReply) isMessage()    {}
-func (Prepare) isMessage()           {}
-func (PrepareReply) isMessage()      {}
-func (Accept) isMessage()            {}
-func (AcceptReply) isMessage()       {}
-func (Install) isMessage()           {}
-func (InstallReply) isMessage()      {}
-func (SnapshotPart) isMessage()      {}
-func (SnapshotPartReply) isMessage() {}
-func (Append) isMessage()            {}
-func (AppendReply) isMessage()       {}
-func (Confirm) isMessage()           {}
-func (ConfirmReply) isMessage()      {}
-func (Yield) isMessage()             {}
-func (YieldReply) isMessage()        {}
-func (LeaveRequest) isMessage()      {}
-func (LeaveRequestReply) isMessage() {}
+	Rejection Rejection
+	View      *View
+}
+
+func (Hello) isMessage()              {}
+func (HelloReply) isMessage()         {}
+func (Heartbeat) isMessage()          {}
+func (HeartbeatReply) isMessage()     {}
+func (Prepare) isMessage()            {}
+func (PrepareReply) isMessage()       {}
+func (Accept) isMessage()             {}
+func (AcceptReply) isMessage()        {}
+func (Install) isMessage()            {}
+func (InstallReply) isMessage()       {}
+func (SnapshotChunk) isMessage()      {}
+func (SnapshotChunkReply) isMessage() {}
+func (Append) isMessage()             {}
+func (AppendReply) isMessage()        {}
+func (Confirm) isMessage()            {}
+func (ConfirmReply) isMessage()       {}
+func (Yield) isMessage()              {}
+func (YieldReply) isMessage()         {}
+func (LeaveRequest) isMessage()       {}
+func (LeaveRequestReply) isMessage()  {}
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -37,11 +37,11 @@
 }
 
 // onSnapshotPart takes a part of the state for a view that is being proposed.
-func (c *Core) onSnapshotPart(m SnapshotPart) {
+func (c *Core) onSnapshotPart(m SnapshotChunk) {
 	c.learn(m.Base)
-	reply := SnapshotPartReply{Envelope: c.back(m), Tag: m.Tag, Stream: m.Stream, Held: c.state.position}
-	reply.Refusal, reply.Complete = c.checkGiven(m)
-	if reply.Refusal != Granted || reply.Complete {
+	reply := SnapshotChunkReply{Envelope: c.back(m), Tag: m.Tag, StreamDigest: m.StreamDigest, DiskPosition: c.state.position}
+	reply.Rejection, reply.Complete = c.checkGiven(m)
+	if reply.Rejection != Granted || reply.Complete {
 		reply.View = c.newerThan(m.Tag.Epoch - 1)
 		c.send(reply)
 		return
@@ -57,7 +57,7 @@
 // checkGiven tells whether state given under a tag may take the place of what is held.
 //
 // Invariant: state goes over older state only. State under the same tag is never given twice: what was appended since the first time may be acknowledged.
-func (c *Core) checkGiven(m SnapshotPart) (reason Refusal, complete bool) {
+func (c *Core) checkGiven(m SnapshotChunk) (reason Rejection, complete bool) {
 	sameTag := m.Tag == c.state.tag && c.mutation != mutation.OverwriteSameTag
 	switch {
 	case m.Tag.Epoch == 0 || m.Tag.Epoch <= c.knownEpoch() && c.mutation != mutation.OverwriteSameTag:
@@ -67,23 +67,23 @@
 	case sameTag && c.state.joined == m.Tag:
 		return Granted, true
 	case sameTag:
-		return Repeat, false
+		return DuplicateEntry, false
 	case !m.Tag.Covers(c.state.tag):
-		return Promised, false
+		return HigherPromise, false
 	case c.disk.stalled:
-		return Unfit, false
+		return Unavailable, false
 	case m.Tag.Epoch == c.knownEpoch()+1 && c.register.Promised > m.Tag.Ballot:
-		return Promised, false
+		return HigherPromise, false
 	case c.disk.changesState():
 		return Busy, false
 	case m.Since != Position{} && m.Since != c.state.position:
-		return Gap, false
+		return MissingEntries, false
 	}
 	return Granted, false
 }
 
 // sealFor keeps this member from writing and from taking appends of the old view.
-func (c *Core) sealFor(m SnapshotPart) {
+func (c *Core) sealFor(m SnapshotChunk) {
 	if c.mutation != mutation.SkipSeal {
 		c.state.joined = StateTag{}
 	}
@@ -95,10 +95,10 @@
 }
 
 // receivePart adds a part to the stream and tells how much of it is here.
-func (c *Core) receivePart(m SnapshotPart) int64 {
+func (c *Core) receivePart(m SnapshotChunk) int64 {
 	in := c.inbox
-	if in == nil || in.stream != m.Stream || in.size != m.Size || in.since != m.Since || in.target != m.Position {
-		in = &incomingState{since: m.Since, target: m.Position, size: m.Size, stream: m.Stream}
+	if in == nil || in.stream != m.StreamDigest || in.size != m.Size || in.since != m.Since || in.target != m.Position {
+		in = &incomingState{since: m.Since, target: m.Position, size: m.Size, stream: m.StreamDigest}
 		c.inbox = in
 	}
 	in.from = m.From
@@ -155,7 +155,7 @@
 		c.sendGivenReply(given, DiskFailed)
 		return
 	}
-	if err := c.config.Machine.Restore(given.snapshot.Data); err != nil {
+	if err := c.config.StateMachine.Restore(given.snapshot.Data); err != nil {
 		c.log(slog.LevelError, "the state given is not understood", slog.String("error", err.Error()))
 		c.state.broken = true
 		c.sendGivenReply(given, DiskFailed)
@@ -163,7 +163,7 @@
 	}
 	c.state = heldState{tag: given.tag, position: given.snapshot.Position, applied: given.snapshot.Position}
 	for _, entry := range given.entries {
-		c.state.add(entry, c.limits.RecentBytes)
+		c.state.add(entry, c.limits.EntryCacheBytes)
 		c.state.logBytes += len(entry.Data)
 	}
 	c.applyTail()
@@ -184,14 +184,14 @@
 	return c.knownEpoch() < tag.Epoch
 }
 
-func (c *Core) sendGivenReply(given givenState, reason Refusal) {
-	c.send(SnapshotPartReply{
-		Envelope: c.to(given.from),
-		Tag:      given.tag,
-		Stream:   given.stream,
-		Complete: reason == Granted,
-		Refusal:  reason,
-		Held:     c.state.position,
-		View:     c.newerThan(given.tag.Epoch - 1),
+func (c *Core) sendGivenReply(given givenState, reason Rejection) {
+	c.send(SnapshotChunkReply{
+		Envelope:     c.to(given.from),
+		Tag:          given.tag,
+		StreamDigest: given.stream,
+		Complete:     reason == Granted,
+		Rejection:    reason,
+		DiskPosition: c.state.position,
+		View:         c.newerThan(given.tag.Epoch - 1),
 	})
 }
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -110,8 +110,8 @@
 // onPrepare promises to accept nothing under a lower ballot.
 func (c *Core) onPrepare(m Prepare) {
 	reply := PrepareReply{Envelope: c.back(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Status: c.status()}
-	reply.Refusal = c.checkBallot(&m.Base, m.Ballot)
-	if reply.Refusal != Granted {
+	reply.Rejection = c.checkBallot(&m.Base, m.Ballot)
+	if reply.Rejection != Granted {
 		reply.Promised = c.register.Promised
 		reply.View = c.newerThan(m.Base.Epoch)
 		c.send(reply)
@@ -126,8 +126,8 @@
 // onAccept accepts a proposal.
 func (c *Core) onAccept(m Accept) {
 	reply := AcceptReply{Envelope: c.back(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot}
-	reply.Refusal = c.checkBallot(&m.Base, m.Ballot)
-	if reply.Refusal != Granted {
+	reply.Rejection = c.checkBallot(&m.Base, m.Ballot)
+	if reply.Rejection != Granted {
 		reply.Promised = c.register.Promised
 		reply.View = c.newerThan(m.Base.Epoch)
 		c.send(reply)
@@ -140,7 +140,7 @@
 }
 
 // checkBallot tells whether this witness may promise or accept a ballot for the epoch after base.
-func (c *Core) checkBallot(base *View, ballot Ballot) Refusal {
+func (c *Core) checkBallot(base *View, ballot Ballot) Rejection {
 	if base.Epoch > 0 {
 		c.learn(base)
 	}
@@ -151,13 +151,13 @@
 		return UnknownView
 	}
 	if indexOf(base.Witnesses, c.self.ID) < 0 {
-		return OtherSeeds
+		return NotWitness
 	}
 	if base.Epoch == 0 && !c.sharesSeeds(base) {
-		return OtherSeeds
+		return NotWitness
 	}
 	if ballot < c.register.Promised && c.mutation != mutation.ForgetPromise {
-		return Promised
+		return HigherPromise
 	}
 	return Granted
 }
@@ -175,7 +175,7 @@
 	c.learn(&m.View)
 	reply.View = c.newerThan(m.View.Epoch)
 	if reply.View != nil {
-		reply.Refusal = NewerView
+		reply.Rejection = NewerView
 		c.send(reply)
 		return
 	}
@@ -189,17 +189,17 @@
 	known := c.register.View
 	switch {
 	case reply.View != nil:
-		reply.Refusal = NewerView
+		reply.Rejection = NewerView
 	case known == nil || known.Tag() != StateTag{Epoch: m.Epoch, Ballot: m.Ballot}:
-		reply.Refusal = UnknownView
+		reply.Rejection = UnknownView
 	case c.register.Accepted != nil:
-		reply.Refusal = Promised
+		reply.Rejection = HigherPromise
 	}
 	c.send(reply)
 }
 
 // refuse answers a request that this member can't take; a reply that went astray is dropped.
-func (c *Core) refuse(request Message, reason Refusal) {
+func (c *Core) refuse(request Message, reason Rejection) {
 	back := c.back(request)
 	switch m := request.(type) {
 	case Heartbeat:
@@ -207,35 +207,35 @@
 			c.send(HeartbeatReply{Envelope: back, Epoch: m.View.Epoch, Status: c.status()})
 		}
 	case Prepare:
-		c.send(PrepareReply{Envelope: back, Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Refusal: reason, Status: c.status()})
+		c.send(PrepareReply{Envelope: back, Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Rejection: reason, Status: c.status()})
 	case Accept:
-		c.send(AcceptReply{Envelope: back, Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Refusal: reason})
+		c.send(AcceptReply{Envelope: back, Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Rejection: reason})
 	case Install:
-		c.send(InstallReply{Envelope: back, Epoch: m.View.Epoch, Ballot: m.View.Ballot, Refusal: reason})
-	case SnapshotPart:
-		c.send(SnapshotPartReply{Envelope: back, Tag: m.Tag, Stream: m.Stream, Refusal: reason, Held: c.state.position})
+		c.send(InstallReply{Envelope: back, Epoch: m.View.Epoch, Ballot: m.View.Ballot, Rejection: reason})
+	case SnapshotChunk:
+		c.send(SnapshotChunkReply{Envelope: back, Tag: m.Tag, StreamDigest: m.StreamDigest, Rejection: reason, DiskPosition: c.state.position})
 	case Append:
-		c.send(AppendReply{Envelope: back, Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index, Refusal: reason, Held: c.state.position})
+		c.send(AppendReply{Envelope: back, Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index, Rejection: reason, DiskPosition: c.state.position})
 	case Confirm:
-		c.send(ConfirmReply{Envelope: back, Epoch: m.Epoch, Ballot: m.Ballot, Round: m.Round, Refusal: reason})
+		c.send(ConfirmReply{Envelope: back, Epoch: m.Epoch, Ballot: m.Ballot, Round: m.Round, Rejection: reason})
 	case Yield:
-		c.send(YieldReply{Envelope: back, Epoch: m.Epoch, Refusal: reason})
+		c.send(YieldReply{Envelope: back, Epoch: m.Epoch, Rejection: reason})
 	case LeaveRequest:
-		c.send(LeaveRequestReply{Envelope: back, Refusal: reason})
+		c.send(LeaveRequestReply{Envelope: back, Rejection: reason})
 	}
 }
 
 // refusedReply is a register's reply with a refusal in place of its grant.
-func refusedReply(reply Message, reason Refusal) Message {
+func refusedReply(reply Message, reason Rejection) Message {
 	switch m := reply.(type) {
 	case PrepareReply:
-		m.Refusal = reason
+		m.Rejection = reason
 		return m
 	case AcceptReply:
-		m.Refusal = reason
+		m.Rejection = reason
 		return m
 	case InstallReply:
-		m.Refusal = reason
+		m.Rejection = reason
 		return m
 	}
 	return reply
@@ -244,7 +244,7 @@
 // needsDisk tells whether only a member with a disk can take a message.
 func needsDisk(message Message) bool {
 	switch message.(type) {
-	case Prepare, Accept, Install, SnapshotPart, Append, Confirm, Yield:
+	case Prepare, Accept, Install, SnapshotChunk, Append, Confirm, Yield:
 		return true
 	}
 	return false
--- a/coord/replication/core/simulation/clients_test.go
+++ b/coord/replication/core/simulation/clients_test.go
@@ -238,7 +238,7 @@
 		p.step(core.Read{Token: token, Deadline: k.deadline})
 		return
 	}
-	p.step(core.Order{Token: token, Deadline: k.deadline, Decide: func() ([]byte, error) { return k.decide(p) }})
+	p.step(core.Command{Token: token, Deadline: k.deadline, Decide: func() ([]byte, error) { return k.decide(p) }})
 }
 
 // decide is the order's look at the state.
@@ -266,7 +266,7 @@
 }
 
 // end carries the core's answer back to the client, if the way is open.
-func (k *call) end(answer core.Answer) {
+func (k *call) end(answer core.Result) {
 	k.answered = true
 	k.outcome = answer.Outcome
 	if k.request.operation == readOperation && answer.Outcome == core.Current {
@@ -289,7 +289,7 @@
 		} else if answer.Outcome == core.Deposed {
 			k.client.hint = nil
 		}
-		if answer.Outcome.Clear() {
+		if answer.Outcome.IsDefinite() {
 			k.clear = true
 			k.ended = c.now
 			c.liveness.noteClear(k)
--- a/coord/replication/core/simulation/disk_test.go
+++ b/coord/replication/core/simulation/disk_test.go
@@ -60,10 +60,10 @@
 	d.running = true
 	c := d.cluster
 	sync := c.settings.DiskSync * time.Duration(max(1, d.slowness))
-	patience := p.timing.DiskWait
+	patience := p.timing.DiskTimeout
 	if _, ok := d.jobs[0].(core.SaveSnapshot); ok {
 		sync *= 3
-		patience = p.timing.SnapshotWait
+		patience = p.timing.SnapshotTimeout
 	}
 	token := jobToken(d.jobs[0])
 	c.after(c.between(sync/4, sync), func() { d.end(p, token) })
@@ -196,6 +196,6 @@
 		Register:   d.register.Clone(),
 		Snapshot:   d.snapshot,
 		Entries:    slices.Clone(d.entries),
-		TailIsOpen: open,
+		Appendable: open,
 	}
 }
--- a/coord/replication/core/simulation/linearizability_test.go
+++ b/coord/replication/core/simulation/linearizability_test.go
@@ -76,7 +76,7 @@
 		return false, state
 	}
 	taken := r.operation == flagOperation || state.taken.has(r.order)
-	return taken == (in.outcome == core.InForce), state
+	return taken == (in.outcome == core.NoChange), state
 }
 
 // after is the state with a change.
--- a/coord/replication/core/simulation/liveness_test.go
+++ b/coord/replication/core/simulation/liveness_test.go
@@ -42,7 +42,7 @@
 	if outcome == core.Committed {
 		l.committed++
 	}
-	if outcome == core.Committed || outcome == core.InForce {
+	if outcome == core.Committed || outcome == core.NoChange {
 		l.lastServed = l.cluster.now
 	}
 }
@@ -101,8 +101,8 @@
 	}
 	l.repairsSeen++
 	view := p.core.View()
-	copies, witnesses := l.upOf(view.Copies()), l.upOf(view.Witnesses)
-	c.trace("nobody is lost: epoch %d, %d of %d copies and %d of %d witnesses are up", view.Epoch, copies, len(view.Copies()), witnesses, len(view.Witnesses))
+	copies, witnesses := l.upOf(view.Replicas()), l.upOf(view.Witnesses)
+	c.trace("nobody is lost: epoch %d, %d of %d copies and %d of %d witnesses are up", view.Epoch, copies, len(view.Replicas()), witnesses, len(view.Witnesses))
 	if copies < c.settings.Losses+1 {
 		c.monitor.fail("nobody is lost any more, and epoch %d has %d copies up of %d wanted", view.Epoch, copies, c.settings.Losses+1)
 	}
@@ -158,7 +158,7 @@
 			c.monitor.fail("%s knows epoch %d at the end, the newest is %d", h, known, view.Epoch)
 		}
 	}
-	for _, member := range view.Copies() {
+	for _, member := range view.Replicas() {
 		h := c.hostOf(member.ID)
 		if h == nil || h.process == nil {
 			c.monitor.fail("copy %s is not up at the end", member.Address)
--- a/coord/replication/core/simulation/monitor_test.go
+++ b/coord/replication/core/simulation/monitor_test.go
@@ -94,8 +94,8 @@
 }
 
 // answered checks an answer of the core.
-func (m *monitor) answered(p *process, k *call, answer core.Answer) {
-	if !answer.Outcome.Clear() {
+func (m *monitor) answered(p *process, k *call, answer core.Result) {
+	if !answer.Outcome.IsDefinite() {
 		if answer.Outcome == core.Deposed && k.wrote != nil {
 			m.fail("%s says that call %d was not begun, and it wrote an entry", p.host, k.id)
 		}
@@ -108,7 +108,7 @@
 	switch answer.Outcome {
 	case core.Committed:
 		m.committed(p, k)
-	case core.InForce, core.Refused:
+	case core.NoChange, core.Rejected:
 		m.decidedOnly(p, k, answer.Outcome)
 	case core.Current:
 		m.speak(p.store.tip, p, "a read")
@@ -125,7 +125,7 @@
 	}
 	m.speak(k.wrote, p, "an acknowledgement")
 	m.freshEnough(p, k, k.wrote)
-	for _, member := range p.core.View().Copies() {
+	for _, member := range p.core.View().Replicas() {
 		d := m.cluster.disks[member.ID]
 		if d == nil || d.gone {
 			continue
@@ -145,7 +145,7 @@
 	m.speak(k.decided, p, outcome.String())
 	m.freshEnough(p, k, k.decided)
 	m.contacted(p, k, outcome)
-	if outcome != core.Refused {
+	if outcome != core.Rejected {
 		return
 	}
 	for at := k.decided; at.index > 0; at = at.parent {
@@ -212,7 +212,7 @@
 			newest = view
 		}
 	}
-	members := append(newest.Copies(), newest.Witnesses...)
+	members := append(newest.Replicas(), newest.Witnesses...)
 	if slices.ContainsFunc(members, func(member core.Member) bool { return member.ID == p.host.disk.id }) {
 		m.fail("%s has left, and epoch %d names it", p.host, newest.Epoch)
 	}
@@ -221,7 +221,7 @@
 // learned checks that views are a chain.
 func (m *monitor) learned(view core.View) {
 	losses := m.cluster.settings.Losses
-	if len(view.Copies()) > losses && len(view.Witnesses) > 2*losses {
+	if len(view.Replicas()) > losses && len(view.Witnesses) > 2*losses {
 		m.grown = true
 	}
 	known, ok := m.views[view.Epoch]
@@ -235,7 +235,7 @@
 }
 
 func sameView(a, b core.View) bool {
-	return a.Tag() == b.Tag() && a.Base == b.Base && sameMembers(a.Copies(), b.Copies()) && sameMembers(a.Witnesses, b.Witnesses)
+	return a.Tag() == b.Tag() && a.Base == b.Base && sameMembers(a.Replicas(), b.Replicas()) && sameMembers(a.Witnesses, b.Witnesses)
 }
 
 func sameMembers(a, b []core.Member) bool {
@@ -247,17 +247,17 @@
 	id := p.host.disk.id
 	switch reply := message.(type) {
 	case core.PrepareReply:
-		if reply.Refusal != core.Granted {
+		if reply.Rejection != core.Granted {
 			return
 		}
 		m.vote(p, voteKey{id, reply.Epoch}, reply.Ballot, reply.AcceptedBallot, false)
 	case core.AcceptReply:
-		if reply.Refusal != core.Granted {
+		if reply.Rejection != core.Granted {
 			return
 		}
 		m.vote(p, voteKey{id, reply.Epoch}, reply.Ballot, reply.Ballot, true)
 	case core.ConfirmReply:
-		if reply.Refusal == core.Granted && m.votes[voteKey{id, reply.Epoch + 1}].accepted > 0 {
+		if reply.Rejection == core.Granted && m.votes[voteKey{id, reply.Epoch + 1}].accepted > 0 {
 			m.fail("%s confirms epoch %d and has accepted the next view", p.host, reply.Epoch)
 		}
 	}
--- a/coord/replication/core/simulation/plan_test.go
+++ b/coord/replication/core/simulation/plan_test.go
@@ -201,10 +201,10 @@
 		parts[0] = 300 // a transfer takes long
 	}
 	s.Limits = core.Limits{
-		SnapshotPart: parts[random.IntN(len(parts))],
-		LogBytes:     []int{500, 4000, 100_000}[random.IntN(3)],
-		RecentBytes:  []int{200, 2000, 50_000}[random.IntN(3)],
-		Waiting:      []int{4, 64}[random.IntN(2)],
+		SnapshotChunkBytes: parts[random.IntN(len(parts))],
+		LogBytes:           []int{500, 4000, 100_000}[random.IntN(3)],
+		EntryCacheBytes:    []int{200, 2000, 50_000}[random.IntN(3)],
+		MaxPending:         []int{4, 64}[random.IntN(2)],
 	}
 	return s
 }
--- a/coord/replication/core/simulation/process_test.go
+++ b/coord/replication/core/simulation/process_test.go
@@ -66,17 +66,17 @@
 	c := h.cluster
 	store := newKeyStore(c.history)
 	config := core.Config{
-		Self:      h.member(),
-		Seeds:     seeds,
-		Losses:    c.settings.Losses,
-		Areas:     1,
-		Relay:     h.relay,
-		Bootstrap: h.disk.first,
+		Self:              h.member(),
+		Seeds:             seeds,
+		MaxFailures:       c.settings.Losses,
+		MaxDomainFailures: 1,
+		Relay:             h.relay,
+		Bootstrap:         h.disk.first,
 
-		FirstSeeds: h.disk.firstSeeds(),
-		Machine:    store,
-		Timing:     core.DefaultTiming(),
-		Limits:     c.settings.Limits,
+		BootstrapSeeds: h.disk.firstSeeds(),
+		StateMachine:   store,
+		Timing:         core.DefaultTiming(),
+		Limits:         c.settings.Limits,
 	}
 	started, err := core.New(config, h.disk.load())
 	if err != nil {
@@ -160,7 +160,7 @@
 // armTick lets the core be ticked at the time it wants, or regularly. Timers come a little late.
 func (p *process) armTick() {
 	c := p.cluster
-	due := p.lastTick + p.timing.Tick
+	due := p.lastTick + p.timing.TickInterval
 	if c.settings.Lazy {
 		due = p.core.NextWake(p.lastTick)
 	}
@@ -258,7 +258,7 @@
 			return
 		}
 		p.host.disk.give(p, effect)
-	case core.Answer:
+	case core.Result:
 		p.answered(effect)
 	case core.BecamePrimary:
 		p.primary = true
@@ -266,7 +266,7 @@
 		c.trace("%s is primary of epoch %d", p.host, effect.Epoch)
 		c.monitor.becamePrimary(p, effect.Epoch)
 		c.moment(leadsMoment, p)
-	case core.StoppedBeingPrimary:
+	case core.SteppedDown:
 		p.primary = false
 		c.trace("%s is no longer primary: %v", p.host, effect.Reason)
 	case core.LearnedView:
@@ -280,7 +280,7 @@
 		}
 	case core.Log:
 		if c.tracing && effect.Level >= slog.LevelInfo {
-			c.trace("%s: %s %v", p.host, effect.Text, effect.Attributes)
+			c.trace("%s: %s %v", p.host, effect.Message, effect.Attributes)
 		}
 	}
 }
@@ -296,7 +296,7 @@
 	case core.Prepare:
 		p.seal(core.StateTag{Epoch: m.Base.Epoch + 1, Ballot: m.Ballot})
 		p.cluster.moment(preparesMoment, p)
-	case core.SnapshotPart:
+	case core.SnapshotChunk:
 		monitor.offered(p, m.Tag)
 		p.cluster.moment(offersMoment, p)
 	case core.Accept:
@@ -307,8 +307,8 @@
 		p.cluster.moment(installsMoment, p)
 	case core.Append:
 		p.cluster.moment(appendsMoment, p)
-	case core.SnapshotPartReply:
-		if m.Refusal == core.Granted {
+	case core.SnapshotChunkReply:
+		if m.Rejection == core.Granted {
 			p.seal(m.Tag)
 		}
 	case core.AppendReply:
@@ -328,7 +328,7 @@
 // noteReceived notes which witnesses have confirmed the view, and in which round.
 func (p *process) noteReceived(message core.Message) {
 	m, ok := message.(core.ConfirmReply)
-	if !ok || m.Refusal != core.Granted || m.To != p.host.disk.id || !p.primary {
+	if !ok || m.Rejection != core.Granted || m.To != p.host.disk.id || !p.primary {
 		return
 	}
 	begun, known := p.roundBegun[m.Round]
@@ -338,7 +338,7 @@
 }
 
 // answered ends a call.
-func (p *process) answered(answer core.Answer) {
+func (p *process) answered(answer core.Result) {
 	made, known := p.calls[answer.Token]
 	if !known {
 		p.cluster.monitor.fail("%s answers call %d, which it does not have", p.host, answer.Token)
--- a/coord/replication/core/simulation/proposals_test.go
+++ b/coord/replication/core/simulation/proposals_test.go
@@ -79,7 +79,7 @@
 // appended checks that a member that gave its word for a newer state takes no entry of an older view.
 func (m *monitor) appended(p *process, reply core.AppendReply) {
 	tag := core.StateTag{Epoch: reply.Epoch, Ballot: reply.Ballot}
-	if reply.Refusal == core.Granted && !tag.Covers(p.sealed) {
+	if reply.Rejection == core.Granted && !tag.Covers(p.sealed) {
 		m.fail("%s takes entry %d of epoch %d after it made or took a proposal for epoch %d", p.host, reply.Index, reply.Epoch, p.sealed.Epoch)
 	}
 }
--- a/coord/replication/core/start_test.go
+++ b/coord/replication/core/start_test.go
@@ -67,12 +67,12 @@
 	second := Entry{Index: 2, Previous: first.Position().Digest, Data: []byte("b")}
 	older := Snapshot{Position: Position{}}
 	newer := Snapshot{Position: first.Position(), Data: []byte("a;")}
-	_, err := New(n.config(), Stored{Snapshot: &newer, Entries: []Entry{second}, TailIsOpen: true})
+	_, err := New(n.config(), Stored{Snapshot: &newer, Entries: []Entry{second}, Appendable: true})
 	require.NoError(t, err)
-	_, err = New(n.config(), Stored{Snapshot: &older, Entries: []Entry{second}, TailIsOpen: true})
-	require.ErrorIs(t, err, ErrDamaged, "an older snapshot than the log's")
-	_, err = New(n.config(), Stored{Entries: []Entry{first}, TailIsOpen: true})
-	require.ErrorIs(t, err, ErrDamaged)
+	_, err = New(n.config(), Stored{Snapshot: &older, Entries: []Entry{second}, Appendable: true})
+	require.ErrorIs(t, err, ErrCorrupt, "an older snapshot than the log's")
+	_, err = New(n.config(), Stored{Entries: []Entry{first}, Appendable: true})
+	require.ErrorIs(t, err, ErrCorrupt)
 }
 
 // TestASeedIsReplacedWhileTheFirstViewIsMade loses the disk of each seed at each moment of the first start; another comes in its place, which was not made for the first start.
--- a/coord/replication/core/state.go
+++ b/coord/replication/core/state.go
@@ -27,25 +27,25 @@
 	if c.config.Relay {
 		return nil
 	}
-	c.state.broken = !stored.TailIsOpen
+	c.state.broken = !stored.Appendable
 	if stored.Snapshot == nil {
 		c.state.broken = true
 		if len(stored.Entries) > 0 {
-			return fmt.Errorf("%w: entries without a snapshot", ErrDamaged)
+			return fmt.Errorf("%w: entries without a snapshot", ErrCorrupt)
 		}
 		return nil
 	}
-	if err := c.config.Machine.Restore(stored.Snapshot.Data); err != nil {
-		return fmt.Errorf("%w: snapshot: %w", ErrDamaged, err)
+	if err := c.config.StateMachine.Restore(stored.Snapshot.Data); err != nil {
+		return fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
 	}
 	c.state.tag = stored.Snapshot.Tag
 	c.state.position = stored.Snapshot.Position
 	c.state.applied = stored.Snapshot.Position
 	for _, entry := range stored.Entries {
 		if !entry.Follows(c.state.position) {
-			return fmt.Errorf("%w: entry %d does not follow position %d", ErrDamaged, entry.Index, c.state.position.Index)
+			return fmt.Errorf("%w: entry %d does not follow position %d", ErrCorrupt, entry.Index, c.state.position.Index)
 		}
-		c.state.add(entry, c.limits.RecentBytes)
+		c.state.add(entry, c.limits.EntryCacheBytes)
 		c.state.logBytes += len(entry.Data)
 	}
 	return nil
@@ -86,7 +86,7 @@
 // applyTail applies all that is on disk.
 func (c *Core) applyTail() {
 	for _, entry := range c.state.tail {
-		c.config.Machine.Apply(entry.Data)
+		c.config.StateMachine.Apply(entry.Data)
 	}
 	c.state.tail = nil
 	c.state.applied = c.state.position
@@ -94,7 +94,7 @@
 
 // snapshot is the state as the machine has it; the entries of tail follow it.
 func (c *Core) snapshot() Snapshot {
-	return Snapshot{Tag: c.state.tag, Position: c.state.applied, Data: c.config.Machine.Snapshot()}
+	return Snapshot{Tag: c.state.tag, Position: c.state.applied, Data: c.config.StateMachine.Snapshot()}
 }
 
 // trim puts a snapshot in place of a log that has grown.
@@ -110,14 +110,14 @@
 func (c *Core) View() *View { return c.register.View.Clone() }
 
 // Active tells whether this member is primary, and of which epoch.
-func (c *Core) Active() (Epoch, bool) { return c.activeEpoch, c.active }
+func (c *Core) PrimaryEpoch() (Epoch, bool) { return c.activeEpoch, c.active }
 
 // Primary is the member that was last heard to be primary, if it was heard lately.
 func (c *Core) Primary(now time.Duration) (Member, bool) {
 	if c.active {
 		return c.self, true
 	}
-	if c.heardFrom.ID != 0 && now-c.lastHeard < c.timing.PrimaryLost {
+	if c.heardFrom.ID != 0 && now-c.lastHeard < c.timing.PrimaryTimeout {
 		return c.heardFrom, true
 	}
 	return Member{}, false
@@ -125,34 +125,34 @@
 
 // State is what a member tells operators of itself.
 type State struct {
-	Self         Member
-	Relay        bool
-	LossesBorne  int // by the view: copies left and a majority of witnesses
-	LossesWanted int
-	View         *View
-	Active       bool
-	Joined       bool
-	Stalled      bool
-	Leaving      bool
-	Position     Position
-	LastHeard    time.Duration // since the primary was heard
-	Members      []Member
+	Self                Member
+	Relay               bool
+	FailuresTolerated   int // by the view: copies left and a majority of witnesses
+	MaxFailures         int
+	View                *View
+	IsPrimary           bool
+	Joined              bool
+	DiskStalled         bool
+	Leaving             bool
+	Position            Position
+	SincePrimaryContact time.Duration // since the primary was heard
+	Members             []Member
 }
 
 // State tells what this member knows.
 func (c *Core) State(now time.Duration) State {
 	return State{
-		Self:         c.self,
-		Relay:        c.config.Relay,
-		LossesBorne:  lossesBorne(c.register.View),
-		LossesWanted: c.config.Losses,
-		View:         c.View(),
-		Active:       c.active,
-		Joined:       c.state.joined != StateTag{},
-		Stalled:      c.disk.stalled,
-		Leaving:      c.leaving != nil,
-		Position:     c.state.position,
-		LastHeard:    now - c.lastHeard,
-		Members:      c.Members(),
+		Self:                c.self,
+		Relay:               c.config.Relay,
+		FailuresTolerated:   lossesBorne(c.register.View),
+		MaxFailures:         c.config.MaxFailures,
+		View:                c.View(),
+		IsPrimary:           c.active,
+		Joined:              c.state.joined != StateTag{},
+		DiskStalled:         c.disk.stalled,
+		Leaving:             c.leaving != nil,
+		Position:            c.state.position,
+		SincePrimaryContact: now - c.lastHeard,
+		Members:             c.Members(),
 	}
 }
--- a/coord/replication/core/takeover.go
+++ b/coord/replication/core/takeover.go
@@ -50,12 +50,12 @@
 func (c *Core) takeOverDue(view *View) bool {
 	quiet := c.now - c.lastHeard
 	rank := indexOf(view.Backups, c.self.ID)
-	due := c.timing.PrimaryLost + time.Duration(max(rank, 0))*c.timing.RankWait
+	due := c.timing.PrimaryTimeout + time.Duration(max(rank, 0))*c.timing.RankDelay
 	if c.leaving != nil { // only if nobody else does
-		return quiet > due+time.Duration(len(view.Backups)+1)*c.timing.RankWait
+		return quiet > due+time.Duration(len(view.Backups)+1)*c.timing.RankDelay
 	}
 	if rank < 0 { // the view's own primary, that was restarted or stepped down
-		return quiet > c.timing.Heartbeat
+		return quiet > c.timing.HeartbeatInterval
 	}
 	if c.viewChangeDue {
 		return true
@@ -63,10 +63,10 @@
 	if quiet <= due {
 		return false
 	}
-	return rank == 0 || c.now-c.promisedAt > c.timing.RankWait
+	return rank == 0 || c.now-c.promisedAt > c.timing.RankDelay
 }
 
 // stepPause is the pause between two tries, spread by the member's id so that two candidates don't meet again and again.
 func (c *Core) stepPause() time.Duration {
-	return c.timing.StepPause + time.Duration(c.self.ID%8)*c.timing.StepPause/6
+	return c.timing.ViewChangeBackoff + time.Duration(c.self.ID%8)*c.timing.ViewChangeBackoff/6
 }
--- a/coord/replication/core/transfer.go
+++ b/coord/replication/core/transfer.go
@@ -115,7 +115,7 @@
 	}
 	if !change.waitedLate {
 		change.waitedLate = true
-		change.lateUntil = c.now + c.timing.LateAnswer
+		change.lateUntil = c.now + c.timing.LateReplyWait
 	}
 	return c.now < change.lateUntil
 }
@@ -132,7 +132,7 @@
 }
 
 func (c *Core) newTransfer(member Member, stream *stateStream) transfer {
-	return transfer{member: member, stream: stream, part: min(firstPart, c.limits.SnapshotPart), progressAt: c.now}
+	return transfer{member: member, stream: stream, part: min(firstPart, c.limits.SnapshotChunkBytes), progressAt: c.now}
 }
 
 // sendPart sends what comes after the part received last.
@@ -151,15 +151,15 @@
 
 func (c *Core) sendOf(t *transfer, data []byte) {
 	t.sentAt = c.now
-	part := SnapshotPart{
-		Envelope: c.to(t.member),
-		Tag:      c.change.tag(),
-		Since:    t.stream.since,
-		Position: c.state.position,
-		Size:     t.size(),
-		Stream:   t.stream.digest,
-		Offset:   t.received,
-		Data:     data,
+	part := SnapshotChunk{
+		Envelope:     c.to(t.member),
+		Tag:          c.change.tag(),
+		Since:        t.stream.since,
+		Position:     c.state.position,
+		Size:         t.size(),
+		StreamDigest: t.stream.digest,
+		Offset:       t.received,
+		Data:         data,
 	}
 	if c.change.base.Epoch > 0 {
 		part.Base = c.change.base.Clone()
@@ -168,7 +168,7 @@
 }
 
 // onSnapshotPartReply goes on with the transfer that is answered.
-func (c *Core) onSnapshotPartReply(m SnapshotPartReply) {
+func (c *Core) onSnapshotPartReply(m SnapshotChunkReply) {
 	c.learn(m.View)
 	change := c.change
 	if change == nil || change.phase != transferring || m.Tag != change.tag() {
@@ -177,16 +177,16 @@
 	i := slices.IndexFunc(change.transfers, func(t transfer) bool {
 		return t.member.ID == m.From.ID || t.member.Address == m.From.Address
 	})
-	if i < 0 || change.transfers[i].stream.digest != m.Stream {
+	if i < 0 || change.transfers[i].stream.digest != m.StreamDigest {
 		return
 	}
 	t := &change.transfers[i]
 	switch {
-	case m.Refusal == Busy:
-	case m.Refusal == Gap && t.stream.since != Position{}:
+	case m.Rejection == Busy:
+	case m.Rejection == MissingEntries && t.stream.since != Position{}:
 		*t = c.newTransfer(t.member, c.wholeStream())
 		c.sendPart(t)
-	case m.Refusal != Granted || t.member.ID != m.From.ID:
+	case m.Rejection != Granted || t.member.ID != m.From.ID:
 		c.endTransfer(i, false)
 	case m.Complete:
 		c.endTransfer(i, true)
@@ -203,7 +203,7 @@
 	}
 	if progress {
 		t.progressAt = c.now
-		t.adapt(c.now-t.partSentAt < c.timing.AnswerWait/2, c.limits.SnapshotPart)
+		t.adapt(c.now-t.partSentAt < c.timing.ReplyTimeout/2, c.limits.SnapshotChunkBytes)
 	}
 	t.answered = true
 	t.received = received
@@ -226,11 +226,11 @@
 func (c *Core) patience(t *transfer) time.Duration {
 	switch {
 	case t.whole():
-		return c.timing.TransferWait
+		return c.timing.TransferTimeout
 	case t.answered:
-		return c.timing.AnswerWait + time.Duration(t.part)*time.Second/slowLinkBytes
+		return c.timing.ReplyTimeout + time.Duration(t.part)*time.Second/slowLinkBytes
 	}
-	return c.timing.AnswerWait
+	return c.timing.ReplyTimeout
 }
 
 // endTransfer notes how a transfer ended.
@@ -241,7 +241,7 @@
 	if complete {
 		change.copies = append(change.copies, member)
 	} else if p := c.peer(member.ID); p != nil {
-		p.refusedUntil = c.now + c.timing.RefusedFor
+		p.refusedUntil = c.now + c.timing.RejectionBackoff
 	}
 	c.continueTransfers()
 }
@@ -253,12 +253,12 @@
 		t := &change.transfers[i]
 		if c.now-t.progressAt >= c.patience(t) {
 			if p := c.peer(t.member.ID); p != nil {
-				p.status.Fit = false
+				p.status.Writable = false
 			}
 			c.endTransfer(i, false)
 			return
 		}
-		if c.now-t.sentAt >= c.timing.Resend {
+		if c.now-t.sentAt >= c.timing.ResendInterval {
 			c.probe(t)
 		}
 	}
--- a/coord/replication/core/transfer_test.go
+++ b/coord/replication/core/transfer_test.go
@@ -12,15 +12,15 @@
 // TestATransferInParts takes a large state to a new copy, through lost parts.
 func TestATransferInParts(t *testing.T) {
 	w := newWorld(t, 1, "a", "b", "c")
-	w.limits.SnapshotPart = 1000
-	w.limits.RecentBytes = 10
+	w.limits.SnapshotChunkBytes = 1000
+	w.limits.EntryCacheBytes = 10
 	w.startAll()
 	w.run(2 * time.Second)
 	large := strings.Repeat("x", 50_000)
 	p := w.commit(large)
 	lost := map[int64]bool{}
 	w.drop = func(_ *node, m Message) bool {
-		part, is := m.(SnapshotPart)
+		part, is := m.(SnapshotChunk)
 		if !is || part.Offset%10_000 != 0 || lost[part.Offset] {
 			return false
 		}
@@ -44,7 +44,7 @@
 	backup := w.node(p.core.View().Backups[0])
 	sent := 0
 	w.drop = func(_ *node, m Message) bool {
-		if part, is := m.(SnapshotPart); is {
+		if part, is := m.(SnapshotChunk); is {
 			sent += len(part.Data)
 		}
 		return false
@@ -67,7 +67,7 @@
 			p := w.commit(strings.Repeat("x", size))
 			sent := 0
 			w.drop = func(_ *node, m Message) bool {
-				if part, is := m.(SnapshotPart); is {
+				if part, is := m.(SnapshotChunk); is {
 					sent += len(part.Data)
 				}
 				return false
@@ -95,7 +95,7 @@
 	held := c.state.position
 	for range 3 {
 		entry := Entry{Index: c.state.position.Index + 1, Previous: c.state.position.Digest, Data: make([]byte, 3000)}
-		c.state.add(entry, c.limits.RecentBytes)
+		c.state.add(entry, c.limits.EntryCacheBytes)
 	}
 	c.state.tail = nil
 	c.state.applied = c.state.position
--- a/coord/replication/core/types.go
+++ b/coord/replication/core/types.go
@@ -33,29 +33,29 @@
 
 // Member is one process with a disk (or without one: a relay).
 type Member struct {
-	ID      MemberID
-	Address string
-	Zone    string
+	ID      MemberID `json:"ID"`
+	Address string   `json:"Address"`
+	Zone    string   `json:"Zone"`
 }
 
 // Position is a place in the history: the last entry held, and the digest of all up to it. The zero position is the empty history.
 type Position struct {
-	Index  Index
-	Digest Digest
+	Index  Index  `json:"Index"`
+	Digest Digest `json:"Digest"`
 }
 
 // View says who holds the state and who witnesses the next view.
 type View struct {
-	Epoch     Epoch
-	Ballot    Ballot // under which the copies were given the state
-	Witnesses []Member
-	Primary   Member
-	Backups   []Member // in the order in which they take over
-	Base      Position // of the state that the copies held when the view was proposed
+	Epoch     Epoch    `json:"Epoch"`
+	Ballot    Ballot   `json:"Ballot"` // under which the replicas were given the state
+	Witnesses []Member `json:"Witnesses"`
+	Primary   Member   `json:"Primary"`
+	Backups   []Member `json:"Backups"` // in the order in which they take over
+	Base      Position `json:"Base"`    // of the state that the replicas held when the view was proposed
 }
 
 // Copies are the primary and its backups.
-func (v *View) Copies() []Member {
+func (v *View) Replicas() []Member {
 	return append([]Member{v.Primary}, v.Backups...)
 }
 
@@ -77,10 +77,10 @@
 
 // Register is what a witness keeps on disk: the newest view known to be chosen, and its promise and acceptance for the epoch after it.
 type Register struct {
-	View           *View
-	Promised       Ballot
-	AcceptedBallot Ballot
-	Accepted       *View
+	View           *View  `json:"View"`
+	Promised       Ballot `json:"Promised"`
+	AcceptedBallot Ballot `json:"AcceptedBallot"`
+	Accepted       *View  `json:"Accepted"`
 }
 
 // Clone is a copy that shares nothing.
@@ -149,41 +149,41 @@
 	Snapshot *Snapshot // nil: no state
 	Entries  []Entry   // after the snapshot
 	// TailIsOpen says that entries can be appended. If not, a snapshot must be saved first.
-	TailIsOpen bool
+	Appendable bool
 }
 
 // Refusal is why a member did not do what a message asked for.
-type Refusal uint8
+type Rejection uint8
 
 // The reasons of refusal.
 const (
-	Granted       Refusal = iota // not refused
-	OtherDisk                    // the message was meant for another disk at this address
-	NoDisk                       // this member has no disk
-	NewerView                    // a newer view is known here; it comes with the answer
-	UnknownView                  // the view meant is not known here
-	NotJoined                    // this member was not given the state for this view in this life, or is sealed
-	Gap                          // entries are missing before the one sent
-	Repeat                       // an older entry that is held already; nothing was done
-	Fork                         // the history held differs from the one meant
-	Promised                     // a higher ballot was promised
-	OtherSeeds                   // this member is no witness of that view, or started with other seeds
-	Unfit                        // the disk takes no writes, or the member is leaving
-	Busy                         // another job of that kind is under way
-	DiskFailed                   // the disk gave an error
-	NotPrimary                   // only the primary does this
-	NobodyInstead                // the member that wants to leave can't be replaced now
+	Granted         Rejection = iota // not refused
+	WrongDisk                        // the message was meant for another disk at this address
+	NoDisk                           // this member has no disk
+	NewerView                        // a newer view is known here; it comes with the answer
+	UnknownView                      // the view meant is not known here
+	NotJoined                        // this member was not given the state for this view in this life, or is sealed
+	MissingEntries                   // entries are missing before the one sent
+	DuplicateEntry                   // an older entry that is held already; nothing was done
+	DivergedHistory                  // the history held differs from the one meant
+	HigherPromise                    // a higher ballot was promised
+	NotWitness                       // this member is no witness of that view, or started with other seeds
+	Unavailable                      // the disk takes no writes, or the member is leaving
+	Busy                             // another job of that kind is under way
+	DiskFailed                       // the disk gave an error
+	NotPrimary                       // only the primary does this
+	NoReplacement                    // the member that wants to leave can't be replaced now
 )
 
-var refusalNames = [...]string{
+var rejectionNames = [...]string{
 	"granted", "other disk", "no disk", "newer view", "unknown view", "not joined", "gap", "repeat", "fork", "promised",
 	"other seeds", "unfit", "busy", "disk failed", "not primary", "nobody instead",
 }
 
 // String is the reason in words.
-func (r Refusal) String() string {
-	if int(r) < len(refusalNames) {
-		return refusalNames[r]
+func (r Rejection) String() string {
+	if int(r) < len(rejectionNames) {
+		return rejectionNames[r]
 	}
 	return "refusal " + strconv.Itoa(int(r))
 }
@@ -193,12 +193,12 @@
 
 // The outcomes. All but Unclear and Deposed are clear answers: they hold at some moment between the call and the answer.
 const (
-	Committed Outcome = iota + 1 // the entry is synced on all copies
-	InForce                      // Decide found nothing to do
-	Refused                      // Decide gave an error, which comes with the answer
-	Current                      // the state of this member is current: the driver may read it before the next Step
-	Unclear                      // may have been done or not, or may be done by nobody now
-	Deposed                      // this member is not the primary, and nothing was begun
+	Committed     Outcome = iota + 1 // the entry is synced on all copies
+	NoChange                         // Decide found nothing to do
+	Rejected                         // Decide gave an error, which comes with the answer
+	Current                          // the state of this member is current: the driver may read it before the next Step
+	Indeterminate                    // may have been done or not, or may be done by nobody now
+	Deposed                          // this member is not the primary, and nothing was begun
 )
 
 var outcomeNames = [...]string{"", "committed", "in force", "refused", "current", "unclear", "deposed"}
@@ -212,7 +212,7 @@
 }
 
 // Clear tells whether the answer holds for sure.
-func (o Outcome) Clear() bool {
+func (o Outcome) IsDefinite() bool {
 	return o >= Committed && o <= Current
 }
 
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -91,7 +91,7 @@
 	change.phase = p
 	change.granted = nil
 	change.refused = nil
-	change.deadline = c.now + c.timing.AnswerWait
+	change.deadline = c.now + c.timing.ReplyTimeout
 	c.askWitnesses()
 }
 
@@ -127,7 +127,7 @@
 		c.state.joined = StateTag{}
 	}
 	if c.state.broken {
-		c.change.deadline = c.now + c.timing.SnapshotWait
+		c.change.deadline = c.now + c.timing.SnapshotTimeout
 		c.saveSnapshot(diskJob{kind: repairJob}, c.snapshot(), c.state.tail)
 		return
 	}
@@ -192,8 +192,8 @@
 	if change.phase != preparing {
 		return
 	}
-	if m.Refusal != Granted {
-		c.witnessRefused(m.From, m.Refusal, m.Promised)
+	if m.Rejection != Granted {
+		c.witnessRefused(m.From, m.Rejection, m.Promised)
 		return
 	}
 	if m.Accepted != nil && (change.found == nil || m.AcceptedBallot > change.foundBallot) {
@@ -205,8 +205,8 @@
 }
 
 // witnessRefused ends a change whose quorum is out of reach.
-func (c *Core) witnessRefused(from Member, reason Refusal, promised Ballot) {
-	if reason == Promised {
+func (c *Core) witnessRefused(from Member, reason Rejection, promised Ballot) {
+	if reason == HigherPromise {
 		c.round = max(c.round, ballotRound(promised))
 	}
 	if c.change.refuse(from) {
@@ -269,8 +269,8 @@
 	if change.phase != accepting && change.phase != finishing {
 		return
 	}
-	if m.Refusal != Granted {
-		c.witnessRefused(m.From, m.Refusal, m.Promised)
+	if m.Rejection != Granted {
+		c.witnessRefused(m.From, m.Rejection, m.Promised)
 		return
 	}
 	change.grant(m.From.ID)
@@ -291,7 +291,7 @@
 	found := c.change.found
 	c.failViewChange("an earlier proposal was finished")
 	c.learn(found)
-	if p := c.peer(found.Primary.ID); p == nil || c.now-p.seen > c.timing.PrimaryLost {
+	if p := c.peer(found.Primary.ID); p == nil || c.now-p.seen > c.timing.PrimaryTimeout {
 		c.retryAfter = c.now // it was lost on the way
 	}
 }
@@ -321,8 +321,8 @@
 	if change == nil || change.phase != installing || m.Epoch != change.epoch() || m.Ballot != change.ballot {
 		return
 	}
-	if m.Refusal != Granted {
-		c.witnessRefused(m.From, m.Refusal, 0)
+	if m.Rejection != Granted {
+		c.witnessRefused(m.From, m.Rejection, 0)
 		return
 	}
 	change.grant(m.From.ID)
@@ -359,7 +359,7 @@
 		c.stopBeingPrimary(ViewChangeFailed)
 		return
 	}
-	c.retryAfter += c.timing.Heartbeat // not again at once
+	c.retryAfter += c.timing.HeartbeatInterval // not again at once
 }
 
 // witnessesSilent gives up for want of answers. A primary asks its backups to take over: its way out may work though it hears nobody. A member that heard nobody at all tries no more until it hears somebody.
@@ -390,7 +390,7 @@
 		c.witnessesSilent()
 		return
 	}
-	if change.phase != repairing && c.now-change.sentAt >= c.timing.Resend {
+	if change.phase != repairing && c.now-change.sentAt >= c.timing.ResendInterval {
 		c.askWitnesses()
 	}
 }
--- a/coord/replication/core/wake.go
+++ b/coord/replication/core/wake.go
@@ -4,12 +4,12 @@
 
 // NextWake is when the core must be ticked next at the latest, on the clock of Step. It changes with every Step. While anything is under way it is Timing.Tick after the last tick, else as late as the heartbeats allow.
 func (c *Core) NextWake(lastTick time.Duration) time.Duration {
-	next := lastTick + c.timing.Tick
+	next := lastTick + c.timing.TickInterval
 	if c.busy() {
 		return next
 	}
 	if c.active {
-		return max(next, c.lastHeartbeat+c.timing.Heartbeat)
+		return max(next, c.lastHeartbeat+c.timing.HeartbeatInterval)
 	}
 	return max(next, c.lastHeard+c.quietAfter())
 }
@@ -37,15 +37,23 @@
 	roles := rolesOf(c.register.View, c.self.ID)
 	switch {
 	case roles&RolePrimary != 0:
-		return c.timing.Heartbeat
+		return c.timing.HeartbeatInterval
 	case roles&RoleBackup != 0:
-		return c.timing.PrimaryLost / 2
+		return c.timing.PrimaryTimeout / 2
 	}
-	return c.timing.PrimaryLost
+	return c.timing.PrimaryTimeout
 }
 
 // KnownEpoch is the epoch of the newest view known to be chosen, 0 before the first.
 func (c *Core) KnownEpoch() Epoch { return c.knownEpoch() }
 
-// LastHeard is the member that was last heard to be primary, and when.
-func (c *Core) LastHeard() (Member, time.Duration) { return c.heardFrom, c.lastHeard }
+// PrimaryContact says when a primary was last in contact, on the clock of Step. The zero contact is "none yet".
+type PrimaryContact struct {
+	Primary Member
+	At      time.Duration
+}
+
+// LastPrimaryContact is the member last heard to be primary, and when.
+func (c *Core) LastPrimaryContact() PrimaryContact {
+	return PrimaryContact{Primary: c.heardFrom, At: c.lastHeard}
+}
--- a/coord/replication/core/world_node_test.go
+++ b/coord/replication/core/world_node_test.go
@@ -72,7 +72,7 @@
 	core    *Core
 	machine *text
 	disk    *storedDisk
-	answers map[Token]Answer
+	answers map[Token]Result
 	primary bool
 	left    *Left
 	mutate  mutation.Kind
@@ -95,8 +95,8 @@
 		seeds = []string{"m0", "m1", "m2"}[:min(3, len(w.nodes))]
 	}
 	return Config{
-		Self: n.member(), Seeds: seeds, Losses: w.losses, Areas: w.areas, Area: w.area,
-		Relay: n.relay, Bootstrap: n.disk.first, Machine: n.machine, Timing: DefaultTiming(), Limits: w.limits,
+		Self: n.member(), Seeds: seeds, MaxFailures: w.losses, MaxDomainFailures: w.areas, FailureDomain: w.area,
+		Relay: n.relay, Bootstrap: n.disk.first, StateMachine: n.machine, Timing: DefaultTiming(), Limits: w.limits,
 	}
 }
 
@@ -111,7 +111,7 @@
 	n.machine = &text{}
 	n.disk.pending = nil
 	d := n.disk
-	c, err := New(n.config(), Stored{Register: d.register, Snapshot: d.snapshot, Entries: slices.Clone(d.entries), TailIsOpen: d.snapshot != nil})
+	c, err := New(n.config(), Stored{Register: d.register, Snapshot: d.snapshot, Entries: slices.Clone(d.entries), Appendable: d.snapshot != nil})
 	require.NoError(n.world.t, err)
 	c.mutation = n.mutate
 	n.core = c
@@ -121,7 +121,7 @@
 
 func (n *node) scheduleTick() {
 	life := n.life
-	n.world.at(DefaultTiming().Tick, func() {
+	n.world.at(DefaultTiming().TickInterval, func() {
 		if !n.up || n.life != life {
 			return
 		}
@@ -167,21 +167,21 @@
 				n.runDisk()
 			}
 		})
-	case Answer:
+	case Result:
 		n.answers[effect.Token] = effect
 	case BecamePrimary:
 		n.primary = true
 		w.oneWriter(n, effect.Epoch)
 	case LearnedView:
 		w.oneView(effect.View)
-	case StoppedBeingPrimary:
+	case SteppedDown:
 		require.True(w.t, n.primary)
 		n.primary = false
 	case Left:
 		n.left = &effect
 	case Log:
 		if w.logging && effect.Level >= slog.LevelInfo {
-			fmt.Println(w.now, n.address, effect.Text, effect.Attributes)
+			fmt.Println(w.now, n.address, effect.Message, effect.Attributes)
 		}
 	}
 }
--- a/coord/replication/core/world_test.go
+++ b/coord/replication/core/world_test.go
@@ -58,7 +58,7 @@
 
 // add puts up one more machine, with an empty disk; it is not started.
 func (w *world) add(zone string) *node {
-	n := &node{world: w, address: fmt.Sprint("m", len(w.nodes)), zone: zone, answers: map[Token]Answer{}}
+	n := &node{world: w, address: fmt.Sprint("m", len(w.nodes)), zone: zone, answers: map[Token]Result{}}
 	w.nodes = append(w.nodes, n)
 	n.wipe()
 	return n
@@ -143,7 +143,7 @@
 		return 0
 	}
 	bytes := 0
-	if part, is := send.Message.(SnapshotPart); is {
+	if part, is := send.Message.(SnapshotChunk); is {
 		bytes = len(part.Data)
 	}
 	link := [2]string{from.address, send.Address}
@@ -168,7 +168,7 @@
 	n.world.token++
 	token := n.world.token
 	now := n.world.now - n.born
-	n.step(Order{Token: token, Deadline: now + 2*time.Second, Decide: decide})
+	n.step(Command{Token: token, Deadline: now + 2*time.Second, Decide: decide})
 	return token
 }
 
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -10,7 +10,7 @@
 
 // write is the order under way. Orders run one at a time, so each one is decided on the state that all earlier ones left.
 type write struct {
-	order    Order
+	order    Command
 	entry    Entry
 	answered bool // unclear, at its deadline; the write itself goes on
 	onDisk   bool // of this member
@@ -22,20 +22,20 @@
 }
 
 // takeOrder queues an order.
-func (c *Core) takeOrder(order Order) {
+func (c *Core) takeOrder(order Command) {
 	if !c.active || c.leaving != nil && c.leaving.handingOver {
 		c.answer(order.Token, Deposed, nil)
 		return
 	}
-	if len(c.orders) >= c.limits.Waiting {
-		c.answer(order.Token, Unclear, ErrTooMany)
+	if len(c.orders) >= c.limits.MaxPending {
+		c.answer(order.Token, Indeterminate, ErrTooManyPending)
 		return
 	}
 	c.orders = append(c.orders, order)
 }
 
 func (c *Core) answer(token Token, outcome Outcome, err error) {
-	c.emit(Answer{Token: token, Outcome: outcome, Err: err})
+	c.emit(Result{Token: token, Outcome: outcome, Err: err})
 }
 
 // runOrders begins orders as long as they end at once.
@@ -67,24 +67,24 @@
 //
 // Invariant: an order whose deadline has passed never begins.
 func (c *Core) expireOrders() {
-	c.orders = slices.DeleteFunc(c.orders, func(order Order) bool {
+	c.orders = slices.DeleteFunc(c.orders, func(order Command) bool {
 		late := c.now > order.Deadline
 		if late {
-			c.answer(order.Token, Unclear, ErrTooLate)
+			c.answer(order.Token, Indeterminate, ErrDeadlineExceeded)
 		}
 		return late
 	})
 }
 
 // beginOrder decides an order and writes its entry.
-func (c *Core) beginOrder(order Order) {
+func (c *Core) beginOrder(order Command) {
 	data, err := order.Decide()
 	if err != nil {
-		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: Refused, err: err}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: Rejected, err: err}, c.mutation == mutation.SkipConfirmOnRefusal)
 		return
 	}
 	if data == nil {
-		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: InForce}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: NoChange}, c.mutation == mutation.SkipConfirmOnRefusal)
 		return
 	}
 	view := c.register.View
@@ -120,7 +120,7 @@
 		c.ownDiskFailed()
 		return
 	}
-	c.state.add(job.entry, c.limits.RecentBytes)
+	c.state.add(job.entry, c.limits.EntryCacheBytes)
 	c.state.logBytes += len(job.entry.Data)
 	if c.write != nil && c.write.entry.Position() == job.entry.Position() {
 		c.write.onDisk = true
@@ -139,16 +139,16 @@
 		return
 	}
 	i := indexOf(c.register.View.Backups, m.From.ID)
-	if i < 0 && m.Refusal != OtherDisk || m.Refusal == Busy {
+	if i < 0 && m.Rejection != WrongDisk || m.Rejection == Busy {
 		return
 	}
-	if m.Refusal != Granted {
-		c.log(slog.LevelInfo, "a backup takes no entry", slog.String("backup", m.From.Address), slog.String("reason", m.Refusal.String()))
+	if m.Rejection != Granted {
+		c.log(slog.LevelInfo, "a backup takes no entry", slog.String("backup", m.From.Address), slog.String("reason", m.Rejection.String()))
 		w.refused = true
 		c.backupMissing()
 		return
 	}
-	if m.Held == w.entry.Position() && !slices.Contains(w.backups, m.From.ID) {
+	if m.DiskPosition == w.entry.Position() && !slices.Contains(w.backups, m.From.ID) {
 		w.backups = append(w.backups, m.From.ID)
 	}
 	c.considerCommit()
@@ -201,14 +201,14 @@
 		c.backupMissing()
 		return
 	}
-	if c.now-w.sentAt >= c.timing.Resend+c.writeBytesTime() {
+	if c.now-w.sentAt >= c.timing.ResendInterval+c.writeBytesTime() {
 		c.sendAppends()
 	}
 }
 
 // writePatience is the wait for the backups: the answer's, and what that many bytes take on a link.
 func (c *Core) writePatience() time.Duration {
-	return c.timing.AnswerWait + c.writeBytesTime()
+	return c.timing.ReplyTimeout + c.writeBytesTime()
 }
 
 // writeBytesTime is what the bytes of the entry take to all backups over one link. An entry is not sent again before: it would only wait behind itself.
@@ -234,7 +234,7 @@
 // answerAllDeposed ends all calls of a member that is no longer primary: unclear if something was begun, else known not to be done.
 func (c *Core) answerAllDeposed() {
 	if c.write != nil && !c.write.answered {
-		c.answer(c.write.order.Token, Unclear, nil)
+		c.answer(c.write.order.Token, Indeterminate, nil)
 	}
 	c.write = nil
 	for _, order := range c.orders {
@@ -253,13 +253,13 @@
 // Invariant: the index and the digest of what precedes an entry are compared, so that a gap, a repeat and a fork are three different answers and none of them changes what is held.
 func (c *Core) onAppend(m Append) {
 	reply := AppendReply{Envelope: c.back(m), Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index}
-	reply.Refusal, reply.Held = c.checkAppend(m.Entry)
-	if reply.Refusal != Granted || reply.Held.Index >= m.Entry.Index {
+	reply.Rejection, reply.DiskPosition = c.checkAppend(m.Entry)
+	if reply.Rejection != Granted || reply.DiskPosition.Index >= m.Entry.Index {
 		reply.View = c.newerThan(m.Entry.Epoch)
 		c.send(reply)
 		return
 	}
-	reply.Held = m.Entry.Position()
+	reply.DiskPosition = m.Entry.Position()
 	if c.mutation == mutation.SkipSync {
 		c.send(reply)
 	}
@@ -267,13 +267,13 @@
 }
 
 // checkAppend tells whether an entry is the next one. Granted with a position at or past the entry means that it is on disk already: the position is the entry's.
-func (c *Core) checkAppend(entry Entry) (Refusal, Position) {
+func (c *Core) checkAppend(entry Entry) (Rejection, Position) {
 	held := c.state.position
 	switch {
 	case c.state.joined == StateTag{} || c.state.joined != entry.Tag():
 		return NotJoined, held
 	case c.disk.stalled:
-		return Unfit, held
+		return Unavailable, held
 	case entry.Index <= held.Index:
 		return c.checkRepeat(entry)
 	case c.disk.changesState():
@@ -281,15 +281,15 @@
 	case c.state.broken:
 		return DiskFailed, held
 	case entry.Index > held.Index+1:
-		return Gap, held
+		return MissingEntries, held
 	case !entry.Follows(held):
-		return Fork, held
+		return DivergedHistory, held
 	}
 	return Granted, held
 }
 
 // checkRepeat acknowledges an entry again that is on disk.
-func (c *Core) checkRepeat(entry Entry) (Refusal, Position) {
+func (c *Core) checkRepeat(entry Entry) (Rejection, Position) {
 	position := entry.Position()
 	if position == c.state.position {
 		return Granted, position
@@ -301,9 +301,9 @@
 		if other.Position() == position {
 			return Granted, position
 		}
-		return Fork, c.state.position
+		return DivergedHistory, c.state.position
 	}
-	return Repeat, c.state.position
+	return DuplicateEntry, c.state.position
 }
 
 // backupAppendDone acknowledges an entry that is on disk.
@@ -312,17 +312,17 @@
 	if err != nil {
 		c.state.broken = true
 		c.state.joined = StateTag{} // what the disk holds is in doubt: the state must be given again
-		reply.Refusal = DiskFailed
-		reply.Held = c.state.position
+		reply.Rejection = DiskFailed
+		reply.DiskPosition = c.state.position
 		c.send(reply)
 		return
 	}
-	c.state.add(job.entry, c.limits.RecentBytes)
+	c.state.add(job.entry, c.limits.EntryCacheBytes)
 	c.state.logBytes += len(job.entry.Data)
 	c.applyTail()
 	c.trim()
 	if c.state.joined != job.entry.Tag() {
-		reply.Refusal = NotJoined
+		reply.Rejection = NotJoined
 	}
 	c.send(reply)
 }
--- a/coord/replication/decode.go
+++ b/coord/replication/decode.go
@@ -144,70 +144,70 @@
 		var t fb.AcceptReply
 		t.Init(body.Bytes, body.Pos)
 		return core.AcceptReply{
-			Envelope: envelope,
-			Epoch:    core.Epoch(t.Epoch()),
-			Ballot:   core.Ballot(t.Ballot()),
-			Refusal:  core.Refusal(t.Refusal()),
-			Promised: core.Ballot(t.Promised()),
-			View:     d.view(t.View(nil)),
+			Envelope:  envelope,
+			Epoch:     core.Epoch(t.Epoch()),
+			Ballot:    core.Ballot(t.Ballot()),
+			Rejection: core.Rejection(t.Refusal()),
+			Promised:  core.Ballot(t.Promised()),
+			View:      d.view(t.View(nil)),
 		}
 	case fb.BodyInstallReply:
 		var t fb.InstallReply
 		t.Init(body.Bytes, body.Pos)
 		return core.InstallReply{
-			Envelope: envelope,
-			Epoch:    core.Epoch(t.Epoch()),
-			Ballot:   core.Ballot(t.Ballot()),
-			Refusal:  core.Refusal(t.Refusal()),
-			View:     d.view(t.View(nil)),
+			Envelope:  envelope,
+			Epoch:     core.Epoch(t.Epoch()),
+			Ballot:    core.Ballot(t.Ballot()),
+			Rejection: core.Rejection(t.Refusal()),
+			View:      d.view(t.View(nil)),
 		}
 	case fb.BodyConfirmReply:
 		var t fb.ConfirmReply
 		t.Init(body.Bytes, body.Pos)
 		return core.ConfirmReply{
-			Envelope: envelope,
-			Epoch:    core.Epoch(t.Epoch()),
-			Ballot:   core.Ballot(t.Ballot()),
-			Round:    t.Round(),
-			Refusal:  core.Refusal(t.Refusal()),
-			View:     d.view(t.View(nil)),
+			Envelope:  envelope,
+			Epoch:     core.Epoch(t.Epoch()),
+			Ballot:    core.Ballot(t.Ballot()),
+			Round:     t.Round(),
+			Rejection: core.Rejection(t.Refusal()),
+			View:      d.view(t.View(nil)),
 		}
 	case fb.BodyYieldReply:
 		var t fb.YieldReply
 		t.Init(body.Bytes, body.Pos)
-		return core.YieldReply{Envelope: envelope, Epoch: core.Epoch(t.Epoch()), Refusal: core.Refusal(t.Refusal())}
+		return core.YieldReply{Envelope: envelope, Epoch: core.Epoch(t.Epoch()), Rejection: core.Rejection(t.Refusal())}
 	case fb.BodyLeaveRequestReply:
 		var t fb.LeaveRequestReply
 		t.Init(body.Bytes, body.Pos)
-		return core.LeaveRequestReply{Envelope: envelope, Refusal: core.Refusal(t.Refusal()), View: d.view(t.View(nil))}
+		return core.LeaveRequestReply{Envelope: envelope, Rejection: core.Rejection(t.Refusal()), View: d.view(t.View(nil))}
 	}
 	return nil
 }
 
 func (d *decoder) snapshotPart(t *fb.SnapshotPart, envelope core.Envelope) core.Message {
-	return core.SnapshotPart{
-		Envelope: envelope,
-		Tag:      d.tag(t.Tag(nil)),
-		Base:     d.view(t.Base(nil)),
-		Since:    d.position(t.Since(nil)),
-		Position: d.position(t.Position(nil)),
-		Size:     t.Size(),
-		Stream:   core.Digest(t.Stream()),
-		Offset:   t.Offset(),
-		Data:     t.DataBytes(),
+	return core.SnapshotChunk{
+		Envelope:     envelope,
+		Tag:          d.tag(t.Tag(nil)),
+		Base:         d.view(t.Base(nil)),
+		Since:        d.position(t.Since(nil)),
+		Position:     d.position(t.Position(nil)),
+		Size:         t.Size(),
+		StreamDigest: core.Digest(t.Stream()),
+		Offset:       t.Offset(),
+		Data:         t.DataBytes(),
 	}
 }
 
 func (d *decoder) snapshotPartReply(t *fb.SnapshotPartReply, envelope core.Envelope) core.Message {
-	return core.SnapshotPartReply{
-		Envelope: envelope,
-		Tag:      d.tag(t.Tag(nil)),
-		Stream:   core.Digest(t.Stream()),
-		Received: t.Received(),
-		Complete: t.Complete(),
-		Refusal:  core.Refusal(t.Refusal()),
-		Held:     d.position(t.Held(nil)),
-		View:     d.view(t.View(nil)),
+	return core.SnapshotChunkReply{
+		Envelope:     envelope,
+		Tag:          d.tag(t.Tag(nil)),
+		StreamDigest: core.Digest(t.Stream()),
+		Received:     t.Received(),
+		Complete:     t.Complete(),
+		Rejection:    core.Rejection(t.Refusal()),
+		DiskPosition: d.position(t.Held(nil)),
+		View:         d.view(t.View(nil)),
 	}
 }
 
@@ -216,7 +216,7 @@
 		Envelope:       envelope,
 		Epoch:          core.Epoch(t.Epoch()),
 		Ballot:         core.Ballot(t.Ballot()),
-		Refusal:        core.Refusal(t.Refusal()),
+		Rejection:      core.Rejection(t.Refusal()),
 		Promised:       core.Ballot(t.Promised()),
 		AcceptedBallot: core.Ballot(t.AcceptedBallot()),
 		Accepted:       d.view(t.Accepted(nil)),
@@ -227,13 +227,13 @@
 
 func (d *decoder) appendReply(t *fb.AppendReply, envelope core.Envelope) core.Message {
 	return core.AppendReply{
-		Envelope: envelope,
-		Epoch:    core.Epoch(t.Epoch()),
-		Ballot:   core.Ballot(t.Ballot()),
-		Index:    core.Index(t.Index()),
-		Refusal:  core.Refusal(t.Refusal()),
-		Held:     d.position(t.Held(nil)),
-		View:     d.view(t.View(nil)),
+		Envelope:     envelope,
+		Epoch:        core.Epoch(t.Epoch()),
+		Ballot:       core.Ballot(t.Ballot()),
+		Index:        core.Index(t.Index()),
+		Rejection:    core.Rejection(t.Refusal()),
+		DiskPosition: d.position(t.Held(nil)),
+		View:         d.view(t.View(nil)),
 	}
 }
 
@@ -286,11 +286,11 @@
 		return core.Status{}
 	}
 	return core.Status{
-		Fit:       t.Fit(),
-		Relay:     t.Relay(),
-		Leaving:   t.Leaving(),
-		FirstDisk: t.FirstDisk(),
-		Position:  d.position(t.Position(nil)),
+		Writable:      t.Fit(),
+		Relay:         t.Relay(),
+		Leaving:       t.Leaving(),
+		BootstrapDisk: t.FirstDisk(),
+		Position:      d.position(t.Position(nil)),
 	}
 }
 
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -73,13 +73,13 @@
 func (w *diskWorker) describe(job core.Effect) (core.Token, time.Duration) {
 	switch job := job.(type) {
 	case core.SaveRegister:
-		return job.Token, w.timing.DiskWait
+		return job.Token, w.timing.DiskTimeout
 	case core.AppendEntry:
-		return job.Token, w.timing.DiskWait
+		return job.Token, w.timing.DiskTimeout
 	case core.SaveSnapshot:
-		return job.Token, w.timing.SnapshotWait
+		return job.Token, w.timing.SnapshotTimeout
 	}
-	return 0, w.timing.DiskWait
+	return 0, w.timing.DiskTimeout
 }
 
 func (w *diskWorker) save(job core.Effect) error {
--- a/coord/replication/encode.go
+++ b/coord/replication/encode.go
@@ -26,7 +26,7 @@
 
 func dataSize(message core.Message) int {
 	switch m := message.(type) {
-	case core.SnapshotPart:
+	case core.SnapshotChunk:
 		return len(m.Data)
 	case core.Append:
 		return len(m.Entry.Data)
@@ -57,14 +57,14 @@
 		}}
 	case core.Install:
 		return &fb.BodyT{Type: fb.BodyInstall, Value: &fb.InstallT{View: viewTable(&m.View)}}
-	case core.SnapshotPart:
+	case core.SnapshotChunk:
 		return &fb.BodyT{Type: fb.BodySnapshotPart, Value: &fb.SnapshotPartT{
 			Tag:      tagTable(m.Tag),
 			Base:     viewTable(m.Base),
 			Since:    positionTable(m.Since),
 			Position: positionTable(m.Position),
 			Size:     m.Size,
-			Stream:   uint64(m.Stream),
+			Stream:   uint64(m.StreamDigest),
 			Offset:   m.Offset,
 			Data:     m.Data,
 		}}
@@ -101,7 +101,7 @@
 		return &fb.BodyT{Type: fb.BodyAcceptReply, Value: &fb.AcceptReplyT{
 			Epoch:    uint64(m.Epoch),
 			Ballot:   uint64(m.Ballot),
-			Refusal:  byte(m.Refusal),
+			Refusal:  byte(m.Rejection),
 			Promised: uint64(m.Promised),
 			View:     viewTable(m.View),
 		}}
@@ -109,10 +109,10 @@
 		return &fb.BodyT{Type: fb.BodyInstallReply, Value: &fb.InstallReplyT{
 			Epoch:   uint64(m.Epoch),
 			Ballot:  uint64(m.Ballot),
-			Refusal: byte(m.Refusal),
+			Refusal: byte(m.Rejection),
 			View:    viewTable(m.View),
 		}}
-	case core.SnapshotPartReply:
+	case core.SnapshotChunkReply:
 		return &fb.BodyT{Type: fb.BodySnapshotPartReply, Value: snapshotPartReplyTable(m)}
 	case core.AppendReply:
 		return &fb.BodyT{Type: fb.BodyAppendReply, Value: appendReplyTable(m)}
@@ -121,13 +121,13 @@
 			Epoch:   uint64(m.Epoch),
 			Ballot:  uint64(m.Ballot),
 			Round:   m.Round,
-			Refusal: byte(m.Refusal),
+			Refusal: byte(m.Rejection),
 			View:    viewTable(m.View),
 		}}
 	case core.YieldReply:
-		return &fb.BodyT{Type: fb.BodyYieldReply, Value: &fb.YieldReplyT{Epoch: uint64(m.Epoch), Refusal: byte(m.Refusal)}}
+		return &fb.BodyT{Type: fb.BodyYieldReply, Value: &fb.YieldReplyT{Epoch: uint64(m.Epoch), Refusal: byte(m.Rejection)}}
 	case core.LeaveRequestReply:
-		return &fb.BodyT{Type: fb.BodyLeaveRequestReply, Value: &fb.LeaveRequestReplyT{Refusal: byte(m.Refusal), View: viewTable(m.View)}}
+		return &fb.BodyT{Type: fb.BodyLeaveRequestReply, Value: &fb.LeaveRequestReplyT{Refusal: byte(m.Rejection), View: viewTable(m.View)}}
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 	return &fb.PrepareReplyT{
 		Epoch:          uint64(m.Epoch),
 		Ballot:         uint64(m.Ballot),
-		Refusal:        byte(m.Refusal),
+		Refusal:        byte(m.Rejection),
 		Promised:       uint64(m.Promised),
 		AcceptedBallot: uint64(m.AcceptedBallot),
 		Accepted:       viewTable(m.Accepted),
@@ -145,14 +145,14 @@
 	}
 }
 
-func snapshotPartReplyTable(m core.SnapshotPartReply) *fb.SnapshotPartReplyT {
+func snapshotPartReplyTable(m core.SnapshotChunkReply) *fb.SnapshotPartReplyT {
 	return &fb.SnapshotPartReplyT{
 		Tag:      tagTable(m.Tag),
-		Stream:   uint64(m.Stream),
+		Stream:   uint64(m.StreamDigest),
 		Received: m.Received,
 		Complete: m.Complete,
-		Refusal:  byte(m.Refusal),
-		Held:     positionTable(m.Held),
+		Refusal:  byte(m.Rejection),
+		Held:     positionTable(m.DiskPosition),
 		View:     viewTable(m.View),
 	}
 }
@@ -162,8 +162,8 @@
 		Epoch:   uint64(m.Epoch),
 		Ballot:  uint64(m.Ballot),
 		Index:   uint64(m.Index),
-		Refusal: byte(m.Refusal),
-		Held:    positionTable(m.Held),
+		Refusal: byte(m.Rejection),
+		Held:    positionTable(m.DiskPosition),
 		View:    viewTable(m.View),
 	}
 }
@@ -189,7 +189,7 @@
 }
 
 func statusTable(s core.Status) *fb.StatusT {
-	return &fb.StatusT{Fit: s.Fit, Relay: s.Relay, Leaving: s.Leaving, FirstDisk: s.FirstDisk, Position: positionTable(s.Position)}
+	return &fb.StatusT{Fit: s.Writable, Relay: s.Relay, Leaving: s.Leaving, FirstDisk: s.BootstrapDisk, Position: positionTable(s.Position)}
 }
 
 func viewTable(v *core.View) *fb.ViewT {
--- a/coord/replication/figures_test.go
+++ b/coord/replication/figures_test.go
@@ -116,7 +116,7 @@
 	require.Equal(t, backup, member)
 	lost := time.Now()
 	f.stop(other)
-	for index(f.m[leader].View().Copies(), f.m[member].self.ID) < 0 {
+	for index(f.m[leader].View().Replicas(), f.m[member].self.ID) < 0 {
 		f.order(t)
 	}
 	sent, _ := f.stateSent(member)
--- a/coord/replication/hall_test.go
+++ b/coord/replication/hall_test.go
@@ -40,7 +40,7 @@
 func (m *memory) Load() core.Stored {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return core.Stored{Register: m.register, Snapshot: m.snapshot, Entries: slices.Clone(m.entries), TailIsOpen: m.snapshot != nil}
+	return core.Stored{Register: m.register, Snapshot: m.snapshot, Entries: slices.Clone(m.entries), Appendable: m.snapshot != nil}
 }
 
 func (m *memory) SaveRegister(r core.Register) error {
--- a/coord/replication/loss_judge_test.go
+++ b/coord/replication/loss_judge_test.go
@@ -73,10 +73,10 @@
 		}
 	}
 	copies, witnesses := r.crowd.losses+1, 2*r.crowd.losses+1
-	if len(view.Copies()) < min(copies, running) {
-		r.fail("%d copies", len(view.Copies()))
+	if len(view.Replicas()) < min(copies, running) {
+		r.fail("%d copies", len(view.Replicas()))
 	}
-	r.areThere(view.Copies(), "copy")
+	r.areThere(view.Replicas(), "copy")
 	if running < witnesses {
 		return
 	}
@@ -98,7 +98,7 @@
 func (r *lossRun) lastLosses() {
 	view := r.view()
 	var members []int
-	for _, m := range view.Copies() {
+	for _, m := range view.Replicas() {
 		members = append(members, r.at(m))
 	}
 	r.mu.Lock()
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -199,7 +199,7 @@
 		return "none"
 	}
 	var copies, witnesses []string
-	for _, m := range view.Copies() {
+	for _, m := range view.Replicas() {
 		copies = append(copies, m.Address)
 	}
 	for _, m := range view.Witnesses {
--- a/coord/replication/loss_scenarios_test.go
+++ b/coord/replication/loss_scenarios_test.go
@@ -45,7 +45,7 @@
 func onlyWitness(r *lossRun) int {
 	view := r.view()
 	for _, w := range view.Witnesses {
-		if index(view.Copies(), w.ID) < 0 {
+		if index(view.Replicas(), w.ID) < 0 {
 			return r.at(w)
 		}
 	}
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -57,7 +57,7 @@
 	}
 	m.disk = newDiskWorker(m.scope, config.Store, m.timing, m.post)
 	err := m.load()
-	if errors.Is(err, core.ErrDamaged) {
+	if errors.Is(err, core.ErrCorrupt) {
 		err = m.startOver(err)
 	}
 	if err != nil {
@@ -72,17 +72,17 @@
 	id, firstStart := m.config.Store.Identity()
 	m.self = core.Member{ID: core.MemberID(id), Address: m.config.Address, Zone: m.config.Zone}
 	loaded, err := core.New(core.Config{
-		Self:       m.self,
-		Seeds:      m.config.Seeds,
-		FirstSeeds: m.config.Store.FirstSeeds(),
-		Losses:     m.config.Losses,
-		Areas:      m.config.Areas,
-		Area:       m.config.Area,
-		Relay:      m.config.Relay,
-		Bootstrap:  firstStart,
-		Machine:    machineAdapter{m.config.Machine},
-		Timing:     m.timing,
-		Limits:     core.DefaultLimits(),
+		Self:              m.self,
+		Seeds:             m.config.Seeds,
+		BootstrapSeeds:    m.config.Store.FirstSeeds(),
+		MaxFailures:       m.config.Losses,
+		MaxDomainFailures: m.config.Areas,
+		FailureDomain:     m.config.Area,
+		Relay:             m.config.Relay,
+		Bootstrap:         firstStart,
+		StateMachine:      machineAdapter{m.config.Machine},
+		Timing:            m.timing,
+		Limits:            core.DefaultLimits(),
 	}, m.config.Store.Load())
 	m.core = loaded
 	return err
@@ -144,8 +144,9 @@
 func (m *Member) publish() {
 	old := m.status.Load()
 	next := status{view: old.view}
-	next.epoch, next.active = m.core.Active()
-	next.primary, next.heardAt = m.core.LastHeard()
+	next.epoch, next.active = m.core.PrimaryEpoch()
+	contact := m.core.LastPrimaryContact()
+	next.primary, next.heardAt = contact.Primary, contact.At
 	if known := m.core.KnownEpoch(); known > 0 && (old.view == nil || old.view.Epoch != known) {
 		next.view = m.core.View()
 	}
@@ -160,13 +161,13 @@
 		m.config.Transport.Send(effect.Address, effect.Message)
 	case core.SaveRegister, core.SaveSnapshot, core.AppendEntry:
 		m.disk.add(effect)
-	case core.Answer:
+	case core.Result:
 		m.calls.answer(effect)
 	case core.BecamePrimary:
 		if m.config.OnActive != nil {
 			m.config.OnActive(uint64(effect.Epoch))
 		}
-	case core.StoppedBeingPrimary:
+	case core.SteppedDown:
 		if m.config.OnIdle != nil {
 			m.config.OnIdle()
 		}
@@ -176,7 +177,7 @@
 		default:
 		}
 	case core.Log:
-		m.scope.Log().LogAttrs(m.scope.Context(), effect.Level, effect.Text, effect.Attributes...)
+		m.scope.Log().LogAttrs(m.scope.Context(), effect.Level, effect.Message, effect.Attributes...)
 	}
 }
 
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -149,12 +149,12 @@
 			Envelope: core.Envelope{From: tr.m[p].self, To: view.Backups[0].ID, ToAddress: view.Backups[0].Address},
 			Entry:    tr.nextEntry(b, view, "x"),
 		}
-		require.Equal(t, core.Granted, tr.sendAppend(t, tr.m[b], question).Refusal)
+		require.Equal(t, core.Granted, tr.sendAppend(t, tr.m[b], question).Rejection)
 		tr.stop(b)
 		tr.start(b)
-		require.Equal(t, core.NotJoined, tr.sendAppend(t, tr.m[b], question).Refusal, "the same disk, but another life")
+		require.Equal(t, core.NotJoined, tr.sendAppend(t, tr.m[b], question).Rejection, "the same disk, but another life")
 		question.To = 99
-		require.Equal(t, core.OtherDisk, tr.sendAppend(t, tr.m[b], question).Refusal, "meant for a disk that is gone")
+		require.Equal(t, core.WrongDisk, tr.sendAppend(t, tr.m[b], question).Rejection, "meant for a disk that is gone")
 	})
 }
 
@@ -193,7 +193,7 @@
 		m := tr.m[0]
 		m.Receive(core.HelloReply{
 			Envelope: core.Envelope{From: tr.m[1].self, To: m.self.ID, ToAddress: "m0"},
-			Status:   core.Status{Fit: true},
+			Status:   core.Status{Writable: true},
 			Members:  []core.Member{{ID: 5, Address: "m1"}, {ID: 6, Address: "m0"}, {ID: 7, Address: "new"}},
 		})
 		synctest.Wait()
@@ -334,7 +334,7 @@
 	require.EqualValues(t, 8, m.Self().ID)
 	helpless := &memory{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
 	_, err = New(sc, Config{Address: "a", Store: helpless, Machine: &lines{}, Transport: newHall()})
-	require.ErrorIs(t, err, core.ErrDamaged, "its store can't start over")
+	require.ErrorIs(t, err, core.ErrCorrupt, "its store can't start over")
 }
 
 func ExampleMember_Propose() {
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -51,17 +51,17 @@
 		defer c.end()
 		p := c.primary()
 		require.NoError(t, c.propose(p, "first"))
-		require.Len(t, c.m[p].View().Copies(), 3)
+		require.Len(t, c.m[p].View().Replicas(), 3)
 		b := c.at(c.m[p].View().Backups[1])
 		c.st[b].full.Store(true)
 		require.NoError(t, c.propose(p, "second"))
-		require.Len(t, c.m[p].View().Copies(), 2)
+		require.Len(t, c.m[p].View().Replicas(), 2)
 		e := c.m[p].View().Epoch
 		time.Sleep(10 * time.Second)
 		require.LessOrEqual(t, c.m[p].View().Epoch-e, core.Epoch(6))
 		c.st[b].full.Store(false)
 		time.Sleep(4 * time.Second)
-		require.Len(t, c.m[p].View().Copies(), 3)
+		require.Len(t, c.m[p].View().Replicas(), 3)
 		c.holds(t, "first;second;")
 	})
 }
@@ -78,7 +78,7 @@
 			switch m.(type) {
 			case core.Append:
 				return address == backups[1].Address
-			case core.SnapshotPart: // only the old primary and one backup give the state to each other
+			case core.SnapshotChunk: // only the old primary and one backup give the state to each other
 				pair := []string{backups[0].Address, c.m[p].self.Address}
 				return !slices.Contains(pair, address) || !slices.Contains(pair, m.Route().From.Address)
 			}
@@ -116,7 +116,7 @@
 				return mine
 			case core.Prepare:
 				return !mine
-			case core.SnapshotPart:
+			case core.SnapshotChunk:
 				return address == view.Primary.Address
 			}
 			return false
@@ -126,7 +126,7 @@
 			_, ok := m.(core.YieldReply)
 			return ok
 		})
-		require.Equal(t, core.Granted, answer.(core.YieldReply).Refusal)
+		require.Equal(t, core.Granted, answer.(core.YieldReply).Rejection)
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
 			if tried.Load() {
@@ -136,7 +136,7 @@
 		require.True(t, tried.Load())
 		require.Equal(t, view.Epoch, c.m[b].View().Epoch)
 		entry := core.Append{Envelope: envelope, Entry: c.nextEntry(b, view, "x")}
-		require.Equal(t, core.NotJoined, c.sendAppend(t, c.m[b], entry).Refusal)
+		require.Equal(t, core.NotJoined, c.sendAppend(t, c.m[b], entry).Rejection)
 	})
 }
 
@@ -156,23 +156,23 @@
 		view := c.m[p].View()
 		m := c.m[c.at(view.Backups[0])]
 		stream := wholeState("x")
-		give := func(round uint64) core.Refusal {
-			question := core.SnapshotPart{
-				Envelope: core.Envelope{From: view.Primary, To: m.self.ID, ToAddress: m.self.Address},
-				Tag:      core.StateTag{Epoch: view.Epoch + 1, Ballot: core.Ballot(round << 40)},
-				Base:     view,
-				Size:     int64(len(stream)),
-				Stream:   core.Digest(xxhash.Sum64(stream)),
-				Data:     stream,
+		give := func(round uint64) core.Rejection {
+			question := core.SnapshotChunk{
+				Envelope:     core.Envelope{From: view.Primary, To: m.self.ID, ToAddress: m.self.Address},
+				Tag:          core.StateTag{Epoch: view.Epoch + 1, Ballot: core.Ballot(round << 40)},
+				Base:         view,
+				Size:         int64(len(stream)),
+				StreamDigest: core.Digest(xxhash.Sum64(stream)),
+				Data:         stream,
 			}
 			answer := c.ask(t, m, question, func(a core.Message) bool {
-				reply, ok := a.(core.SnapshotPartReply)
-				return ok && reply.Tag == question.Tag && (reply.Complete || reply.Refusal != core.Granted)
+				reply, ok := a.(core.SnapshotChunkReply)
+				return ok && reply.Tag == question.Tag && (reply.Complete || reply.Rejection != core.Granted)
 			})
-			return answer.(core.SnapshotPartReply).Refusal
+			return answer.(core.SnapshotChunkReply).Rejection
 		}
 		require.Equal(t, core.Granted, give(900))
-		require.Equal(t, core.Promised, give(899))
+		require.Equal(t, core.HigherPromise, give(899))
 		require.Equal(t, core.Granted, give(901))
 	})
 }
@@ -218,7 +218,7 @@
 		c.stop(c.at(c.m[p].View().Backups[0]))
 		time.Sleep(6 * time.Second)
 		view := c.m[c.primary()].View()
-		require.Negative(t, index(append(view.Copies(), view.Witnesses...), m.self.ID))
+		require.Negative(t, index(append(view.Replicas(), view.Witnesses...), m.self.ID))
 		c.relayRefuses(t, m, view)
 	})
 }
@@ -229,21 +229,21 @@
 	to := core.Envelope{From: view.Primary, To: m.self.ID, ToAddress: m.self.Address}
 	next := *view
 	next.Epoch++
-	refusal := func(question core.Message) (reason core.Refusal) {
+	refusal := func(question core.Message) (reason core.Rejection) {
 		t.ask(tt, m, question, func(a core.Message) bool {
 			switch a := a.(type) {
 			case core.PrepareReply:
-				reason = a.Refusal
+				reason = a.Rejection
 			case core.AcceptReply:
-				reason = a.Refusal
+				reason = a.Rejection
 			case core.InstallReply:
-				reason = a.Refusal
-			case core.SnapshotPartReply:
-				reason = a.Refusal
+				reason = a.Rejection
+			case core.SnapshotChunkReply:
+				reason = a.Rejection
 			case core.AppendReply:
-				reason = a.Refusal
+				reason = a.Rejection
 			case core.ConfirmReply:
-				reason = a.Refusal
+				reason = a.Rejection
 			default:
 				return false
 			}
@@ -254,7 +254,7 @@
 	require.Equal(tt, core.NoDisk, refusal(core.Prepare{Envelope: to, Base: *view, Ballot: 9 << 40}))
 	require.Equal(tt, core.NoDisk, refusal(core.Accept{Envelope: to, Base: *view, Ballot: 9 << 40, Proposal: next}))
 	require.Equal(tt, core.NoDisk, refusal(core.Install{Envelope: to, View: next}))
-	require.Equal(tt, core.NoDisk, refusal(core.SnapshotPart{Envelope: to, Tag: next.Tag(), Base: view}))
+	require.Equal(tt, core.NoDisk, refusal(core.SnapshotChunk{Envelope: to, Tag: next.Tag(), Base: view}))
 	require.Equal(tt, core.NoDisk, refusal(core.Append{Envelope: to, Entry: core.Entry{Index: 1, Epoch: view.Epoch, Ballot: view.Ballot}}))
 	require.Equal(tt, core.NoDisk, refusal(core.Confirm{Envelope: to, Epoch: view.Epoch, Ballot: view.Ballot, Round: 1}))
 }
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -34,7 +34,7 @@
 	if s.active {
 		return m.Self(), true
 	}
-	if s.primary.ID != 0 && m.now()-s.heardAt < m.timing.PrimaryLost {
+	if s.primary.ID != 0 && m.now()-s.heardAt < m.timing.PrimaryTimeout {
 		return seat(s.primary), true
 	}
 	return rpc.Member{}, false
@@ -96,15 +96,15 @@
 	return State{
 		Self:         memberState(s.Self),
 		Relay:        s.Relay,
-		LossesBorne:  s.LossesBorne,
-		LossesWanted: s.LossesWanted,
+		LossesBorne:  s.FailuresTolerated,
+		LossesWanted: s.MaxFailures,
 		View:         viewState(s.View),
-		Active:       s.Active,
+		Active:       s.IsPrimary,
 		Joined:       s.Joined,
-		Stalled:      s.Stalled,
+		Stalled:      s.DiskStalled,
 		Leaving:      s.Leaving,
 		Index:        uint64(s.Position.Index),
-		HeardAgoMs:   int64(s.LastHeard / time.Millisecond),
+		HeardAgoMs:   int64(s.SincePrimaryContact / time.Millisecond),
 		Members:      memberStates(s.Members),
 	}
 }
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -228,6 +228,6 @@
 	p := c.primary()
 	require.GreaterOrEqual(s.t, p, 0, "nobody is primary")
 	require.True(s.t, s.judge(c.m[p], c.l[p], c.lf[p]))
-	require.Len(s.t, c.m[p].View().Copies(), c.losses+1)
+	require.Len(s.t, c.m[p].View().Replicas(), c.losses+1)
 	require.Len(s.t, c.m[p].View().Witnesses, 2*c.losses+1)
 }
--- a/coord/replication/second_loss_test.go
+++ b/coord/replication/second_loss_test.go
@@ -103,7 +103,7 @@
 					require.GreaterOrEqual(t, p, 0, "nobody is primary")
 					require.NoError(t, c.propose(p, "first"))
 					c.witnessesAreWell(t, c.m[p].View())
-					require.Len(t, c.m[p].View().Copies(), 2)
+					require.Len(t, c.m[p].View().Replicas(), 2)
 				})
 			})
 		}
--- a/coord/replication/settings_test.go
+++ b/coord/replication/settings_test.go
@@ -100,7 +100,7 @@
 	partBytes map[string]int           // of state sent, by the address it is sent to
 	received  []int64                  // of the streams, as watched tells it
 	watched   string                   // address
-	onPart    func(address string, part core.SnapshotPart)
+	onPart    func(address string, part core.SnapshotChunk)
 
 	change  uint64 // the last one that was acknowledged
 	longest time.Duration
@@ -137,22 +137,22 @@
 	f.mu.Lock()
 	onPart := f.onPart
 	switch message := message.(type) {
-	case core.SnapshotPart:
+	case core.SnapshotChunk:
 		f.partBytes[address] += len(message.Data)
-	case core.SnapshotPartReply:
-		if message.From.Address == f.watched && !message.Complete && message.Refusal == core.Granted {
+	case core.SnapshotChunkReply:
+		if message.From.Address == f.watched && !message.Complete && message.Rejection == core.Granted {
 			f.received = append(f.received, message.Received)
 		}
 	}
 	f.mu.Unlock()
-	if part, ok := message.(core.SnapshotPart); ok && onPart != nil {
+	if part, ok := message.(core.SnapshotChunk); ok && onPart != nil {
 		onPart(address, part)
 	}
 	return false
 }
 
 // watchParts begins the count of state sent anew. onPart, if any, is called for each part before it goes out.
-func (f *fleet) watchParts(receiver int, onPart func(address string, part core.SnapshotPart)) {
+func (f *fleet) watchParts(receiver int, onPart func(address string, part core.SnapshotChunk)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.partBytes = map[string]int{}
@@ -269,7 +269,7 @@
 	require.GreaterOrEqual(t, p, 0)
 	want := f.settings[p].Checkpoint()
 	require.Equal(t, f.change, f.settings[p].lastChange())
-	for _, member := range f.m[p].View().Copies() {
+	for _, member := range f.m[p].View().Replicas() {
 		i := f.at(member)
 		require.True(t, slices.Equal(want, f.settings[i].Checkpoint()), "copy m%d differs", i)
 		require.NoError(t, f.settings[i].err)
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -63,7 +63,7 @@
 		}
 		require.Len(t, s.Load().Entries, kept, "cut at byte %d", size)
 		require.Equal(t, size-end, s.Cut())
-		require.True(t, s.Load().TailIsOpen)
+		require.True(t, s.Load().Appendable)
 		require.NoError(t, s.Append(startEntries[kept]), "the log goes on after the last whole entry")
 		require.Len(t, open(t, dir).Load().Entries, kept+1)
 	}
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -97,8 +97,8 @@
 	if !containsEqual(h.states, found) {
 		return errors.Newf("state %s is none of %s", describe(found), describe(h.states...))
 	}
-	if !h.diskFails && loaded.TailIsOpen != (found.Snapshot != nil) {
-		return errors.Newf("tail is open: %v", loaded.TailIsOpen)
+	if !h.diskFails && loaded.Appendable != (found.Snapshot != nil) {
+		return errors.Newf("tail is open: %v", loaded.Appendable)
 	}
 	h.id = id
 	h.registers = []core.Register{loaded.Register}
--- a/coord/replication/store/state.go
+++ b/coord/replication/store/state.go
@@ -107,7 +107,7 @@
 	}
 	s.loaded.Snapshot = &snapshot
 	s.loaded.Entries = entries
-	s.loaded.TailIsOpen = s.log != nil
+	s.loaded.Appendable = s.log != nil
 	return nil
 }
 
--- a/coord/replication/store/store_test.go
+++ b/coord/replication/store/store_test.go
@@ -110,7 +110,7 @@
 		Register:   savedRegister,
 		Snapshot:   &startSnapshot,
 		Entries:    startEntries,
-		TailIsOpen: true,
+		Appendable: true,
 	}, second.Load())
 	more := follow(startEntries[3].Position(), "four")
 	require.NoError(t, second.Append(more[0]))
--- a/coord/replication/tolerance_test.go
+++ b/coord/replication/tolerance_test.go
@@ -42,9 +42,9 @@
 		p := c.primary()
 		require.NoError(t, c.propose(p, "first"))
 		ch := c.m[p].View()
-		require.Len(t, ch.Copies(), c.losses+1)
+		require.Len(t, ch.Replicas(), c.losses+1)
 		require.Len(t, ch.Witnesses, 2*c.losses+1)
-		require.Greater(t, len(c.places(ch.Copies())), 1, "the loss of a zone leaves a copy")
+		require.Greater(t, len(c.places(ch.Replicas())), 1, "the loss of a zone leaves a copy")
 		for z, n := range c.places(ch.Witnesses) {
 			require.LessOrEqual(t, n, c.losses, "the loss of zone %s leaves a majority", z)
 		}
@@ -109,7 +109,7 @@
 						time.Sleep(5 * time.Second)
 						p := c.holds(t, "first;")
 						require.NoError(t, c.propose(p, "second"))
-						require.Len(t, c.m[p].View().Copies(), c.losses+1)
+						require.Len(t, c.m[p].View().Replicas(), c.losses+1)
 						time.Sleep(3 * time.Second)
 						c.witnessesAreWell(t, c.m[p].View()) // lost ones were replaced
 					})
@@ -131,7 +131,7 @@
 		time.Sleep(4 * time.Second)
 		p := c.holds(t, "first;")
 		require.NoError(t, c.propose(p, "second"))
-		require.Len(t, c.m[p].View().Copies(), c.losses+1)
+		require.Len(t, c.m[p].View().Replicas(), c.losses+1)
 	})
 }
 
@@ -172,7 +172,7 @@
 				}
 				require.True(t, strings.HasPrefix(got, "first;"), got)
 				require.NoError(t, c.propose(q, "third"))
-				require.Len(t, c.m[q].View().Copies(), c.losses+1, "the missing copy was made up before the answer")
+				require.Len(t, c.m[q].View().Replicas(), c.losses+1, "the missing copy was made up before the answer")
 			})
 		})
 	}
@@ -180,7 +180,7 @@
 
 // TestALossAtEveryStepOfATakeover kills the primary, and the one that follows it when it sends a note of each kind: with two losses to bear the third copy ends it.
 func TestALossAtEveryStepOfATakeover(t *testing.T) {
-	for _, kind := range []core.Message{core.Prepare{}, core.SnapshotPart{}, core.Accept{}, core.Install{}} {
+	for _, kind := range []core.Message{core.Prepare{}, core.SnapshotChunk{}, core.Accept{}, core.Install{}} {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprint(kindOf(kind), after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -211,7 +211,7 @@
 					time.Sleep(6 * time.Second)
 					q := c.holds(t, "first;")
 					require.NoError(t, c.propose(q, "second"))
-					require.Len(t, c.m[q].View().Copies(), 3)
+					require.Len(t, c.m[q].View().Replicas(), 3)
 					require.True(t, c.sc[c.at(next)].Ended(), "it was killed on the way")
 					c.h.setDrop(nil)
 					if !isInstall {
@@ -236,7 +236,7 @@
 		q := c.holds(t, "first;")
 		require.NotEqual(t, p, q)
 		require.NoError(t, c.propose(q, "second"))
-		require.Negative(t, index(c.m[q].View().Copies(), c.m[p].self.ID))
+		require.Negative(t, index(c.m[q].View().Replicas(), c.m[p].self.ID))
 	})
 }
 
@@ -258,7 +258,7 @@
 				p := c.primary()
 				require.GreaterOrEqual(t, p, 0)
 				require.NoError(t, c.propose(p, "first"))
-				require.Len(t, c.m[p].View().Copies(), 3)
+				require.Len(t, c.m[p].View().Replicas(), 3)
 				require.Len(t, c.m[p].View().Witnesses, 5)
 			})
 		})
--- a/coord/replication/wire_test.go
+++ b/coord/replication/wire_test.go
@@ -16,7 +16,7 @@
 // everyMessage is one message of each type.
 var everyMessage = []core.Message{
 	core.Hello{}, core.HelloReply{}, core.Heartbeat{}, core.HeartbeatReply{}, core.Prepare{}, core.PrepareReply{},
-	core.Accept{}, core.AcceptReply{}, core.Install{}, core.InstallReply{}, core.SnapshotPart{}, core.SnapshotPartReply{},
+	core.Accept{}, core.AcceptReply{}, core.Install{}, core.InstallReply{}, core.SnapshotChunk{}, core.SnapshotChunkReply{},
 	core.Append{}, core.AppendReply{}, core.Confirm{}, core.ConfirmReply{}, core.Yield{}, core.YieldReply{},
 	core.LeaveRequest{}, core.LeaveRequestReply{},
 }
--- a/internal/sim/command_expect.go
+++ b/internal/sim/command_expect.go
@@ -164,7 +164,7 @@
 }
 
 func (s *Script) checkView(view *core.View, a args) error {
-	copies, witnesses := view.Copies(), view.Witnesses
+	copies, witnesses := view.Replicas(), view.Witnesses
 	if name := a.kv["none"]; name != "" {
 		unwanted := func(m core.Member) bool { return strings.HasPrefix(m.Address, s.w.process(name).ip+":") }
 		if slices.ContainsFunc(copies, unwanted) || slices.ContainsFunc(witnesses, unwanted) {
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -71,7 +71,7 @@
 		Register:   d.register,
 		Snapshot:   d.snapshot,
 		Entries:    slices.Clone(d.entries),
-		TailIsOpen: d.snapshot != nil,
+		Appendable: d.snapshot != nil,
 	}
 }
 
