--- /dev/null
+++ b/coord/lease/compatibility_test.go
@@ -0,0 +1,67 @@
+package lease
+
+import (
+	"errors"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/recordedtest"
+	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/clock"
+	"shaletrestle/internal/constants"
+	"shaletrestle/internal/task"
+)
+
+// recorder keeps what is asked and answers as one grantor does.
+type recorder struct {
+	grantor *Grantor
+	asked   []*rpc.Message
+	answers []*rpc.Message
+}
+
+func (r *recorder) Call(_ string, message *rpc.Message, _ clock.Duration) (*rpc.Message, error) {
+	message.Call = uint64(len(r.asked) + 1)
+	r.asked = append(r.asked, message)
+	answer := r.grantor.Handle(message)
+	r.answers = append(r.answers, answer)
+	if answer == nil {
+		return nil, errors.New("no answer")
+	}
+	return answer, nil
+}
+
+// TestLease_RecordedBytes_AskedAndAnsweredAsBefore holds the form of lease requests and answers between processes of
+// an earlier version and this one: what a holder sends, and what a grantor makes of it.
+func TestLease_RecordedBytes_AskedAndAnsweredAsBefore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		recording := recordedtest.Open(t, "testdata/messages.txt")
+		r := &recorder{grantor: NewGrantor()}
+		self := rpc.Member{ID: 0x3001, Address: "10.0.0.1:7720", Zone: "zone-1"}
+		grantors := func() []rpc.Member { return []rpc.Member{{ID: 0x3002, Address: "10.0.0.2:7720", Zone: "zone-2"}} }
+		wanted := true
+		holder := NewHolder(task.New(slog.New(slog.DiscardHandler)), "list", self, r, grantors, func() bool { return wanted }, nil)
+		holder.life = 0x3003 // drawn at random otherwise
+		require.False(t, holder.Renew(), "a grantor that has just started grants nothing")
+		time.Sleep(constants.LeaseSpan)
+		require.True(t, holder.Renew())
+		wanted = false
+		require.False(t, holder.Renew(), "given back")
+		names := []string{"too-early", "renewal", "give-back"}
+		require.Len(t, r.asked, len(names))
+		second := &Grantor{born: r.grantor.born, given: map[string]grant{}}
+		for i, name := range names {
+			request, err := rpc.Decode(recording.Same(name, r.asked[i].Encode()))
+			require.NoError(t, err)
+			require.Equal(t, r.asked[i], request)
+			answer := recording.Same(name+"-answer", r.answers[i].Encode())
+			if i > 0 { // the first came before the grantor was old enough
+				require.Equal(t, answer, second.Handle(request).Encode(), name)
+				require.Len(t, second.given, len(names)-1-i, name)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/coord/outlier/compatibility_test.go
@@ -0,0 +1,24 @@
+package outlier
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/recordedtest"
+)
+
+// TestReport_RecordedBytes_ReadAndWrittenAsBefore holds the form of the reports between processes.
+func TestReport_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
+	recording := recordedtest.Open(t, "testdata/reports.txt")
+	reports := []Report{
+		{ID: "replica-1", Node: 0xfedcba9876543210, Good: 1.25, Bad: 2.5},
+		{ID: "replica-2", Node: 1, Good: 0, Bad: 0.125},
+	}
+	written, err := json.Marshal(reports)
+	require.NoError(t, err)
+	var got []Report
+	require.NoError(t, json.Unmarshal(recording.Same("two", written), &got))
+	require.Equal(t, reports, got)
+}
--- /dev/null
+++ b/coord/replication/compatibility_test.go
@@ -0,0 +1,137 @@
+package replication
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/recordedtest"
+	"shaletrestle/coord/replication/core"
+)
+
+// numbered gives values that differ from all others it gave.
+type numbered struct{ last uint64 }
+
+func (n *numbered) next() uint64 {
+	n.last++
+	return 0x5000 + n.last
+}
+
+func (n *numbered) member() core.Member {
+	id := n.next()
+	return core.Member{ID: core.MemberID(id), Address: fmt.Sprintf("10.0.0.1:%d", id), Zone: fmt.Sprint("zone-", id)}
+}
+
+func (n *numbered) position() core.Position {
+	return core.Position{Index: core.Index(n.next()), Digest: core.Digest(n.next())}
+}
+
+func (n *numbered) view() core.View {
+	return core.View{
+		Epoch:     core.Epoch(n.next()),
+		Ballot:    core.Ballot(n.next()),
+		Witnesses: []core.Member{n.member(), n.member()},
+		Primary:   n.member(),
+		Backups:   []core.Member{n.member(), n.member()},
+		Base:      n.position(),
+	}
+}
+
+func (n *numbered) viewPointer() *core.View {
+	view := n.view()
+	return &view
+}
+
+func (n *numbered) envelope() core.Envelope {
+	return core.Envelope{From: n.member(), To: core.MemberID(n.next()), ToAddress: fmt.Sprint("10.0.0.2:", n.next())}
+}
+
+// status sets one flag of a status.
+func (n *numbered) status(flag int) core.Status {
+	return core.Status{Fit: flag == 0, Relay: flag == 1, Leaving: flag == 2, FirstDisk: flag == 3, Position: n.position()}
+}
+
+func (n *numbered) tag() core.StateTag {
+	return core.StateTag{Epoch: core.Epoch(n.next()), Ballot: core.Ballot(n.next())}
+}
+
+func (n *numbered) epoch() core.Epoch   { return core.Epoch(n.next()) }
+func (n *numbered) ballot() core.Ballot { return core.Ballot(n.next()) }
+
+// recordedMessages are messages of each type with all their fields set.
+func recordedMessages() []core.Message {
+	n := &numbered{}
+	entry := core.Entry{Index: core.Index(n.next()), Epoch: n.epoch(), Ballot: n.ballot(), Previous: core.Digest(n.next()), Data: []byte("entry")}
+	return []core.Message{
+		core.Hello{Envelope: n.envelope(), Status: n.status(0), View: n.viewPointer()},
+		core.HelloReply{Envelope: n.envelope(), Status: n.status(1), View: n.viewPointer(), Members: []core.Member{n.member(), n.member()}},
+		core.Heartbeat{Envelope: n.envelope(), View: n.viewPointer(), Members: []core.Member{n.member()}},
+		core.HeartbeatReply{Envelope: n.envelope(), Epoch: n.epoch(), Joined: true, Status: n.status(2), View: n.viewPointer()},
+		core.Prepare{Envelope: n.envelope(), Base: n.view(), Ballot: n.ballot()},
+		core.PrepareReply{
+			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.Promised, Promised: n.ballot(),
+			AcceptedBallot: n.ballot(), Accepted: n.viewPointer(), View: n.viewPointer(), Status: n.status(3),
+		},
+		core.Accept{Envelope: n.envelope(), Base: n.view(), Ballot: n.ballot(), Proposal: n.view()},
+		core.AcceptReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.NewerView, Promised: n.ballot(), View: n.viewPointer()},
+		core.Install{Envelope: n.envelope(), View: n.view()},
+		core.InstallReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.DiskFailed, View: n.viewPointer()},
+		core.SnapshotPart{
+			Envelope: n.envelope(), Tag: n.tag(), Base: n.viewPointer(), Since: n.position(), Position: n.position(),
+			Size: int64(n.next()), Stream: core.Digest(n.next()), Offset: int64(n.next()), Data: []byte("part"),
+		},
+		core.SnapshotPartReply{
+			Envelope: n.envelope(), Tag: n.tag(), Stream: core.Digest(n.next()), Received: int64(n.next()), Complete: true,
+			Refusal: core.Busy, Held: n.position(), View: n.viewPointer(),
+		},
+		core.Append{Envelope: n.envelope(), Entry: entry},
+		core.AppendReply{
+			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Index: core.Index(n.next()), Refusal: core.Fork,
+			Held: n.position(), View: n.viewPointer(),
+		},
+		core.Confirm{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Round: n.next()},
+		core.ConfirmReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Round: n.next(), Refusal: core.UnknownView, View: n.viewPointer()},
+		core.Yield{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot()},
+		core.YieldReply{Envelope: n.envelope(), Epoch: n.epoch(), Refusal: core.Unfit},
+		core.LeaveRequest{Envelope: n.envelope(), Status: n.status(0)},
+		core.LeaveRequestReply{Envelope: n.envelope(), Refusal: core.NobodyInstead, View: n.viewPointer()},
+	}
+}
+
+// TestMessage_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages that running members of an earlier
+// version send and expect.
+func TestMessage_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
+	recording := recordedtest.Open(t, "testdata/messages.txt")
+	types := map[string]bool{}
+	for i, message := range recordedMessages() {
+		got, err := decodeMessage(recording.Same(fmt.Sprintf("%02d", i), encodeMessage(message)))
+		require.NoError(t, err, "%T", message)
+		require.Equal(t, message, got)
+		types[fmt.Sprintf("%T", message)] = true
+	}
+	for _, like := range everyMessage {
+		require.True(t, types[fmt.Sprintf("%T", like)], "%T", like)
+		// The optional parts left out.
+		bare := reflect.New(reflect.TypeOf(like)).Elem().Interface().(core.Message)
+		name := fmt.Sprintf("bare-%02d", bodyNumber(bare))
+		got, err := decodeMessage(recording.Same(name, encodeMessage(bare)))
+		require.NoError(t, err, name)
+		require.Equal(t, bare, got)
+	}
+}
+
+// bodyNumber is the number of a message's body on the wire.
+func bodyNumber(message core.Message) int { return int(bodyTable(message).Type) }
+
+// TestRefusal_RecordedNumbers_Unchanged holds the numbers that stand for refusals in messages.
+func TestRefusal_RecordedNumbers_Unchanged(t *testing.T) {
+	for number, refusal := range []core.Refusal{
+		core.Granted, core.OtherDisk, core.NoDisk, core.NewerView, core.UnknownView, core.NotJoined, core.Gap,
+		core.Repeat, core.Fork, core.Promised, core.OtherSeeds, core.Unfit, core.Busy, core.DiskFailed,
+		core.NotPrimary, core.NobodyInstead,
+	} {
+		require.Equal(t, number, int(refusal), refusal.String())
+	}
+}
--- /dev/null
+++ b/internal/router/compatibility_test.go
@@ -0,0 +1,143 @@
+package router
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/handoff"
+	"shaletrestle/coord/recordedtest"
+	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/clock"
+	"shaletrestle/internal/settings"
+	"shaletrestle/internal/state"
+	"shaletrestle/internal/task"
+)
+
+// TestJob_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages on long work between nodes of an earlier
+// version and this one.
+func TestJob_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
+	recording := recordedtest.Open(t, "testdata/jobs.txt")
+	const self = "10.0.0.1:7722"
+	for kind := handoff.Offer; kind <= handoff.Unknown; kind++ {
+		message := handoff.Message{
+			Kind:   kind,
+			Peer:   self,
+			Owner:  0x7001,
+			Job:    0x7002,
+			Turn:   0x7003,
+			Ticket: handoff.Ticket{Life: 0x7004, Number: 0x7005},
+			Number: 0x7006,
+			Shots:  2,
+			Body:   []byte("body"),
+		}
+		encoded := recording.Same(kind.String(), noteOf(self, message).Encode())
+		note, err := rpc.Decode(encoded)
+		require.NoError(t, err)
+		require.Equal(t, rpc.Job, note.Kind)
+		require.Equal(t, message, messageOf(note))
+	}
+}
+
+// TestTakenHead_RecordedBytes_ReadAndWrittenAsBefore holds the form of the first part of a job's answer.
+func TestTakenHead_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
+	recording := recordedtest.Open(t, "testdata/heads.txt")
+	head := takenHead{Status: 201, Header: http.Header{"X-A": {"1", "2"}, "X-B": {"3"}}, Events: true}
+	written, err := json.Marshal(head)
+	require.NoError(t, err)
+	var got takenHead
+	require.NoError(t, json.Unmarshal(recording.Same("events", written), &got))
+	require.Equal(t, head, got)
+}
+
+// TestPing_RecordedBytes_AnsweredAsBefore holds the form of the pings between nodes and of their answers.
+func TestPing_RecordedBytes_AnsweredAsBefore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		recording := recordedtest.Open(t, "testdata/pings.txt")
+		w := newWorld(t, time.Second, step{})
+		defer w.end()
+		env := *w.g.env.Load()
+		env.LongWork = settings.LongWork{Enabled: true, Takes: 3}
+		w.g.env.Store(&env)
+		const node = "10.0.0.9:7722"
+		for name, word := range map[string]string{"well": "", "slow": slowWord} {
+			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Word: word}
+			read, err := rpc.Decode(recording.Same(name, ping.Encode()))
+			require.NoError(t, err)
+			require.Equal(t, ping, read)
+			answer, err := rpc.Decode(recording.Same(name+"-answer", w.g.handle(nil, read).Encode()))
+			require.NoError(t, err)
+			require.True(t, answer.Answer && answer.OK)
+			require.Equal(t, ping.Call, answer.Call)
+			w.g.long.roomOf(node, answer)
+			require.Equal(t, neighbour{room: 3, zone: "a", at: clock.Now()}, w.g.long.neighbours[node])
+		}
+	})
+}
+
+// recordingNet has one controller on it, which notes what it is sent; nobody else is there.
+type recordingNet struct {
+	controller string
+	scope      *task.Scope
+	handle     rpc.Handler
+}
+
+func (n recordingNet) Dial(address string, _ clock.Duration) (net.Conn, error) {
+	if address != n.controller {
+		return nil, net.ErrClosed
+	}
+	near, far := net.Pipe()
+	rpc.Open(n.scope, far, n.handle)
+	return near, nil
+}
+
+func (n recordingNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+
+// TestRouter_RecordedBytes_TellsControllerAsBefore holds the form of what a node sends to its controller.
+func TestRouter_RecordedBytes_TellsControllerAsBefore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		recording := recordedtest.Open(t, "testdata/controller.txt")
+		scope := task.New(slog.New(slog.DiscardHandler))
+		received := map[rpc.Kind][]byte{}
+		network := recordingNet{controller: "10.0.0.5:9000", scope: scope, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
+			received[message.Kind] = message.Encode()
+			if message.Kind != rpc.Lend {
+				return nil
+			}
+			answer := message.Reply(true)
+			answer.Number = message.Number
+			received[0] = answer.Encode()
+			return answer
+		}}
+		env := &settings.Settings{
+			NodeName: "g", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{9000, 9100}, Seeds: []string{"10.0.0.5:8800"},
+			Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64},
+		}
+		r := New(scope, Plan{Env: env, Net: network})
+		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
+		require.NoError(t, r.book.Fold((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
+		go r.follower.Run()
+		synctest.Wait()
+		for r.budget.Take("service-1", r.fleet()) { // the own share is used up first
+		}
+		require.True(t, r.further("service-1", time.Second))
+		go r.watcher.Run()
+		time.Sleep(3 * time.Second)
+		scope.Stop()
+		synctest.Wait()
+		for kind, name := range map[rpc.Kind]string{
+			rpc.Follow: "follow", rpc.Lend: "lend", 0: "lend-answer", rpc.Suspect: "suspect",
+		} {
+			require.NotEmpty(t, received[kind], name)
+			recording.Same(name, received[kind])
+		}
+		require.Len(t, received, 4, fmt.Sprint(received))
+	})
+}
