--- a/coord/replication/compatibility_test.go
+++ b/coord/replication/compatibility_test.go
@@ -50,7 +50,7 @@
 
 // status sets one flag of a status.
 func (n *numbered) status(flag int) core.Status {
-	return core.Status{Fit: flag == 0, Relay: flag == 1, Leaving: flag == 2, FirstDisk: flag == 3, Position: n.position()}
+	return core.Status{Writable: flag == 0, Relay: flag == 1, Leaving: flag == 2, BootstrapDisk: flag == 3, Position: n.position()}
 }
 
 func (n *numbered) tag() core.StateTag {
@@ -71,32 +71,32 @@
 		core.HeartbeatReply{Envelope: n.envelope(), Epoch: n.epoch(), Joined: true, Status: n.status(2), View: n.viewPointer()},
 		core.Prepare{Envelope: n.envelope(), Base: n.view(), Ballot: n.ballot()},
 		core.PrepareReply{
-			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.Promised, Promised: n.ballot(),
+			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Rejection: core.HigherPromise, Promised: n.ballot(),
 			AcceptedBallot: n.ballot(), Accepted: n.viewPointer(), View: n.viewPointer(), Status: n.status(3),
 		},
 		core.Accept{Envelope: n.envelope(), Base: n.view(), Ballot: n.ballot(), Proposal: n.view()},
-		core.AcceptReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.NewerView, Promised: n.ballot(), View: n.viewPointer()},
+		core.AcceptReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Rejection: core.NewerView, Promised: n.ballot(), View: n.viewPointer()},
 		core.Install{Envelope: n.envelope(), View: n.view()},
-		core.InstallReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Refusal: core.DiskFailed, View: n.viewPointer()},
-		core.SnapshotPart{
+		core.InstallReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Rejection: core.DiskFailed, View: n.viewPointer()},
+		core.SnapshotChunk{
 			Envelope: n.envelope(), Tag: n.tag(), Base: n.viewPointer(), Since: n.position(), Position: n.position(),
-			Size: int64(n.next()), Stream: core.Digest(n.next()), Offset: int64(n.next()), Data: []byte("part"),
+			Size: int64(n.next()), StreamDigest: core.Digest(n.next()), Offset: int64(n.next()), Data: []byte("part"),
 		},
-		core.SnapshotPartReply{
-			Envelope: n.envelope(), Tag: n.tag(), Stream: core.Digest(n.next()), Received: int64(n.next()), Complete: true,
-			Refusal: core.Busy, Held: n.position(), View: n.viewPointer(),
+		core.SnapshotChunkReply{
+			Envelope: n.envelope(), Tag: n.tag(), StreamDigest: core.Digest(n.next()), Received: int64(n.next()), Complete: true,
+			Rejection: core.Busy, DiskPosition: n.position(), View: n.viewPointer(),
 		},
 		core.Append{Envelope: n.envelope(), Entry: entry},
 		core.AppendReply{
-			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Index: core.Index(n.next()), Refusal: core.Fork,
-			Held: n.position(), View: n.viewPointer(),
+			Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Index: core.Index(n.next()), Rejection: core.DivergedHistory,
+			DiskPosition: n.position(), View: n.viewPointer(),
 		},
 		core.Confirm{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Round: n.next()},
-		core.ConfirmReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Round: n.next(), Refusal: core.UnknownView, View: n.viewPointer()},
+		core.ConfirmReply{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot(), Round: n.next(), Rejection: core.UnknownView, View: n.viewPointer()},
 		core.Yield{Envelope: n.envelope(), Epoch: n.epoch(), Ballot: n.ballot()},
-		core.YieldReply{Envelope: n.envelope(), Epoch: n.epoch(), Refusal: core.Unfit},
+		core.YieldReply{Envelope: n.envelope(), Epoch: n.epoch(), Rejection: core.Unavailable},
 		core.LeaveRequest{Envelope: n.envelope(), Status: n.status(0)},
-		core.LeaveRequestReply{Envelope: n.envelope(), Refusal: core.NobodyInstead, View: n.viewPointer()},
+		core.LeaveRequestReply{Envelope: n.envelope(), Rejection: core.NoReplacement, View: n.viewPointer()},
 	}
 }
 
@@ -127,10 +127,10 @@
 
 // TestRefusal_RecordedNumbers_Unchanged holds the numbers that stand for refusals in messages.
 func TestRefusal_RecordedNumbers_Unchanged(t *testing.T) {
-	for number, refusal := range []core.Refusal{
-		core.Granted, core.OtherDisk, core.NoDisk, core.NewerView, core.UnknownView, core.NotJoined, core.Gap,
-		core.Repeat, core.Fork, core.Promised, core.OtherSeeds, core.Unfit, core.Busy, core.DiskFailed,
-		core.NotPrimary, core.NobodyInstead,
+	for number, refusal := range []core.Rejection{
+		core.Granted, core.WrongDisk, core.NoDisk, core.NewerView, core.UnknownView, core.NotJoined, core.MissingEntries,
+		core.DuplicateEntry, core.DivergedHistory, core.HigherPromise, core.NotWitness, core.Unavailable, core.Busy, core.DiskFailed,
+		core.NotPrimary, core.NoReplacement,
 	} {
 		require.Equal(t, number, int(refusal), refusal.String())
 	}
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -76,7 +76,7 @@
 	require.Equal(t, recordedSeeds, s.FirstSeeds())
 	loaded := s.Load()
 	require.Equal(t, recordedRegister(id), loaded.Register)
-	require.True(t, loaded.TailIsOpen)
+	require.True(t, loaded.Appendable)
 	require.Equal(t, core.StateTag{Epoch: 3, Ballot: 9}, loaded.Snapshot.Tag)
 	require.Equal(t, core.Position{Index: 6, Digest: 0x41fae95fa4bb0b4d}, loaded.Snapshot.Position)
 	recording.Same("snapshot", loaded.Snapshot.Data)
@@ -158,7 +158,7 @@
 	joined := openRecorded(t, copyRecorded(t, "joined")).Load()
 	require.Equal(t, core.Epoch(5), joined.Register.View.Epoch)
 	require.Empty(t, joined.Entries)
-	require.True(t, joined.TailIsOpen)
+	require.True(t, joined.Appendable)
 	require.Equal(t, core.StateTag{}, joined.Snapshot.Tag)
 	require.Equal(t, core.Position{Index: 9, Digest: 0x9301}, joined.Snapshot.Position)
 }
