--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"log/slog"
@@ -15,7 +16,6 @@
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/emulator"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // Exit codes.
@@ -65,11 +65,12 @@
 	if verbose {
 		level = slog.LevelInfo
 	}
-	sc := task.New(slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level})))
-	defer sc.Stop()
+	log := slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	if held.Used { // it ends with its input; whoever started it hears the signals
 		signal.Ignore(syscall.SIGINT)
-		if err := emulator.Cell(sc, os.Stdin, out); err != nil {
+		if err := emulator.Cell(ctx, log, os.Stdin, out); err != nil {
 			fmt.Fprintln(errs, "emulator:", err)
 			return notAll
 		}
@@ -81,27 +82,27 @@
 	go func() {
 		select {
 		case <-stop:
-			sc.Stop()
-		case <-sc.Done():
+			cancel()
+		case <-ctx.Done():
 		}
 	}()
 	switch {
 	case demo.Used:
 		x, err := emulator.Demo()
-		return experiment(sc, x, err, lines, plots, out, errs)
+		return experiment(ctx, log, x, err, lines, plots, out, errs)
 	case exp.Used:
 		x, err := emulator.Load(file)
-		return experiment(sc, x, err, lines, plots, out, errs)
+		return experiment(ctx, log, x, err, lines, plots, out, errs)
 	}
 	if slopes.Used {
-		err := emulator.Slopes(sc, names, dir, emulator.Output{Progress: out})
-		return said(sc, err, errs)
+		err := emulator.Slopes(ctx, log, names, dir, emulator.Output{Progress: out})
+		return said(ctx, err, errs)
 	}
 	fmt.Fprintln(errs, "emulator: name a subcommand: demo, run or slopes; --help tells more")
 	return badUse
 }
 
-func experiment(sc *task.Scope, x *emulator.Experiment, err error, lines, plots string, out, errs io.Writer) int {
+func experiment(ctx context.Context, log *slog.Logger, x *emulator.Experiment, err error, lines, plots string, out, errs io.Writer) int {
 	if err != nil {
 		fmt.Fprintln(errs, "emulator:", err)
 		return badUse
@@ -116,9 +117,9 @@
 		defer func() { _ = f.Close() }()
 		o.Lines = f
 	}
-	s, err := emulator.Run(sc, x, o)
+	s, err := emulator.Run(ctx, log, x, o)
 	if err != nil {
-		return said(sc, err, errs)
+		return said(ctx, err, errs)
 	}
 	if err := s.Write(out); err != nil {
 		fmt.Fprintln(errs, "emulator:", err)
@@ -134,11 +135,11 @@
 }
 
 // said prints an error and gives the exit code that belongs to it.
-func said(sc *task.Scope, err error, errs io.Writer) int {
+func said(ctx context.Context, err error, errs io.Writer) int {
 	switch k := errkind.KindOf(err); {
 	case err == nil:
 		return fine
-	case sc.Ended():
+	case ctx.Err() != nil:
 		fmt.Fprintln(errs, "emulator: interrupted")
 		return interrupted
 	case k == errkind.BadEnv || k == errkind.Unready:
--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"context"
 	"encoding/binary"
 	"fmt"
 	"log/slog"
@@ -11,18 +12,18 @@
 	"testing/synctest"
 	"time"
 
+	"shaletrestle/coord/wait"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 // link is a network to one feed whose bytes from the feed share one rate.
 type link struct {
-	sc    *task.Scope
+	ctx   context.Context
 	feed  *Feed
 	rate  int // bytes a second
 	mu    sync.Mutex
@@ -50,12 +51,12 @@
 
 func (l *link) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (l *link) Dial(string, clock.Duration) (net.Conn, error) {
+func (l *link) Dial(string, time.Duration) (net.Conn, error) {
 	l.mu.Lock()
 	l.dials++
 	l.mu.Unlock()
 	a, b := net.Pipe()
-	rpc.Open(l.sc, slowConn{b, l}, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
+	rpc.Open(l.ctx, slowConn{b, l}, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Follow:
 			l.feed.Follow(ch, n)
@@ -96,12 +97,12 @@
 func TestAFollowerThatWasAwayForManyChangesCatchesUpWhileTheyGoOn(t *testing.T) {
 	for _, missed := range []int{10, 100, 400, 1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(time.Second) }()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(time.Second) }()
 			b := &hashed{}
-			f := NewFeed(sc, b, nil)
+			f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 			push := begin(f, 1)
-			l := &link{sc: sc, feed: f, rate: 1 << 20}
+			l := &link{ctx: ctx, feed: f, rate: 1 << 20}
 			got := &hashed{}
 			c := NewCursor(got)
 			require.NoError(t, c.Restore(Position{1, 0}, b.Checkpoint(), true))
@@ -109,9 +110,9 @@
 				push(fmt.Sprintf("%06d;", i))
 			}
 			body := strings.Repeat("x", 2000) // at 250 a second half of the link's rate
-			stop := sc.Part("pushing")
-			go clock.Every(stop, 4*time.Millisecond, func() bool { push(body); return true })
-			go NewFollower(sc, l, c, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+			pushing, stopPushing := context.WithCancel(ctx)
+			go wait.Every(pushing, 4*time.Millisecond, func() bool { push(body); return true })
+			go NewFollower(ctx, l, c, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
 			start := time.Now()
 			for time.Since(start) < 20*time.Second {
 				_, at := f.At()
@@ -127,7 +128,7 @@
 			_, at := f.At()
 			_, have := c.At()
 			require.Less(t, at-have, uint64(2*newsWindow), "it stays near while changes go on")
-			stop.Stop()
+			stopPushing()
 			time.Sleep(5 * time.Second)
 			require.Equal(t, string(b.Checkpoint()), string(got.Checkpoint()))
 			require.Equal(t, 1, l.dials, "one connection did it all")
@@ -138,19 +139,19 @@
 
 func TestManyFollowersThatComeAtOnceGetOneSnapshotAFewAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		b := &counted{words: words{s: strings.Repeat("s", 300<<10)}}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		push := begin(f, 1)
 		b.made = 0
-		l := &link{sc: sc, feed: f, rate: constants.LinkBytes}
+		l := &link{ctx: ctx, feed: f, rate: constants.LinkBytes}
 		const many = 390
 		cursors := make([]*Cursor, many)
 		start := time.Now()
 		for i := range cursors {
 			cursors[i] = NewCursor(&words{})
-			go NewFollower(sc, l, cursors[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil).Run()
+			go NewFollower(ctx, l, cursors[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil).Run()
 		}
 		most := 0
 		for f.Acked() == 0 && time.Since(start) < time.Minute {
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -2,8 +2,7 @@
 
 import (
 	"sync"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 // Cursor is the sink of an end follower: a board and how far it has come.
@@ -11,7 +10,7 @@
 	mu       sync.Mutex
 	board    State
 	progress progress
-	heard    clock.Time
+	heard    time.Time
 }
 
 // NewCursor makes a cursor over a board.
@@ -29,7 +28,7 @@
 	}
 	c.progress = progress{at: at}
 	if current {
-		c.heard = clock.Now()
+		c.heard = time.Now()
 	}
 	return nil
 }
@@ -48,14 +47,14 @@
 		}
 		c.progress.at = at
 	}
-	c.heard = clock.Now()
+	c.heard = time.Now()
 	return true
 }
 
 // Heard marks that the source is in touch with the primary.
 func (c *Cursor) Heard() {
 	c.mu.Lock()
-	c.heard = clock.Now()
+	c.heard = time.Now()
 	c.mu.Unlock()
 }
 
@@ -74,8 +73,8 @@
 }
 
 // Age is how long ago a source in touch with the primary was last heard.
-func (c *Cursor) Age() clock.Duration {
+func (c *Cursor) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return clock.Since(c.heard)
+	return time.Since(c.heard)
 }
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -15,9 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 // words is a board that joins its changes.
@@ -44,7 +43,7 @@
 
 // pipes is a network of in-memory connections to one feed.
 type pipes struct {
-	sc   *task.Scope
+	ctx  context.Context
 	feed *Feed
 	mu   sync.Mutex
 	last net.Conn
@@ -53,7 +52,7 @@
 	heard, seats atomic.Int64 // acknowledgements, and the seats in them
 }
 
-func (p *pipes) Dial(string, clock.Duration) (net.Conn, error) {
+func (p *pipes) Dial(string, time.Duration) (net.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.off {
@@ -61,7 +60,7 @@
 	}
 	a, b := net.Pipe()
 	p.last = b
-	rpc.Open(p.sc, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
+	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Follow:
 			p.feed.Follow(ch, n)
@@ -79,19 +78,19 @@
 
 func TestAFollowerGetsCheckpointThenDeltasThenWhatItMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		src := &words{s: "old"}
-		f := NewFeed(sc, src, nil)
-		p := &pipes{sc: sc, feed: f}
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), src, nil)
+		p := &pipes{ctx: ctx, feed: f}
 		got := &words{}
 		c := NewCursor(got)
-		go NewFollower(sc, p, c, rpc.Member{ID: 1, Address: "n1"}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(ctx, p, c, rpc.Member{ID: 1, Address: "n1"}, false, func(string) string { return "x" }, nil).Run()
 		push := begin(f, 1)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, "old", string(got.Checkpoint()))
 		n := push("+a")
-		have, of := f.Wait(sc, n, time.Second)
+		have, of := f.Wait(ctx, n, time.Second)
 		require.Equal(t, 1, have)
 		require.Equal(t, 1, of)
 		require.Equal(t, "old+a", string(got.Checkpoint()))
@@ -123,7 +122,7 @@
 
 // tree is a source, relays under it and ends under the relays, over in-memory connections that count what goes up.
 type tree struct {
-	sc    *task.Scope
+	ctx   context.Context
 	mu    sync.Mutex
 	feeds map[string]*Feed
 	held  []net.Conn
@@ -131,13 +130,13 @@
 	lists int // those that listed seats
 }
 
-func (p *tree) Dial(at string, _ clock.Duration) (net.Conn, error) {
+func (p *tree) Dial(at string, _ time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
 	p.mu.Lock()
 	f := p.feeds[at]
 	p.held = append(p.held, b)
 	p.mu.Unlock()
-	rpc.Open(p.sc, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
+	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Follow:
 			f.Follow(ch, n)
@@ -160,38 +159,39 @@
 func (p *tree) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // grow puts relays and ends under a source; lives ends each end's follower.
-func (p *tree) grow(relays, ends int) (src *Feed, push func(string) uint64, lives map[uint64]*task.Scope) {
-	src = NewFeed(p.sc, &words{}, nil)
+func (p *tree) grow(relays, ends int) (src *Feed, push func(string) uint64, lives map[uint64]context.CancelFunc) {
+	src = NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.feeds = map[string]*Feed{"source": src}
 	for i := range relays {
 		var fo *Follower
-		f := NewFeed(p.sc, &words{}, func(uint64, uint64) { fo.Tell() })
+		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { fo.Tell() })
 		p.feeds[fmt.Sprint("relay", i)] = f
-		fo = NewFollower(p.sc, p, f, rpc.Member{ID: uint64(i) + 1000}, true, func(string) string { return "source" }, f.Reached)
+		fo = NewFollower(p.ctx, p, f, rpc.Member{ID: uint64(i) + 1000}, true, func(string) string { return "source" }, f.Reached)
 		go fo.Run()
 	}
 	push = begin(src, 1)
-	lives = map[uint64]*task.Scope{}
+	lives = map[uint64]context.CancelFunc{}
 	for i := range ends {
 		p.end(lives, uint64(i+1), fmt.Sprint("relay", i%relays))
 	}
 	return
 }
 
-func (p *tree) end(lives map[uint64]*task.Scope, id uint64, at string) {
-	lives[id] = p.sc.Part("end")
-	go NewFollower(lives[id], p, NewCursor(&words{}), rpc.Member{ID: id, Address: fmt.Sprint("n", id)}, false, func(string) string { return at }, nil).Run()
+func (p *tree) end(lives map[uint64]context.CancelFunc, id uint64, at string) {
+	ctx, cancel := context.WithCancel(p.ctx)
+	lives[id] = cancel
+	go NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: id, Address: fmt.Sprint("n", id)}, false, func(string) string { return at }, nil).Run()
 }
 
 func TestReachedStaysRightThroughLosses(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 3))
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(time.Second) }()
-			p := &tree{sc: sc}
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(time.Second) }()
+			p := &tree{ctx: ctx}
 			src, push, lives := p.grow(3, 12)
 			time.Sleep(constants.NewsBeat)
 			for range 15 {
@@ -203,7 +203,7 @@
 						p.mu.Unlock()
 					case 1: // an end goes for good
 						for id, l := range lives {
-							l.Stop()
+							l()
 							delete(lives, id)
 							break
 						}
@@ -232,16 +232,16 @@
 
 func TestARelayTellsOnceOfAChangeAndListsSeatsOnlyWhenTheyChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		p := &tree{sc: sc}
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		p := &tree{ctx: ctx}
 		src, push, _ := p.grow(2, 60)
 		time.Sleep(3*constants.NewsBeat + constants.NewsBeat/2) // between two beats
 		p.mu.Lock()
 		p.up, p.lists = 0, 0
 		p.mu.Unlock()
 		n := push("x")
-		have, of := src.Wait(sc, n, time.Second)
+		have, of := src.Wait(ctx, n, time.Second)
 		require.Equal(t, [2]int{2, 2}, [2]int{have, of})
 		synctest.Wait()
 		p.mu.Lock()
@@ -260,16 +260,16 @@
 
 func TestACheckpointIsMadeOnceForAllThatNeedIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		p := &tree{sc: sc, feeds: map[string]*Feed{}}
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		p := &tree{ctx: ctx, feeds: map[string]*Feed{}}
 		b := &counted{}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		p.feeds["x"] = f
 		push := begin(f, 1)
 		b.made = 0 // the helper made one for the first state
 		push("a")
-		lives := map[uint64]*task.Scope{}
+		lives := map[uint64]context.CancelFunc{}
 		for i := range uint64(20) {
 			p.end(lives, i+1, "x")
 		}
@@ -294,13 +294,13 @@
 
 func TestASilentSourceIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		f := NewFeed(sc, &words{}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 		begin(f, 1)
-		p := &pipes{sc: sc, feed: f}
+		p := &pipes{ctx: ctx, feed: f}
 		var tried []string
-		fo := NewFollower(sc, p, NewCursor(&words{}), rpc.Member{ID: 1}, false, func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) }, nil)
+		fo := NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: 1}, false, func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) }, nil)
 		go fo.Run()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
@@ -315,10 +315,10 @@
 
 func TestARelayTakesNoGapAndNoOlderLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		b := &words{}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("s"), true))
 		require.False(t, f.Take(Position{3, 7}, []byte("gap")))
 		require.False(t, f.Take(Position{4, 6}, []byte("another life")))
@@ -335,20 +335,20 @@
 // TestARelaysWordDoesNotGrowWithTheSquareOfItsFollowers: each beat of each follower once made the relay pass the whole list of its seats on.
 func TestARelaysWordDoesNotGrowWithTheSquareOfItsFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		src := NewFeed(sc, &words{}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		src := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 		push := begin(src, 1)
-		up := &pipes{sc: sc, feed: src}
+		up := &pipes{ctx: ctx, feed: src}
 		var relay *Follower
-		mid := NewFeed(sc, &words{}, func(uint64, uint64) { relay.Tell() })
-		relay = NewFollower(sc, up, mid, rpc.Member{ID: 1, Address: "relay"}, true, func(string) string { return "src" }, mid.Reached)
+		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { relay.Tell() })
+		relay = NewFollower(ctx, up, mid, rpc.Member{ID: 1, Address: "relay"}, true, func(string) string { return "src" }, mid.Reached)
 		go relay.Run()
 		time.Sleep(time.Second)
 		const many = 30
 		for i := range many {
-			p := &pipes{sc: sc, feed: mid}
-			go NewFollower(sc, p, NewCursor(&words{}), rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)}, false, func(string) string { return "mid" }, nil).Run()
+			p := &pipes{ctx: ctx, feed: mid}
+			go NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)}, false, func(string) string { return "mid" }, nil).Run()
 		}
 		time.Sleep(5 * time.Second)
 		require.Len(t, src.Reached(), many)
@@ -360,7 +360,7 @@
 		time.Sleep(constants.NewsBeat / 3) // between two beats
 		at := time.Now()
 		n := push("+")
-		have, of := src.Wait(sc, n, time.Second)
+		have, of := src.Wait(ctx, n, time.Second)
 		require.Equal(t, []int{1, 1}, []int{have, of})
 		require.Zero(t, time.Since(at), "a change that was taken waits for no beat")
 		require.Equal(t, n, mid.Acked())
@@ -369,10 +369,10 @@
 }
 
 func ExampleFeed() {
-	sc := task.New(slog.New(slog.DiscardHandler))
-	defer sc.Stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	board := &words{}
-	f := NewFeed(sc, board, nil)
+	f := NewFeed(ctx, slog.New(slog.DiscardHandler), board, nil)
 	push := begin(f, 1)
 	push("sal ")
 	fmt.Println(push("pine"), string(board.Checkpoint()))
@@ -381,10 +381,10 @@
 
 func TestASpreadNoteReachesAllAndChangesNoNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		p := &tree{sc: sc}
-		f := NewFeed(sc, &words{}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		p := &tree{ctx: ctx}
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 		p.feeds = map[string]*Feed{"x": f}
 		push := begin(f, 1)
 		n := push("a")
@@ -392,7 +392,7 @@
 		cs := make([]*Cursor, 5)
 		for i := range cs {
 			cs[i] = NewCursor(&words{})
-			fo := NewFollower(sc, p, cs[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil)
+			fo := NewFollower(ctx, p, cs[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil)
 			fo.Others(func(n *rpc.Message) {
 				if n.Kind == rpc.Deck && string(n.Body) == "sum" {
 					got.Add(1)
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -2,13 +2,16 @@
 package distribution
 
 import (
+	"context"
+	"log/slog"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // State is the view that changes are folded into. Its methods are never called at the same time.
@@ -27,14 +30,15 @@
 
 // Feed holds a board and pushes what changes it to the followers of this process.
 type Feed struct {
-	sc          *task.Scope
+	ctx         context.Context
+	log         *slog.Logger
 	mu          sync.Mutex
 	board       State
 	progress    progress
-	fresh       clock.Time // a relay: when its own source was last heard to be in touch with the primary
-	source      *Source    // nil: this process is a relay
-	kept        []change   // the newest changes, without a gap, the last is at progress.at
-	snapshot    []byte     // the encoded snapshot message at progress.at, once somebody needed it
+	fresh       time.Time // a relay: when its own source was last heard to be in touch with the primary
+	source      *Source   // nil: this process is a relay
+	kept        []change  // the newest changes, without a gap, the last is at progress.at
+	snapshot    []byte    // the encoded snapshot message at progress.at, once somebody needed it
 	subscribers map[*rpc.Channel]*subscriber
 	queue       []*subscriber // those that wait for a snapshot, in order
 	underWay    int           // snapshots sent and not acknowledged yet
@@ -43,16 +47,17 @@
 }
 
 // NewFeed makes a feed over a board. onAck, which may be nil, is told the number that all followers have taken.
-func NewFeed(sc *task.Scope, b State, onAck func(epoch, number uint64)) *Feed {
+func NewFeed(ctx context.Context, log *slog.Logger, b State, onAck func(epoch, number uint64)) *Feed {
 	f := &Feed{
-		sc:          sc.Part("distribution"),
+		ctx:         ctx,
+		log:         log.With("part", "distribution"),
 		board:       b,
-		fresh:       clock.Now(),
+		fresh:       time.Now(),
 		subscribers: map[*rpc.Channel]*subscriber{},
 		wake:        make(chan struct{}),
 		onAck:       onAck,
 	}
-	go clock.Every(f.sc, constants.NewsBeat, func() bool { f.beat(); return true })
+	go wait.Every(f.ctx, constants.NewsBeat, func() bool { f.beat(); return true })
 	return f
 }
 
@@ -71,7 +76,7 @@
 		return nil
 	}
 	if err := f.board.Restore(first()); err != nil {
-		f.sc.Log().Error("first state can't be read", "err", err.Error())
+		f.log.Error("first state can't be read", "err", err.Error())
 		return nil
 	}
 	start := Position{Epoch: epoch}
@@ -98,7 +103,7 @@
 	}
 	at := Position{s.epoch, f.progress.at.Number + 1}
 	if err := f.push(at, body); err != nil {
-		f.sc.Log().Error("change can't be folded", "err", err.Error())
+		f.log.Error("change can't be folded", "err", err.Error())
 		return 0, false
 	}
 	return at.Number, true
@@ -119,7 +124,7 @@
 		return
 	}
 	f.source = nil
-	f.fresh = clock.Time{}
+	f.fresh = time.Time{}
 	f.sendBeats()
 }
 
@@ -137,9 +142,9 @@
 		return err
 	}
 	f.source = nil
-	f.fresh = clock.Time{}
+	f.fresh = time.Time{}
 	if current {
-		f.fresh = clock.Now()
+		f.fresh = time.Now()
 	}
 	f.moveTo(at)
 	return nil
@@ -170,7 +175,7 @@
 			return false
 		}
 	}
-	f.fresh = clock.Now()
+	f.fresh = time.Now()
 	return true
 }
 
@@ -199,18 +204,18 @@
 // Heard marks that this process's own source is in touch with the primary.
 func (f *Feed) Heard() {
 	f.mu.Lock()
-	f.fresh = clock.Now()
+	f.fresh = time.Now()
 	f.mu.Unlock()
 }
 
 // current tells whether what is held may be called current: this is the source, or a source was heard lately.
 func (f *Feed) current() bool {
-	return f.source != nil || clock.Since(f.fresh) < relayStale
+	return f.source != nil || time.Since(f.fresh) < relayStale
 }
 
 // Wait waits until all connected followers have taken a number, at most d. It tells how many have and how many there are.
-func (f *Feed) Wait(sc *task.Scope, number uint64, d clock.Duration) (have, of int) {
-	end := clock.After(d)
+func (f *Feed) Wait(ctx context.Context, number uint64, d time.Duration) (have, of int) {
+	end := time.After(d)
 	for {
 		f.mu.Lock()
 		have, of = 0, len(f.subscribers)
@@ -228,7 +233,7 @@
 		case <-w:
 		case <-end:
 			return
-		case <-sc.Done():
+		case <-ctx.Done():
 			return
 		}
 	}
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -2,16 +2,18 @@
 
 import (
 	"cmp"
+	"context"
 	"slices"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // Sink is where a follower puts what it is told.
@@ -25,7 +27,7 @@
 
 // Follower keeps a sink up to date from one source at a time.
 type Follower struct {
-	sc    *task.Scope
+	ctx   context.Context
 	net   rpc.Net
 	sink  Sink
 	self  rpc.Member
@@ -41,8 +43,8 @@
 }
 
 // NewFollower makes a follower. pick names the next address to follow, given the one that failed; seats, for a relay, lists its own followers.
-func NewFollower(sc *task.Scope, n rpc.Net, s Sink, self rpc.Member, relay bool, pick func(string) string, seats func() []rpc.Member) *Follower {
-	return &Follower{sc: sc.Part("distribution"), net: n, sink: s, self: self, relay: relay, pick: pick, seats: seats}
+func NewFollower(ctx context.Context, n rpc.Net, s Sink, self rpc.Member, relay bool, pick func(string) string, seats func() []rpc.Member) *Follower {
+	return &Follower{ctx: ctx, net: n, sink: s, self: self, relay: relay, pick: pick, seats: seats}
 }
 
 // Carry sets what acknowledgements carry along; f gives nil when there is nothing to tell. It is set before Run.
@@ -64,7 +66,7 @@
 // Run follows until the scope ends.
 func (f *Follower) Run() {
 	bad := ""
-	for !f.sc.Ended() {
+	for f.ctx.Err() == nil {
 		at := f.pick(bad)
 		if at != "" {
 			f.follow(at)
@@ -75,7 +77,7 @@
 		if at == "" {
 			pause = lookAgain
 		}
-		if !clock.Rest(f.sc, pause) {
+		if !wait.Sleep(f.ctx, pause) {
 			return
 		}
 	}
@@ -108,7 +110,7 @@
 	if err != nil {
 		return
 	}
-	ch := rpc.Open(f.sc, c, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
+	ch := rpc.Open(f.ctx, c, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		f.receive(ch, n)
 		return nil
 	})
@@ -116,18 +118,18 @@
 	f.ch.Store(ch)
 	ch.Send(followMessage(f.self, f.sink.ResumeFrom(), f.role()))
 	f.now.Store(at)
-	t := clock.After(newsLost)
+	t := time.After(newsLost)
 	for {
 		select {
 		case <-ch.Done():
 			return
-		case <-f.sc.Done():
+		case <-f.ctx.Done():
 			return
 		case <-t:
 			if ch.Quiet() >= newsLost {
 				return
 			}
-			t = clock.After(newsLost - ch.Quiet())
+			t = time.After(newsLost - ch.Quiet())
 		}
 	}
 }
@@ -142,7 +144,7 @@
 }
 
 // Call asks the source followed now.
-func (f *Follower) Call(n *rpc.Message, d clock.Duration) (*rpc.Message, error) {
+func (f *Follower) Call(n *rpc.Message, d time.Duration) (*rpc.Message, error) {
 	ch := f.ch.Load()
 	if ch == nil {
 		return nil, errkind.New(errkind.Unready, "nobody is followed")
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -13,8 +14,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
 )
 
 func TestASnapshotOfTheSameEpochButALowerNumberIsRefused(t *testing.T) {
@@ -26,10 +25,10 @@
 	require.Error(t, c.Restore(Position{3, 9}, []byte("nine"), true))
 
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		b := &words{}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("five"), true))
 		require.Error(t, f.Restore(Position{3, 4}, []byte("four"), true))
 		require.Equal(t, "five", string(b.Checkpoint()))
@@ -38,10 +37,10 @@
 
 func TestADeposedSourcePushesNothingIntoItsFollowersSequence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		b := &words{}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		source := f.Begin(1, func() []byte { return []byte("old") })
 		f.End()
 		_, ok := source.Push([]byte("+late"))
@@ -62,10 +61,10 @@
 
 func TestASourceThatBeginsAgainInItsEpochGoesOnWithItsNumbers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		b := &words{}
-		f := NewFeed(sc, b, nil)
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		push := begin(f, 1)
 		push("a")
 		push("b")
@@ -90,13 +89,13 @@
 
 func TestAFollowerThatCannotFoldAChangeAsksForASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		f := NewFeed(sc, &words{s: "x"}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{s: "x"}, nil)
 		push := begin(f, 1)
-		p := &pipes{sc: sc, feed: f}
+		p := &pipes{ctx: ctx, feed: f}
 		got := &refusing{bad: "+b"}
-		go NewFollower(sc, p, NewCursor(got), rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(ctx, p, NewCursor(got), rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(time.Second)
 		push("+a")
 		push("+b")
@@ -108,23 +107,23 @@
 
 func TestAStaleRelayTellsAReturningFollowerNothingAsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		relay := NewFeed(sc, &words{}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 		require.NoError(t, relay.Restore(Position{2, 0}, []byte("relayed"), true))
 		time.Sleep(relayStale)
-		p := &pipes{sc: sc, feed: relay}
+		p := &pipes{ctx: ctx, feed: relay}
 
 		held := NewCursor(&words{})
 		require.NoError(t, held.Restore(Position{1, 4}, []byte("held"), true))
-		go NewFollower(sc, p, held, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(ctx, p, held, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(5 * time.Second)
 		epoch, _ := held.At()
 		require.Equal(t, uint64(1), epoch)
 		require.GreaterOrEqual(t, held.Age(), 5*time.Second, "nothing current was heard")
 
 		empty := NewCursor(&words{})
-		go NewFollower(sc, p, empty, rpc.Member{ID: 2}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(ctx, p, empty, rpc.Member{ID: 2}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(5 * time.Second)
 		epoch, _ = empty.At()
 		require.Equal(t, uint64(2), epoch, "one that has nothing takes the last that is known")
@@ -134,15 +133,15 @@
 
 func TestAFollowerAheadOfItsRelayKeepsWhatItHas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
-		relay := NewFeed(sc, &words{}, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
+		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
 		require.NoError(t, relay.Restore(Position{2, 3}, []byte("3"), true))
-		p := &pipes{sc: sc, feed: relay}
+		p := &pipes{ctx: ctx, feed: relay}
 		got := &words{}
 		ahead := NewCursor(got)
 		require.NoError(t, ahead.Restore(Position{2, 5}, []byte("5"), true))
-		go NewFollower(sc, p, ahead, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(ctx, p, ahead, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(time.Second)
 		for n := uint64(4); n <= 7; n++ {
 			require.True(t, relay.Take(Position{2, n}, []byte(fmt.Sprint("+", n))))
@@ -215,7 +214,7 @@
 
 // web is controllers that each hold a feed, and end followers, which reach each other as the schedule wants.
 type web struct {
-	sc     *task.Scope
+	ctx    context.Context
 	r      *rand.Rand
 	faults *faults
 
@@ -225,7 +224,7 @@
 	cut     map[[2]string]bool
 	primary map[string]string // by each one's own belief
 
-	lives   map[string]*task.Scope
+	lives   map[string]context.CancelFunc
 	sources map[string]*Source // of those that think that they are primary
 	epoch   uint64
 }
@@ -235,16 +234,16 @@
 func controllerName(i int) string { return fmt.Sprint("c", i) }
 func endName(i int) string        { return fmt.Sprint("e", i) }
 
-func newWeb(sc *task.Scope, seed uint64) *web {
+func newWeb(ctx context.Context, seed uint64) *web {
 	w := &web{
-		sc:      sc,
+		ctx:     ctx,
 		r:       rand.New(rand.NewPCG(seed, 13)),
 		faults:  &faults{},
 		feeds:   map[string]*Feed{},
 		conns:   map[net.Conn][2]string{},
 		cut:     map[[2]string]bool{},
 		primary: map[string]string{},
-		lives:   map[string]*task.Scope{},
+		lives:   map[string]context.CancelFunc{},
 		sources: map[string]*Source{},
 	}
 	for i := range webControllers {
@@ -254,21 +253,21 @@
 		pick := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		next := func(string) string { return controllerName(pick.IntN(webControllers)) }
 		cursor := NewCursor(&labelled{faults: w.faults})
-		go NewFollower(sc, &webNet{w, endName(i)}, cursor, rpc.Member{ID: uint64(i + 1)}, false, next, nil).Run()
+		go NewFollower(ctx, &webNet{w, endName(i)}, cursor, rpc.Member{ID: uint64(i + 1)}, false, next, nil).Run()
 	}
 	return w
 }
 
 // boot starts a controller with nothing.
 func (w *web) boot(name string) {
-	if life := w.lives[name]; life != nil {
-		life.Stop()
+	if stop := w.lives[name]; stop != nil {
+		stop()
 	}
-	life := w.sc.Part("life")
-	w.lives[name] = life
+	ctx, stop := context.WithCancel(w.ctx)
+	w.lives[name] = stop
 	var up *Follower
-	feed := NewFeed(life, &labelled{faults: w.faults}, func(uint64, uint64) { up.Tell() })
-	up = NewFollower(life, &webNet{w, name}, feed, rpc.Member{ID: w.r.Uint64()}, true, func(string) string { return w.follows(name) }, feed.Reached)
+	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(uint64, uint64) { up.Tell() })
+	up = NewFollower(ctx, &webNet{w, name}, feed, rpc.Member{ID: w.r.Uint64()}, true, func(string) string { return w.follows(name) }, feed.Reached)
 	w.mu.Lock()
 	w.feeds[name] = feed
 	w.mu.Unlock()
@@ -350,7 +349,7 @@
 
 func (n *webNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (n *webNet) Dial(at string, _ clock.Duration) (net.Conn, error) {
+func (n *webNet) Dial(at string, _ time.Duration) (net.Conn, error) {
 	w := n.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -360,7 +359,7 @@
 	}
 	a, b := net.Pipe()
 	w.conns[b] = [2]string{n.name, at}
-	rpc.Open(w.sc, b, func(ch *rpc.Channel, m *rpc.Message) *rpc.Message {
+	rpc.Open(w.ctx, b, func(ch *rpc.Channel, m *rpc.Message) *rpc.Message {
 		switch m.Kind {
 		case rpc.Follow:
 			f.Follow(ch, m)
@@ -375,9 +374,9 @@
 func TestNoFollowerEverGoesBackThroughTakeoversCutsAndRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(time.Second) }()
-			w := newWeb(sc, seed)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(time.Second) }()
+			w := newWeb(ctx, seed)
 			w.takeOver("c0", true)
 			for range 120 {
 				w.trouble()
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -2,9 +2,9 @@
 
 import (
 	"slices"
+	"time"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
@@ -28,7 +28,7 @@
 	sent     uint64 // newest number sent in this epoch
 	received uint64 // newest number that it has taken itself
 	acked    uint64 // newest number that it and all below it have taken
-	sentAt   clock.Time
+	sentAt   time.Time
 
 	snapshotBytes int // of the snapshot under way
 }
@@ -159,7 +159,7 @@
 }
 
 func (s *subscriber) send(encoded []byte) {
-	s.sentAt = clock.Now()
+	s.sentAt = time.Now()
 	s.ch.SendRaw(encoded)
 }
 
@@ -176,19 +176,19 @@
 }
 
 // patience is how long a subscriber may be silent: longer while a snapshot is on its way to it.
-func (f *Feed) patience(s *subscriber) clock.Duration {
+func (f *Feed) patience(s *subscriber) time.Duration {
 	if s.need != needUnderWay {
 		return newsLost
 	}
 	bytes := s.snapshotBytes * snapshotsAtOnce
-	return newsLost + clock.Seconds(float64(bytes)/constants.LinkBytes)
+	return newsLost + time.Duration((float64(bytes)/constants.LinkBytes)*float64(time.Second))
 }
 
 func (f *Feed) sendBeats() {
 	current := f.current()
 	encoded := map[Position][]byte{}
 	for _, s := range f.subscribers {
-		if current && clock.Since(s.sentAt) < constants.NewsBeat/2 {
+		if current && time.Since(s.sentAt) < constants.NewsBeat/2 {
 			continue
 		}
 		if s.need != needChanges {
--- a/coord/failuredetector/watcher.go
+++ b/coord/failuredetector/watcher.go
@@ -4,13 +4,14 @@
 package failuredetector
 
 import (
+	"context"
+	"log/slog"
 	"slices"
 	"sort"
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
+	"shaletrestle/coord/wait"
 )
 
 // Pinger asks one node whether it is alive.
@@ -18,7 +19,8 @@
 
 // Watcher pings the nodes that are assigned to one node.
 type Watcher struct {
-	scope    *task.Scope
+	ctx      context.Context
+	log      *slog.Logger
 	self     string
 	nodes    func() []string
 	ping     Pinger
@@ -34,9 +36,10 @@
 
 // New makes a watcher. The function nodes lists all known nodes; report is
 // called for a node that became suspected, that still is, or that came back.
-func New(scope *task.Scope, self string, interval time.Duration, nodes func() []string, ping Pinger, report func(string, bool)) *Watcher {
+func New(ctx context.Context, log *slog.Logger, self string, interval time.Duration, nodes func() []string, ping Pinger, report func(string, bool)) *Watcher {
 	return &Watcher{
-		scope:     scope.Part("failuredetector"),
+		ctx:       ctx,
+		log:       log.With("part", "failuredetector"),
 		self:      self,
 		nodes:     nodes,
 		ping:      ping,
@@ -50,17 +53,17 @@
 // Run pings until the scope ends. Between two rounds the nodes that missed a
 // ping are asked again, so that a lost one is known soon.
 func (w *Watcher) Run() {
-	nextRound := clock.Now()
+	nextRound := time.Now()
 	for {
 		nextRound = nextRound.Add(w.interval)
 		if !w.retryUntil(nextRound) {
 			return
 		}
-		if !clock.Rest(w.scope, clock.Until(nextRound)) {
+		if !wait.Sleep(w.ctx, time.Until(nextRound)) {
 			return
 		}
-		if clock.Until(nextRound) < -w.interval { // this process stood still
-			nextRound = clock.Now()
+		if time.Until(nextRound) < -w.interval { // this process stood still
+			nextRound = time.Now()
 		}
 		w.Round()
 	}
@@ -70,8 +73,8 @@
 // next round; false if the scope ended.
 func (w *Watcher) retryUntil(nextRound time.Time) bool {
 	pause := w.interval / againPart
-	for len(w.unconfirmed()) > 0 && clock.Until(nextRound) > pause {
-		if !clock.Rest(w.scope, pause) {
+	for len(w.unconfirmed()) > 0 && time.Until(nextRound) > pause {
+		if !wait.Sleep(w.ctx, pause) {
 			return false
 		}
 		w.pingAll(w.unconfirmed())
@@ -134,7 +137,7 @@
 func (w *Watcher) record(node string, alive bool) {
 	before, after := w.update(node, alive)
 	if after != before {
-		w.scope.Log().Info("watched node", "node", node, "alive", alive)
+		w.log.Info("watched node", "node", node, "alive", alive)
 	}
 	if after || before {
 		w.report(node, alive)
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -1,6 +1,7 @@
 package failuredetector
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -14,9 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 func names(n int) (out []string) {
@@ -74,7 +73,7 @@
 func TestTheAssignmentFollowsTheNodes(t *testing.T) {
 	var mu sync.Mutex
 	known, asked := []string{"a", "b"}, map[string]bool{}
-	w := New(task.New(slog.New(slog.DiscardHandler)), "a", clock.Seconds(1), func() []string { return known },
+	w := New(context.Background(), slog.New(slog.DiscardHandler), "a", 1*time.Second, func() []string { return known },
 		func(n string) bool { mu.Lock(); asked[n] = true; mu.Unlock(); return true }, func(string, bool) {})
 	w.Round()
 	require.Equal(t, map[string]bool{"b": true}, asked)
@@ -122,7 +121,7 @@
 func TestSuspicionNeedsSeveralMissesAndEnds(t *testing.T) {
 	up := true
 	var told []string
-	w := New(task.New(slog.New(slog.DiscardHandler)), "a", clock.Seconds(1), func() []string { return []string{"a", "b"} },
+	w := New(context.Background(), slog.New(slog.DiscardHandler), "a", 1*time.Second, func() []string { return []string{"a", "b"} },
 		func(string) bool { return up }, func(n string, alive bool) { told = append(told, fmt.Sprint(n, alive)) })
 	w.Round()
 	up = false
@@ -151,13 +150,13 @@
 
 func TestALostNodeIsKnownWithinContactAndToldEachRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(5 * time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(5 * time.Second) }()
 		up, every := true, 1200*time.Millisecond
 		var mu sync.Mutex
 		var told []time.Time
 		asked := map[string]int{}
-		w := New(sc, "a", every, func() []string { return []string{"a", "b", "c"} }, func(n string) bool {
+		w := New(ctx, slog.New(slog.DiscardHandler), "a", every, func() []string { return []string{"a", "b", "c"} }, func(n string) bool {
 			mu.Lock()
 			asked[n]++
 			ok := up || n != "b"
@@ -192,7 +191,7 @@
 
 func TestTheAssignmentIsComputedOnlyWhenTheNodesChanged(t *testing.T) {
 	known := names(40)
-	w := New(task.New(slog.New(slog.DiscardHandler)), "node-7", clock.Seconds(1), func() []string { return known }, nil, nil)
+	w := New(context.Background(), slog.New(slog.DiscardHandler), "node-7", 1*time.Second, func() []string { return known }, nil, nil)
 	first := w.assignment()
 	require.Equal(t, WatchedBy("node-7", known, watchersEach), first)
 	require.NotEmpty(t, first)
--- a/coord/handoff/class.go
+++ b/coord/handoff/class.go
@@ -1,6 +1,8 @@
 package handoff
 
-import "shaletrestle/internal/clock"
+import (
+	"time"
+)
 
 // Marks draw the line between long work and prompt work, in aims of the route.
 type Marks struct {
@@ -10,13 +12,13 @@
 
 // Ask is what the configuration and a request's own heads tell of it.
 type Ask struct {
-	Stream   bool           // the route answers with events
-	Aim      clock.Duration // target_latency_ms
-	Timeout  clock.Duration // timeout_ms
-	Gap      clock.Duration // target_gap_ms: the longest pause between events
-	Stride   float64        // tokens an event may carry
-	In, Out  int            // Token-Counts
-	PerToken clock.Duration // time to read one token of a prompt
+	Stream   bool          // the route answers with events
+	Aim      time.Duration // target_latency_ms
+	Timeout  time.Duration // timeout_ms
+	Gap      time.Duration // target_gap_ms: the longest pause between events
+	Stride   float64       // tokens an event may carry
+	In, Out  int           // Token-Counts
+	PerToken time.Duration // time to read one token of a prompt
 }
 
 // Long tells whether a request is long work: people can wait for it, and it runs long. Where the configuration or the request does not say enough, it is prompt work.
--- a/coord/handoff/message.go
+++ b/coord/handoff/message.go
@@ -1,7 +1,9 @@
 // Package handoff hauls long work between nodes: who owns a job, who may run it, and what is known of a run when messages are lost, repeated or late and nodes freeze or die. Its machines step on messages and on the steady clock and do no input or output of their own.
 package handoff
 
-import "shaletrestle/internal/clock"
+import (
+	"time"
+)
 
 // Kind tells what a message says.
 type Kind uint8
@@ -89,14 +91,14 @@
 	Job     uint64
 	Ticket  Ticket
 	Outcome Outcome
-	Since   clock.Duration // Begin: when the offer came; the owner's time has run since then
+	Since   time.Duration // Begin: when the offer came; the owner's time has run since then
 }
 
 // Bounds are the spans and counts that owner and taker keep to.
 type Bounds struct {
-	Answer clock.Duration // an offer not answered for so long is void
-	Accept clock.Duration // an accepted job waits so long for its go-ahead
-	Renew  clock.Duration // the go-ahead is repeated this often
-	Lease  clock.Duration // so long without a word, and the other side counts as lost
-	Graves int            // ended jobs that a taker remembers, so as to answer for them
+	Answer time.Duration // an offer not answered for so long is void
+	Accept time.Duration // an accepted job waits so long for its go-ahead
+	Renew  time.Duration // the go-ahead is repeated this often
+	Lease  time.Duration // so long without a word, and the other side counts as lost
+	Graves int           // ended jobs that a taker remembers, so as to answer for them
 }
--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -6,11 +6,10 @@
 	"fmt"
 	"slices"
 	"testing"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/clock"
 )
 
 // The model explores every order of one job between two nodes over the real machines. A message is delivered within its step of
@@ -25,7 +24,7 @@
 
 var (
 	modelFaults   = flag.Int("model.faults", 0, "explore so many faults beside one death or freeze, instead of the usual sizes")
-	modelDeadline = clock.Duration(3)
+	modelDeadline = time.Duration(3)
 	modelBounds   = Bounds{Answer: 1, Accept: 1, Renew: 1, Lease: 2, Graves: 1}
 )
 
@@ -45,7 +44,7 @@
 }
 
 type model struct {
-	now       clock.Duration
+	now       time.Duration
 	again     bool
 	owner     *Owner
 	taker     *Taker
@@ -59,7 +58,7 @@
 	turns     int
 	runs      []runState
 	outcome   Outcome
-	deadline  clock.Duration
+	deadline  time.Duration
 	lastFrom  Ticket
 	delivered uint64
 	wrong     string
@@ -96,7 +95,7 @@
 
 // key tells states apart; moments count from now, and not beyond what can still matter.
 func (m *model) key() uint64 {
-	rel := func(x clock.Duration) byte { return byte(max(-4, min(x-m.now, 12)) + 4) }
+	rel := func(x time.Duration) byte { return byte(max(-4, min(x-m.now, 12)) + 4) }
 	b := []byte{bits(m.ownerDead, m.frozen[0], m.frozen[1], m.held), byte(m.troubles), byte(m.resets), byte(m.owner.life), byte(m.faults), byte(m.turns), byte(m.outcome),
 		byte(m.lastFrom.Life), byte(m.lastFrom.Number), byte(m.delivered), byte(m.taker.life), byte(m.taker.next)}
 	for _, j := range m.owner.jobs {
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -2,8 +2,7 @@
 
 import (
 	"sort"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 type stage uint8
@@ -17,7 +16,7 @@
 
 type job struct {
 	number   uint64
-	deadline clock.Duration
+	deadline time.Duration
 	again    bool // may run more than once
 	shots    int  // replicas that it may still be sent to
 	lent     int  // of these, lent with the offer
@@ -26,10 +25,10 @@
 	to       string
 	turn     uint64
 	ticket   Ticket
-	until    clock.Duration // offered: the offer's end
-	heard    clock.Duration // gone: the taker's last word
-	told     clock.Duration // gone: the newest go-ahead
-	parts    uint64         // passed on under this ticket
+	until    time.Duration // offered: the offer's end
+	heard    time.Duration // gone: the taker's last word
+	told     time.Duration // gone: the newest go-ahead
+	parts    uint64        // passed on under this ticket
 }
 
 // Owner holds the jobs that this process took from clients. It alone answers them.
@@ -63,14 +62,14 @@
 }
 
 // Take holds a new job and numbers it. again tells that it may run more than once, shots to how many replicas it may be sent.
-func (o *Owner) Take(deadline clock.Duration, again bool, shots int) uint64 {
+func (o *Owner) Take(deadline time.Duration, again bool, shots int) uint64 {
 	o.next++
 	o.jobs = append(o.jobs, &job{number: o.next, deadline: deadline, again: again, shots: shots})
 	return o.next
 }
 
 // Offer offers a held job to a node. Of the shots left one stays here, if it may be needed.
-func (o *Owner) Offer(now clock.Duration, number uint64, to string, body []byte) []Effect {
+func (o *Owner) Offer(now time.Duration, number uint64, to string, body []byte) []Effect {
 	_, j := o.find(number)
 	if j == nil || j.stage != held || j.shots < 1 {
 		return nil
@@ -87,7 +86,7 @@
 }
 
 // Here lets the owner run a held job itself; false if it is not held or its time is over. The job leaves the machine: nothing is open elsewhere. lost tells that an earlier run may have begun, shots how many replicas are left.
-func (o *Owner) Here(now clock.Duration, number uint64) (lost bool, shots int, ok bool) {
+func (o *Owner) Here(now time.Duration, number uint64) (lost bool, shots int, ok bool) {
 	_, j := o.find(number)
 	if j == nil || j.stage != held || j.shots < 1 || now >= j.deadline {
 		return false, 0, false
@@ -117,7 +116,7 @@
 }
 
 // Step takes a message from a taker.
-func (o *Owner) Step(now clock.Duration, m Message) []Effect {
+func (o *Owner) Step(now time.Duration, m Message) []Effect {
 	if m.Owner != o.life {
 		return nil
 	}
@@ -172,7 +171,7 @@
 
 // takes tells whether an acceptance may be answered with a go-ahead. An owner that was frozen may read it
 // before it has looked at the time: what is over by then must not begin.
-func (o *Owner) takes(now clock.Duration, j *job, m *Message) bool {
+func (o *Owner) takes(now time.Duration, j *job, m *Message) bool {
 	if now >= j.until || now >= j.deadline {
 		return false
 	}
@@ -180,7 +179,7 @@
 }
 
 // Tick does what has fallen due.
-func (o *Owner) Tick(now clock.Duration) (fx []Effect) {
+func (o *Owner) Tick(now time.Duration) (fx []Effect) {
 	for _, j := range append([]*job{}, o.jobs...) {
 		switch {
 		case now >= j.deadline:
--- a/coord/handoff/queue.go
+++ b/coord/handoff/queue.go
@@ -2,24 +2,23 @@
 
 import (
 	"sort"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 // Shares are what the queue learns with: by measurement of prompt work, never by a fixed part of the slots.
 type Shares struct {
-	Waiting int            // long jobs that may wait at once
-	Late    float64        // a prompt answer is late if its first event took more than this part of its aim
-	Most    float64        // so many of them may be late: some are, whatever long work does
-	Weight  float64        // of the newest in that share
-	Cut     float64        // the room for long work is cut to this part when more are late
-	Grow    float64        // and grows by so much for each prompt answer in time
-	Pause   clock.Duration // between two cuts: what a cut does is seen only after it
+	Waiting int           // long jobs that may wait at once
+	Late    float64       // a prompt answer is late if its first event took more than this part of its aim
+	Most    float64       // so many of them may be late: some are, whatever long work does
+	Weight  float64       // of the newest in that share
+	Cut     float64       // the room for long work is cut to this part when more are late
+	Grow    float64       // and grows by so much for each prompt answer in time
+	Pause   time.Duration // between two cuts: what a cut does is seen only after it
 }
 
 type waiter struct {
 	number uint64
-	until  clock.Duration
+	until  time.Duration
 }
 
 // Queue lets long work of this process go to replicas: as much at once as leaves prompt work in time, the rest waits shortly.
@@ -30,7 +29,7 @@
 	runs    int
 	waiting []waiter // by until
 	late    float64  // share of the latest prompt answers that were late
-	cutAt   clock.Duration
+	cutAt   time.Duration
 	cuts    int
 }
 
@@ -38,7 +37,7 @@
 func NewQueue(room float64, s Shares) *Queue { return &Queue{s: s, room: room} }
 
 // Join asks for a place until a moment. now true: it may run at once. ok false: the queue is full.
-func (q *Queue) Join(until clock.Duration, idle bool) (number uint64, now, ok bool) {
+func (q *Queue) Join(until time.Duration, idle bool) (number uint64, now, ok bool) {
 	if len(q.waiting) == 0 && (idle || float64(q.runs+1) <= q.room) {
 		q.runs++
 		return 0, true, true
@@ -71,7 +70,7 @@
 func (q *Queue) Ended() { q.runs = max(0, q.runs-1) }
 
 // Next names the jobs that may run now, those whose time ends first before others; what waited too long is given too, as late.
-func (q *Queue) Next(now clock.Duration, idle bool) (run, late []uint64) {
+func (q *Queue) Next(now time.Duration, idle bool) (run, late []uint64) {
 	for len(q.waiting) > 0 {
 		w := q.waiting[0]
 		switch {
@@ -89,7 +88,7 @@
 }
 
 // Prompt takes what was measured of one prompt answer: the part of its aim that the first event took.
-func (q *Queue) Prompt(now clock.Duration, part float64) {
+func (q *Queue) Prompt(now time.Duration, part float64) {
 	if part <= q.s.Late {
 		q.late -= q.s.Weight * q.late
 		if float64(q.runs) >= q.room-1 { // room that nobody uses is not known to be there
--- a/coord/handoff/schedule_test.go
+++ b/coord/handoff/schedule_test.go
@@ -5,10 +5,9 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/clock"
 )
 
 var townBounds = Bounds{Answer: 20, Accept: 30, Renew: 15, Lease: 50, Graves: 4}
@@ -24,7 +23,7 @@
 
 type townJob struct {
 	again     bool
-	deadline  clock.Duration
+	deadline  time.Duration
 	owner     int
 	life      uint64
 	number    uint64
@@ -117,7 +116,7 @@
 			}
 			require.NotNil(w.t, j, "a run of no job")
 			require.Nil(w.t, w.runs[f.Ticket], "one ticket run twice")
-			require.Less(w.t, clock.Duration(w.now), j.deadline+townBounds.Accept, "begun after its deadline")
+			require.Less(w.t, time.Duration(w.now), j.deadline+townBounds.Accept, "begun after its deadline")
 			w.runs[f.Ticket] = w.begin(j, f.Ticket)
 		case Stop:
 			w.runs[f.Ticket].open, w.runs[f.Ticket].ran = false, true
@@ -148,7 +147,7 @@
 
 func (w *town) step() {
 	w.now++
-	now := clock.Duration(w.now)
+	now := time.Duration(w.now)
 	if w.r.IntN(200) == 0 { // a node's channels are reset: what is under way to it is lost
 		to := w.r.IntN(len(w.nodes))
 		w.mail = slices.DeleteFunc(w.mail, func(x townMail) bool { return x.to == to })
@@ -253,7 +252,7 @@
 				i := w.r.IntN(len(w.nodes))
 				if n := w.nodes[i]; !n.frozen {
 					j := &townJob{again: w.r.IntN(2) == 0, owner: i, life: n.life, held: true}
-					j.deadline = clock.Duration(w.now + 40 + w.r.IntN(250))
+					j.deadline = time.Duration(w.now + 40 + w.r.IntN(250))
 					j.number = n.owner.Take(j.deadline, j.again, 1+w.r.IntN(3))
 					n.jobs[j.number] = j
 					w.jobs = append(w.jobs, j)
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -3,8 +3,7 @@
 import (
 	"slices"
 	"sort"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 type status uint8
@@ -24,9 +23,9 @@
 	peer   string
 	ticket uint64
 	status status
-	came   clock.Duration // the offer came
-	until  clock.Duration // accepted: the go-ahead must come before
-	heard  clock.Duration // running: the owner's last word
+	came   time.Duration // the offer came
+	until  time.Duration // accepted: the go-ahead must come before
+	heard  time.Duration // running: the owner's last word
 	parts  uint64
 	offer  Message // what was offered, until it runs
 	last   Message // over: what its owner is told
@@ -81,7 +80,7 @@
 }
 
 // Step takes a message from an owner.
-func (t *Taker) Step(now clock.Duration, m Message) []Effect {
+func (t *Taker) Step(now time.Duration, m Message) []Effect {
 	if m.Kind == Offer {
 		return t.offer(now, m)
 	}
@@ -108,7 +107,7 @@
 	return nil
 }
 
-func (t *Taker) offer(now clock.Duration, m Message) []Effect {
+func (t *Taker) offer(now time.Duration, m Message) []Effect {
 	at := place{m.Owner, m.Job, m.Turn}
 	e := t.at(at)
 	if e == nil {
@@ -124,7 +123,7 @@
 	return []Effect{{Do: Send, Message: t.message(e, Accept)}}
 }
 
-func (t *Taker) goAhead(now clock.Duration, e *entry) []Effect {
+func (t *Taker) goAhead(now time.Duration, e *entry) []Effect {
 	switch e.status {
 	case accepted:
 		if now >= e.until {
@@ -189,7 +188,7 @@
 }
 
 // Tick does what has fallen due.
-func (t *Taker) Tick(now clock.Duration) (fx []Effect) {
+func (t *Taker) Tick(now time.Duration) (fx []Effect) {
 	for _, e := range append([]*entry{}, t.entries...) {
 		switch {
 		case e.status == accepted && now >= e.until:
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -2,13 +2,15 @@
 package lease
 
 import (
+	"context"
 	"math/rand/v2"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 type grant struct {
@@ -16,11 +18,11 @@
 	life   uint64 // of the holder's process
 	mixed  bool   // requests of another life of the holder came meanwhile
 	number uint64 // the highest of a renewal in that life
-	until  clock.Time
+	until  time.Time
 }
 
 // renew extends a grant that runs. A request may be a late one: it neither shortens the grant nor lowers its number, so that an old give-back stays older than what was granted since. Of two lives of the holder nobody here knows which is the later, so no give-back counts any more.
-func (g *grant) renew(life, number uint64, until clock.Time) {
+func (g *grant) renew(life, number uint64, until time.Time) {
 	g.mixed = g.mixed || g.life != life
 	g.number = max(g.number, number)
 	if until.After(g.until) {
@@ -36,16 +38,16 @@
 // Grantor answers lease requests. It keeps nothing on disk: a new one refuses until any lease that its forerunner gave has ended.
 type Grantor struct {
 	mu    sync.Mutex
-	born  clock.Time
+	born  time.Time
 	given map[string]grant
 }
 
 // NewGrantor makes a grantor.
-func NewGrantor() *Grantor { return &Grantor{born: clock.Now(), given: map[string]grant{}} }
+func NewGrantor() *Grantor { return &Grantor{born: time.Now(), given: map[string]grant{}} }
 
 // Handle answers a lease request.
 func (g *Grantor) Handle(n *rpc.Message) *rpc.Message {
-	now := clock.Now()
+	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now.Sub(g.born) < constants.LeaseSpan {
@@ -62,7 +64,7 @@
 		}
 		return n.Reply(true)
 	}
-	until := now.Add(min(clock.Duration(n.Span), constants.LeaseSpan))
+	until := now.Add(min(time.Duration(n.Span), constants.LeaseSpan))
 	if runs {
 		held.renew(n.Ballot, n.Number, until)
 	} else {
@@ -74,12 +76,12 @@
 
 // Asker asks one grantor.
 type Asker interface {
-	Call(addr string, n *rpc.Message, d clock.Duration) (*rpc.Message, error)
+	Call(addr string, n *rpc.Message, d time.Duration) (*rpc.Message, error)
 }
 
 // Holder keeps one duty's lease while it is wanted.
 type Holder struct {
-	sc    *task.Scope
+	ctx   context.Context
 	duty  string
 	self  rpc.Member
 	ask   Asker
@@ -89,16 +91,16 @@
 	life  uint64 // of this holder: its requests are numbered within it
 
 	mu        sync.Mutex
-	until     clock.Time
-	since     clock.Time
+	until     time.Time
+	since     time.Time
 	requests  uint64 // sent
 	givenBack uint64 // times; a renewal that was under way then counts no more
 }
 
 // NewHolder makes a holder; from names the grantors of the moment, want says whether the duty is wanted, local is this process's own grantor.
-func NewHolder(sc *task.Scope, duty string, self rpc.Member, ask Asker, from func() []rpc.Member, want func() bool, local *Grantor) *Holder {
+func NewHolder(ctx context.Context, duty string, self rpc.Member, ask Asker, from func() []rpc.Member, want func() bool, local *Grantor) *Holder {
 	return &Holder{
-		sc:    sc.Part("lease"),
+		ctx:   ctx,
 		duty:  duty,
 		self:  self,
 		ask:   ask,
@@ -113,26 +115,26 @@
 func (h *Holder) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return clock.Now().Before(h.until)
+	return time.Now().Before(h.until)
 }
 
 // Since tells since when the duty is held without a gap; ok is false if it isn't held now.
-func (h *Holder) Since() (m clock.Time, ok bool) {
+func (h *Holder) Since() (m time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.since, clock.Now().Before(h.until)
+	return h.since, time.Now().Before(h.until)
 }
 
 // Run renews until the scope ends, then gives back.
 func (h *Holder) Run() {
-	clock.Every(h.sc, leaseRenew, func() bool { h.Renew(); return true })
+	wait.Every(h.ctx, leaseRenew, func() bool { h.Renew(); return true })
 	h.giveBack()
 }
 
 func (h *Holder) giveBack() {
 	h.mu.Lock()
 	had := !h.until.IsZero()
-	h.until = clock.Time{}
+	h.until = time.Time{}
 	h.givenBack++
 	number := h.nextRequest() // under the same lock: a renewal that begins after this has a higher one
 	h.mu.Unlock()
@@ -151,7 +153,7 @@
 	givenBack := h.givenBack
 	number := h.nextRequest()
 	h.mu.Unlock()
-	start := clock.Now()
+	start := time.Now()
 	if !h.round(uint64(constants.LeaseSpan), number) {
 		return false
 	}
@@ -161,7 +163,7 @@
 		return false
 	}
 	if !start.Before(h.until) {
-		h.since = clock.Now()
+		h.since = time.Now()
 	}
 	end := start.Add(constants.LeaseSpan - leaseMargin)
 	if end.After(h.until) {
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -1,8 +1,8 @@
 package lease
 
 import (
+	"context"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -13,10 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // fleet is grantors in one process, some of them out of reach.
@@ -27,7 +25,7 @@
 	lag  time.Duration
 }
 
-func (f *fleet) Call(addr string, n *rpc.Message, _ clock.Duration) (*rpc.Message, error) {
+func (f *fleet) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
 	var i int
 	_, _ = fmt.Sscan(addr, &i)
 	time.Sleep(f.lag)
@@ -53,7 +51,7 @@
 }
 
 func (f *fleet) holder(id uint64) *Holder {
-	return NewHolder(task.New(slog.New(slog.DiscardHandler)), "list", rpc.Member{ID: id}, f, f.seats, func() bool { return true }, nil)
+	return NewHolder(context.Background(), "list", rpc.Member{ID: id}, f, f.seats, func() bool { return true }, nil)
 }
 
 func TestOneHolderAtATime(t *testing.T) {
@@ -146,7 +144,7 @@
 	r  *rand.Rand
 }
 
-func (d *delayed) Call(addr string, n *rpc.Message, _ clock.Duration) (*rpc.Message, error) {
+func (d *delayed) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
 	d.mu.Lock()
 	there, back := time.Duration(d.r.IntN(5)), time.Duration(d.r.IntN(5))
 	if d.r.IntN(4) == 0 {
@@ -183,13 +181,13 @@
 			r := rand.New(rand.NewPCG(seed, 11))
 			f := newFleet()
 			d := &delayed{f: f, r: rand.New(rand.NewPCG(seed, 12))}
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(10 * time.Second) }()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(10 * time.Second) }()
 			const holders = 3
 			wants := make([]atomic.Bool, holders)
 			hs := make([]*Holder, holders)
 			for i := range hs {
-				hs[i] = NewHolder(sc, "list", rpc.Member{ID: uint64(i + 1)}, d, f.seats, wants[i].Load, nil)
+				hs[i] = NewHolder(ctx, "list", rpc.Member{ID: uint64(i + 1)}, d, f.seats, wants[i].Load, nil)
 				go hs[i].Run()
 			}
 			next := time.Now()
--- a/coord/outlier/detector.go
+++ b/coord/outlier/detector.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"sort"
 	"sync"
+	"time"
 
 	"go.uber.org/atomic"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
@@ -47,10 +47,10 @@
 // fading is a sum that halves with time.
 type fading struct {
 	n  float64
-	at clock.Time
+	at time.Time
 }
 
-func (f *fading) now(now clock.Time, half clock.Duration) float64 {
+func (f *fading) now(now time.Time, half time.Duration) float64 {
 	if f.n != 0 && now.After(f.at) {
 		f.n *= math.Exp2(-now.Sub(f.at).Seconds() / half.Seconds())
 	}
@@ -58,17 +58,17 @@
 	return f.n
 }
 
-func (f *fading) add(x float64, now clock.Time, half clock.Duration) { f.n = f.now(now, half) + x }
+func (f *fading) add(x float64, now time.Time, half time.Duration) { f.n = f.now(now, half) + x }
 
 type record struct {
 	pool       string
 	bad        fading
 	episodes   fading // ejections of late
-	out        clock.Time
+	out        time.Time
 	judged     bool // the ejection is by judgement, not for a hard failure
 	trial      bool // the next shot is the one trial after an ejection
 	trying     bool // it is out
-	suspect    clock.Time
+	suspect    time.Time
 	good, fail float64 // not told yet
 }
 
@@ -127,7 +127,7 @@
 }
 
 // Fit tells whether a replica may be chosen now. A bold inquiry may be sent again if it fails: most trials of suspects are made with these.
-func (g *Gauge) Fit(id string, bold bool, now clock.Time) Fitness {
+func (g *Gauge) Fit(id string, bold bool, now time.Time) Fitness {
 	if g.cases.Load() == 0 {
 		return Fit
 	}
@@ -164,7 +164,7 @@
 }
 
 // Due is how long after sending a first word is overdue: far later than the prediction, or without one (0) than the service's answers take on average, and well after the aim: before it a busy replica may just have a line. ok is false while that isn't known.
-func (g *Gauge) Due(id string, expect, aim clock.Duration) (d clock.Duration, ok bool) {
+func (g *Gauge) Due(id string, expect, aim time.Duration) (d time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.r[id]
@@ -176,13 +176,13 @@
 		if s.seen < tookOver {
 			return 0, false
 		}
-		expect = clock.Seconds(s.took)
+		expect = time.Duration((s.took) * float64(time.Second))
 	}
-	return max(clock.Duration(slowTimes*float64(expect))+slowLeast, clock.Duration(slowAims*float64(aim))), true
+	return max(time.Duration(slowTimes*float64(expect))+slowLeast, time.Duration(slowAims*float64(aim))), true
 }
 
 // Good notes that a replica's first word came, took after sending. overdue says that it was held against it already that it came late.
-func (g *Gauge) Good(id string, took, expect clock.Duration, overdue bool, now clock.Time) {
+func (g *Gauge) Good(id string, took, expect time.Duration, overdue bool, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.r[id]
@@ -201,7 +201,7 @@
 }
 
 // Bad notes a failure of a replica.
-func (g *Gauge) Bad(id string, k Kind, now clock.Time) {
+func (g *Gauge) Bad(id string, k Kind, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r := g.r[id]; r != nil {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (g *Gauge) blame(r *record, k Kind, now clock.Time) {
+func (g *Gauge) blame(r *record, k Kind, now time.Time) {
 	s, w := g.s[r.pool], weights[k]
 	others := 0.0
 	if s.n > 1 {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (g *Gauge) judged(pool string, now clock.Time) (n int) {
+func (g *Gauge) judged(pool string, now time.Time) (n int) {
 	for _, r := range g.r {
 		if r.pool == pool && r.judged && now.Before(r.out) {
 			n++
@@ -246,7 +246,7 @@
 }
 
 // eject keeps shots away for a time that grows with the episodes of late. Beyond the part of a service that may be out it doesn't grow.
-func (g *Gauge) eject(r *record, judged bool, now clock.Time) {
+func (g *Gauge) eject(r *record, judged bool, now time.Time) {
 	out := 0
 	for _, x := range g.r {
 		if x.pool == r.pool && now.Before(x.out) {
@@ -256,7 +256,7 @@
 	d := constants.EjectFirst
 	if out < room(g.s[r.pool].n) {
 		n := math.Floor(r.episodes.now(now, episodeHalf) + 0.5)
-		d = min(ejectMost, clock.Duration(float64(d)*math.Exp2(min(n, 4))))
+		d = min(ejectMost, time.Duration(float64(d)*math.Exp2(min(n, 4))))
 	}
 	g.cases.Inc()
 	r.episodes.add(1, now, episodeHalf)
@@ -264,7 +264,7 @@
 }
 
 // Suspected takes what control says of the whole fleet's experience: these replicas, and no others, are under suspicion for a while. Suspicion alone ejects nobody; it passes most shots by and lowers the own evidence needed.
-func (g *Gauge) Suspected(ids []string, now clock.Time) {
+func (g *Gauge) Suspected(ids []string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	on := map[string]bool{}
@@ -277,7 +277,7 @@
 			r.suspect = now.Add(suspectSpan)
 			g.cases.Inc()
 		default:
-			r.suspect = clock.Time{}
+			r.suspect = time.Time{}
 		}
 	}
 }
@@ -291,7 +291,7 @@
 }
 
 // Words gives what is to be told and forgets it: failures, and for replicas under suspicion what went well too. In calm times there is none.
-func (g *Gauge) Words(node uint64, now clock.Time) []Report {
+func (g *Gauge) Words(node uint64, now time.Time) []Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var ws []Report
@@ -320,7 +320,7 @@
 }
 
 // Stats tells of the replicas that anything is held against.
-func (g *Gauge) Stats(now clock.Time) map[string]Stat {
+func (g *Gauge) Stats(now time.Time) map[string]Stat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := map[string]Stat{}
--- a/coord/outlier/verdicts.go
+++ b/coord/outlier/verdicts.go
@@ -4,16 +4,15 @@
 	"slices"
 	"sort"
 	"sync"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 type hearing struct {
 	pool       string
 	bad        fading
-	tellers    map[uint64]clock.Time
-	since      clock.Time // of the suspicion; zero if there is none
-	good, fail float64    // since then
+	tellers    map[uint64]time.Time
+	since      time.Time // of the suspicion; zero if there is none
+	good, fail float64   // since then
 	episodes   fading
 }
 
@@ -22,14 +21,14 @@
 	mu   sync.Mutex
 	c    map[string]*hearing
 	told []string
-	at   clock.Time
+	at   time.Time
 }
 
 // NewJury makes a jury without a case.
 func NewJury() *Verdicts { return &Verdicts{c: map[string]*hearing{}} }
 
 // Hear takes words; pool gives a replica's service, empty if it isn't known.
-func (j *Verdicts) Hear(ws []Report, pool func(id string) string, now clock.Time) {
+func (j *Verdicts) Hear(ws []Report, pool func(id string) string, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, w := range ws {
@@ -39,7 +38,7 @@
 		}
 		c := j.c[w.ID]
 		if c == nil {
-			c = &hearing{pool: p, tellers: map[uint64]clock.Time{}}
+			c = &hearing{pool: p, tellers: map[uint64]time.Time{}}
 			j.c[w.ID] = c
 		}
 		if w.Bad > 0 {
@@ -54,7 +53,7 @@
 }
 
 // Verdict gives the replicas under suspicion; size tells how many a service has. News is true when it must be told: it changed, or the last telling runs out.
-func (j *Verdicts) Verdict(size map[string]int, now clock.Time) (ids []string, news bool) {
+func (j *Verdicts) Verdict(size map[string]int, now time.Time) (ids []string, news bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	sum, held := map[string]float64{}, map[string]int{}
@@ -71,7 +70,7 @@
 			}
 		}
 		if !c.since.IsZero() && (c.acquitted() || now.Sub(c.since) >= suspectMost) {
-			c.since, c.bad, c.tellers = clock.Time{}, fading{}, map[uint64]clock.Time{}
+			c.since, c.bad, c.tellers = time.Time{}, fading{}, map[uint64]time.Time{}
 		}
 		switch {
 		case !c.since.IsZero():
--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -63,7 +63,7 @@
 		for f.change < 10_000 {
 			f.orders(t, 125)
 			for i := range f.m {
-				if f.sc[i].Ended() {
+				if f.ctx[i].Err() != nil {
 					continue
 				}
 				k := f.keptBy(i)
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -83,7 +83,7 @@
 	case m.events <- event:
 	case <-timer.C:
 		return errkind.New(errkind.Unready, "not begun in time")
-	case <-m.scope.Done():
+	case <-m.ctx.Done():
 		return errkind.New(errkind.Unready, "ending")
 	}
 	select {
@@ -91,7 +91,7 @@
 		return outcomeError(answer)
 	case <-timer.C:
 		return errkind.New(errkind.Unready, "not decided in time")
-	case <-m.scope.Done():
+	case <-m.ctx.Done():
 		return errkind.New(errkind.Unready, "ending")
 	}
 }
@@ -120,7 +120,7 @@
 	case m.events <- core.Leave{Deadline: deadline.Sub(m.born)}:
 	case <-timer.C:
 		return false
-	case <-m.scope.Done():
+	case <-m.ctx.Done():
 		return false
 	}
 	select {
@@ -128,7 +128,7 @@
 		return left.Complete
 	case <-timer.C:
 		return false
-	case <-m.scope.Done():
+	case <-m.ctx.Done():
 		return false
 	}
 }
--- a/coord/replication/crowd_test.go
+++ b/coord/replication/crowd_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -13,7 +14,6 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // life fences what a stopped member still tries to do.
@@ -60,7 +60,8 @@
 	losses int
 	zone   []string
 	area   func(string) string
-	sc     []*task.Scope
+	ctx    []context.Context // a member runs until its own ends
+	cancel []context.CancelFunc
 	m      []*Member
 	l      []*lines
 	st     []*memory
@@ -71,7 +72,7 @@
 
 func (t *crowd) start(i int) {
 	address := fmt.Sprint("m", i)
-	t.sc[i] = task.New(slog.New(slog.DiscardHandler))
+	t.ctx[i], t.cancel[i] = context.WithCancel(context.Background())
 	t.l[i] = &lines{}
 	t.lf[i] = &life{memory: t.st[i], h: t.h}
 	config := Config{
@@ -81,7 +82,7 @@
 	if t.adjust != nil {
 		t.adjust(i, &config)
 	}
-	m, err := New(t.sc[i], config)
+	m, err := New(t.ctx[i], slog.New(slog.DiscardHandler), config)
 	if err != nil {
 		panic(err)
 	}
@@ -95,7 +96,7 @@
 func (t *crowd) stop(i int) {
 	t.h.setOff(fmt.Sprint("m", i), true)
 	t.lf[i].dead.Store(true)
-	t.sc[i].Stop()
+	t.cancel[i]()
 }
 
 // wipe gives a stopped member an empty disk.
@@ -129,7 +130,8 @@
 
 // add puts up one more machine, with an empty disk; it is not started.
 func (t *crowd) add(zone string) int {
-	t.zone, t.sc, t.m = append(t.zone, zone), append(t.sc, nil), append(t.m, nil)
+	t.zone, t.m = append(t.zone, zone), append(t.m, nil)
+	t.ctx, t.cancel = append(t.ctx, nil), append(t.cancel, nil)
 	t.l, t.st, t.lf = append(t.l, nil), append(t.st, nil), append(t.lf, nil)
 	t.wipe(len(t.st) - 1)
 	return len(t.st) - 1
@@ -144,15 +146,15 @@
 func newTrio() *crowd { return newCrowd(1, "a", "b", "c") }
 
 func (t *crowd) end() {
-	for _, s := range t.sc {
-		s.Stop()
+	for _, cancel := range t.cancel {
+		cancel()
 	}
 	time.Sleep(5 * time.Second)
 }
 
 func (t *crowd) primary() int {
 	for i, m := range t.m {
-		if _, ok := m.Active(); ok && !t.sc[i].Ended() {
+		if _, ok := m.Active(); ok && t.ctx[i].Err() == nil {
 			return i
 		}
 	}
@@ -227,7 +229,7 @@
 	for _, w := range view.Witnesses {
 		i := t.at(w)
 		require.GreaterOrEqual(tt, i, 0, "witness %d is a disk that is gone", w.ID)
-		require.False(tt, t.sc[i].Ended(), "witness %s is lost", w.Address)
+		require.False(tt, t.ctx[i].Err() != nil, "witness %s is lost", w.Address)
 	}
 	for place, n := range t.places(view.Witnesses) {
 		require.LessOrEqual(tt, n, t.losses, "too many witnesses in %s", place)
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -1,17 +1,19 @@
 package replication
 
 import (
+	"context"
+	"log/slog"
 	"sync"
 	"time"
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // diskWorker carries disk jobs out, one after the other, in a goroutine of its own: a disk that stalls holds nothing else up.
 type diskWorker struct {
-	scope  *task.Scope
+	ctx    context.Context
+	log    *slog.Logger
 	store  Store
 	timing core.Timing
 	post   func(core.Event)
@@ -21,8 +23,8 @@
 	jobs []core.Effect
 }
 
-func newDiskWorker(scope *task.Scope, store Store, timing core.Timing, post func(core.Event)) *diskWorker {
-	return &diskWorker{scope: scope, store: store, timing: timing, post: post, ready: make(chan struct{}, 1)}
+func newDiskWorker(ctx context.Context, store Store, timing core.Timing, post func(core.Event)) *diskWorker {
+	return &diskWorker{ctx: ctx, store: store, timing: timing, post: post, ready: make(chan struct{}, 1)}
 }
 
 // add queues a job; it never blocks.
@@ -47,15 +49,15 @@
 	return job, true
 }
 
-// run works until the scope ends.
+// run works until the context ends.
 func (w *diskWorker) run() {
 	for {
 		select {
 		case <-w.ready:
-		case <-w.scope.Done():
+		case <-w.ctx.Done():
 			return
 		}
-		for job, ok := w.take(); ok && !w.scope.Ended(); job, ok = w.take() {
+		for job, ok := w.take(); ok && w.ctx.Err() == nil; job, ok = w.take() {
 			w.carryOut(job)
 		}
 	}
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -1,7 +1,7 @@
 package replication
 
 import (
-	"log/slog"
+	"context"
 	"net"
 	"sync"
 	"testing"
@@ -13,12 +13,11 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // pipes is a network of pipes to one listener; a mute one takes bytes and gives no answer.
 type pipes struct {
-	scope *task.Scope
+	ctx   context.Context
 	mu    sync.Mutex
 	dials int
 	down  bool
@@ -33,16 +32,16 @@
 		return nil, errkind.New(errkind.Unready, "nobody is there")
 	}
 	near, far := net.Pipe()
-	rpc.Open(p.scope, far, p.take)
+	rpc.Open(p.ctx, far, p.take)
 	return near, nil
 }
 
 func (p *pipes) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // linked is a member's links, and what arrives at the other end.
-func linked(scope *task.Scope, answer func(channel *rpc.Channel)) (*Links, *pipes, chan core.Message) {
+func linked(ctx context.Context, answer func(channel *rpc.Channel)) (*Links, *pipes, chan core.Message) {
 	arrived := make(chan core.Message, 100)
-	p := &pipes{scope: scope}
+	p := &pipes{ctx: ctx}
 	p.take = func(channel *rpc.Channel, note *rpc.Message) *rpc.Message {
 		message, err := decodeMessage(note.Body)
 		if err == nil {
@@ -53,7 +52,7 @@
 		}
 		return nil
 	}
-	links := NewLinks(rpc.NewLines(scope, p, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil }))
+	links := NewLinks(rpc.NewLines(ctx, p, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil }))
 	return links, p, arrived
 }
 
@@ -63,9 +62,9 @@
 
 func TestMessagesWaitForTheDialAndShareItsChannel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scope := task.New(slog.New(slog.DiscardHandler))
-		defer scope.Stop()
-		links, network, arrived := linked(scope, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		links, network, arrived := linked(ctx, nil)
 		for round := range uint64(5) {
 			links.Send("b", confirmRound(round))
 		}
@@ -80,9 +79,9 @@
 
 func TestAnUnreachableMemberHoldsNothingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scope := task.New(slog.New(slog.DiscardHandler))
-		defer scope.Stop()
-		links, network, arrived := linked(scope, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		links, network, arrived := linked(ctx, nil)
 		network.down = true
 		for round := range uint64(1000) {
 			links.Send("b", confirmRound(round))
@@ -100,9 +99,9 @@
 // TestASilentChannelIsLeft sends on a channel on which no answer comes: it is closed after the wait of an answer, and another is dialled.
 func TestASilentChannelIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scope := task.New(slog.New(slog.DiscardHandler))
-		defer scope.Stop()
-		links, network, _ := linked(scope, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		links, network, _ := linked(ctx, nil)
 		for range 8 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(100 * time.Millisecond)
@@ -114,9 +113,9 @@
 
 func TestAnAnsweredChannelIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scope := task.New(slog.New(slog.DiscardHandler))
-		defer scope.Stop()
-		links, network, _ := linked(scope, func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		links, network, _ := linked(ctx, func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
 		for range 30 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(time.Second)
@@ -128,16 +127,16 @@
 // TestAnAnswerGoesTheWayTheQuestionCame sends to a member that was heard on a channel of its own: nothing is dialled.
 func TestAnAnswerGoesTheWayTheQuestionCame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		scope := task.New(slog.New(slog.DiscardHandler))
-		defer scope.Stop()
-		links, network, _ := linked(scope, nil)
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		links, network, _ := linked(ctx, nil)
 		near, far := net.Pipe()
 		heard := make(chan *rpc.Message, 1)
-		rpc.Open(scope, far, func(_ *rpc.Channel, note *rpc.Message) *rpc.Message {
+		rpc.Open(ctx, far, func(_ *rpc.Channel, note *rpc.Message) *rpc.Message {
 			heard <- note
 			return nil
 		})
-		accepted := rpc.Open(scope, near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
+		accepted := rpc.Open(ctx, near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
 		links.Heard("b", accepted)
 		links.Send("b", confirmRound(7))
 		synctest.Wait()
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -162,7 +162,7 @@
 	})
 }
 
-func (r *lossRun) running(i int) bool { return r.crowd.sc[i] != nil && !r.crowd.sc[i].Ended() }
+func (r *lossRun) running(i int) bool { return r.crowd.ctx[i] != nil && r.crowd.ctx[i].Err() == nil }
 
 // lostNow is the number of members that count as lost.
 func (r *lossRun) lostNow() int {
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -1,7 +1,9 @@
 package replication
 
 import (
+	"context"
 	"errors"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -9,7 +11,6 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 const (
@@ -19,7 +20,8 @@
 
 // Member is one process that takes part in the replication.
 type Member struct {
-	scope  *task.Scope
+	ctx    context.Context
+	log    *slog.Logger
 	config Config
 	self   core.Member
 	timing core.Timing
@@ -46,16 +48,17 @@
 }
 
 // New makes a member from its store; Run starts it.
-func New(scope *task.Scope, config Config) (*Member, error) {
+func New(ctx context.Context, log *slog.Logger, config Config) (*Member, error) {
 	m := &Member{
-		scope:  scope.Part("replication"),
+		ctx:    ctx,
+		log:    log.With("part", "replication"),
 		config: config,
 		timing: core.DefaultTiming(),
 		born:   time.Now(),
 		events: make(chan core.Event, eventsMost),
 		left:   make(chan core.Left, 1),
 	}
-	m.disk = newDiskWorker(m.scope, config.Store, m.timing, m.post)
+	m.disk = newDiskWorker(m.ctx, config.Store, m.timing, m.post)
 	err := m.load()
 	if errors.Is(err, core.ErrCorrupt) {
 		err = m.startOver(err)
@@ -94,14 +97,14 @@
 	if !ok {
 		return cause
 	}
-	m.scope.Log().Error("the stored state can't be used; the disk is joined anew, empty", "err", cause.Error())
+	m.log.Error("the stored state can't be used; the disk is joined anew, empty", "err", cause.Error())
 	if err := restarter.StartOver(cause.Error()); err != nil {
 		return errors.Join(cause, err)
 	}
 	return m.load()
 }
 
-// Run works until the scope ends.
+// Run works until the context ends.
 func (m *Member) Run() {
 	go m.disk.run()
 	timer := time.NewTimer(m.step(core.Started{}))
@@ -113,7 +116,7 @@
 			wait = m.step(event)
 		case <-timer.C:
 			wait = m.step(core.Tick{})
-		case <-m.scope.Done():
+		case <-m.ctx.Done():
 			return
 		}
 		timer.Reset(wait)
@@ -177,7 +180,7 @@
 		default:
 		}
 	case core.Log:
-		m.scope.Log().LogAttrs(m.scope.Context(), effect.Level, effect.Message, effect.Attributes...)
+		m.log.LogAttrs(m.ctx, effect.Level, effect.Message, effect.Attributes...)
 	}
 }
 
@@ -185,7 +188,7 @@
 func (m *Member) post(event core.Event) {
 	select {
 	case m.events <- event:
-	case <-m.scope.Done():
+	case <-m.ctx.Done():
 	}
 }
 
@@ -204,7 +207,7 @@
 	}
 	message, err := decodeMessage(note.Body)
 	if err != nil {
-		m.scope.Log().Warn("message not read", "err", err.Error())
+		m.log.Warn("message not read", "err", err.Error())
 		return true
 	}
 	m.config.Transport.Heard(message.Route().From.Address, channel)
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"strings"
@@ -14,7 +15,6 @@
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // TestTakeoverAtEveryStepOfAWrite loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
@@ -323,26 +323,26 @@
 }
 
 func TestAMemberWhoseStateIsNotUnderstoodJoinsAnew(t *testing.T) {
-	sc := task.New(slog.New(slog.DiscardHandler))
-	defer sc.Stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	disk := &spoiled{memory: memory{id: 7}}
 	disk.snapshot = &core.Snapshot{Position: core.Position{Index: 1, Digest: 5}}
 	disk.entries = []core.Entry{{Index: 9, Previous: 1}}
-	m, err := New(sc, Config{Address: "a", Seeds: []string{"a"}, Store: disk, Machine: &lines{}, Transport: newHall()})
+	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, Machine: &lines{}, Transport: newHall()})
 	require.NoError(t, err)
 	require.Len(t, disk.restarts, 1)
 	require.EqualValues(t, 8, m.Self().ID)
 	helpless := &memory{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
-	_, err = New(sc, Config{Address: "a", Store: helpless, Machine: &lines{}, Transport: newHall()})
+	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, Machine: &lines{}, Transport: newHall()})
 	require.ErrorIs(t, err, core.ErrCorrupt, "its store can't start over")
 }
 
 func ExampleMember_Propose() {
-	sc := task.New(slog.New(slog.DiscardHandler))
-	defer sc.Stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	ready := make(chan uint64, 1)
 	text := &lines{}
-	m, err := New(sc, Config{
+	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
 		Address: "only", Seeds: []string{"only"}, Store: &memory{id: 7}, Machine: text, Transport: newHall(),
 		OnActive: func(epoch uint64) { ready <- epoch },
 	})
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"context"
 	"encoding/binary"
 	"fmt"
 	"log/slog"
@@ -15,7 +16,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/task"
 )
 
 // TestAMemberIsReplacedWhileAnotherIsDown takes a machine away for good, adds one at another address, and loses another meanwhile.
@@ -198,9 +198,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCrowd(1, "a", "b", "c")
 		defer c.end()
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer sc.Stop()
-		m, err := New(sc, Config{
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
 			Address: "m9", Zone: "d", Seeds: []string{"m0", "m1", "m2"}, Losses: 1, Relay: true,
 			Store: NewNoDisk(), Machine: &lines{}, Transport: c.h,
 		})
@@ -265,13 +265,13 @@
 		h := newHall()
 		var ms []*Member
 		for i := range 4 {
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer sc.Stop()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			cf := Config{Address: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i), Seeds: []string{"m0", "m1", "m2"}, Losses: 1, Store: &memory{id: uint64(i + 1)}, Machine: &lines{}, Transport: h}
 			if i == 0 {
 				cf.Relay, cf.Store = true, NewNoDisk()
 			}
-			m, err := New(sc, cf)
+			m, err := New(ctx, slog.New(slog.DiscardHandler), cf)
 			require.NoError(t, err)
 			ms = append(ms, m)
 			h.mu.Lock()
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -103,7 +103,7 @@
 	}
 	s.plan(from+long, func() {
 		c.st[victim].full.Store(false)
-		if c.sc[victim].Ended() {
+		if c.ctx[victim].Err() != nil {
 			c.start(victim)
 		}
 	})
@@ -125,14 +125,14 @@
 	from := s.span(3 * time.Second)
 	s.plan(from, func() {
 		for i := range c.m {
-			if !c.sc[i].Ended() {
+			if c.ctx[i].Err() == nil {
 				c.stop(i)
 			}
 		}
 	})
 	for i := range c.m {
 		s.plan(from+s.span(time.Second), func() {
-			if c.sc[i].Ended() {
+			if c.ctx[i].Err() != nil {
 				c.start(i)
 			}
 		})
@@ -215,7 +215,7 @@
 func (s *scheduleRun) settle() {
 	c := s.c
 	for i := range c.m {
-		if c.sc[i].Ended() {
+		if c.ctx[i].Err() != nil {
 			c.start(i)
 		}
 	}
--- a/coord/replication/settings_test.go
+++ b/coord/replication/settings_test.go
@@ -195,7 +195,7 @@
 	found, newest := -1, uint64(0)
 	for i, m := range f.m {
 		epoch, active := m.Active()
-		if active && epoch > newest && !f.sc[i].Ended() && !f.isFrozen(i) {
+		if active && epoch > newest && f.ctx[i].Err() == nil && !f.isFrozen(i) {
 			found, newest = i, epoch
 		}
 	}
--- a/coord/replication/tolerance_test.go
+++ b/coord/replication/tolerance_test.go
@@ -102,7 +102,7 @@
 						}
 						time.Sleep(500 * time.Millisecond)
 						for i := range c.m {
-							if c.sc[i].Ended() {
+							if c.ctx[i].Err() != nil {
 								c.start(i)
 							}
 						}
@@ -212,7 +212,7 @@
 					q := c.holds(t, "first;")
 					require.NoError(t, c.propose(q, "second"))
 					require.Len(t, c.m[q].View().Replicas(), 3)
-					require.True(t, c.sc[c.at(next)].Ended(), "it was killed on the way")
+					require.True(t, c.ctx[c.at(next)].Err() != nil, "it was killed on the way")
 					c.h.setDrop(nil)
 					if !isInstall {
 						c.start(p)
--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -2,16 +2,16 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/binary"
 	"io"
 	"net"
 	"sync"
+	"time"
 
 	"go.uber.org/atomic"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // Handler takes a note that came in; a non-nil result is sent back.
@@ -20,21 +20,22 @@
 // Channel is one held connection between own processes. A task owns each direction of its socket. Calls are
 // numbered within the channel's life, so that an answer finds the call that it belongs to, or nobody.
 type Channel struct {
-	sc    *task.Scope
-	c     net.Conn
-	out   chan outgoing
-	mu    sync.Mutex
-	wait  map[uint64]pending
-	next  uint64
-	heard atomic.Int64
-	bye   []func()
-	over  bool
+	ctx    context.Context
+	cancel context.CancelFunc
+	c      net.Conn
+	out    chan outgoing
+	mu     sync.Mutex
+	wait   map[uint64]pending
+	next   uint64
+	heard  atomic.Int64
+	bye    []func()
+	over   bool
 }
 
 // outgoing is an encoded note on its way to the socket.
 type outgoing struct {
 	encoded []byte
-	until   clock.Time // a call that nobody waits for any more is not sent; zero: no bound
+	until   time.Time // a call that nobody waits for any more is not sent; zero: no bound
 }
 
 // pending is a call that waits for its answer.
@@ -44,9 +45,10 @@
 }
 
 // Open starts the tasks of a channel over a connection. Calls are handled each in a task of its own, other notes in order.
-func Open(sc *task.Scope, c net.Conn, h Handler) *Channel {
-	ch := &Channel{sc: sc.Part("channel"), c: c, out: make(chan outgoing, outboxLen), wait: map[uint64]pending{}}
-	ch.heard.Store(clock.Now().UnixNano())
+func Open(ctx context.Context, c net.Conn, h Handler) *Channel {
+	ctx, cancel := context.WithCancel(ctx)
+	ch := &Channel{ctx: ctx, cancel: cancel, c: c, out: make(chan outgoing, outboxLen), wait: map[uint64]pending{}}
+	ch.heard.Store(time.Now().UnixNano())
 	go ch.write()
 	go ch.read(h)
 	return ch
@@ -64,7 +66,7 @@
 			if len(ch.out) == 0 && w.Flush() != nil {
 				return
 			}
-		case <-ch.sc.Done():
+		case <-ch.ctx.Done():
 			return
 		}
 	}
@@ -72,7 +74,7 @@
 
 // writeFrame writes one note. A process that stood still looks at the time before it sends what was asked for then.
 func writeFrame(w *bufio.Writer, o outgoing) error {
-	if !o.until.IsZero() && !clock.Now().Before(o.until) {
+	if !o.until.IsZero() && !time.Now().Before(o.until) {
 		return nil
 	}
 	var size [4]byte
@@ -112,7 +114,7 @@
 func (r heardReader) Read(b []byte) (int, error) {
 	n, err := r.ch.c.Read(b)
 	if n > 0 {
-		r.ch.heard.Store(clock.Now().UnixNano())
+		r.ch.heard.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
@@ -177,7 +179,7 @@
 func (ch *Channel) queue(o outgoing) bool {
 	select {
 	case ch.out <- o:
-		return !ch.sc.Ended()
+		return ch.ctx.Err() == nil
 	default:
 		go ch.Close() // its end may need locks that the sender holds
 		return false
@@ -185,8 +187,8 @@
 }
 
 // Call sends a note and waits for its answer.
-func (ch *Channel) Call(n *Message, d clock.Duration) (*Message, error) {
-	until := clock.Now().Add(d)
+func (ch *Channel) Call(n *Message, d time.Duration) (*Message, error) {
+	until := time.Now().Add(d)
 	call := pending{n.Kind, make(chan *Message, 1)}
 	number := ch.register(call)
 	defer ch.unregister(number)
@@ -195,12 +197,12 @@
 	if !ch.queue(outgoing{m.Encode(), until}) {
 		return nil, errkind.New(errkind.Unready, "channel closed")
 	}
-	timer := clock.NewTimer(d)
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case a := <-call.answer:
 		return a, nil
-	case <-ch.sc.Done():
+	case <-ch.ctx.Done():
 		return nil, errkind.New(errkind.Unready, "channel closed")
 	case <-timer.C:
 		return nil, errkind.New(errkind.Unready, "no answer from %s", ch.c.RemoteAddr())
@@ -222,8 +224,8 @@
 }
 
 // Quiet is how long nothing was heard.
-func (ch *Channel) Quiet() clock.Duration {
-	return clock.Duration(clock.Now().UnixNano() - ch.heard.Load())
+func (ch *Channel) Quiet() time.Duration {
+	return time.Duration(time.Now().UnixNano() - ch.heard.Load())
 }
 
 // OnClose adds what is to be done when the channel closes.
@@ -249,7 +251,7 @@
 	ch.over = true
 	bye := ch.bye
 	ch.mu.Unlock()
-	ch.sc.Stop()
+	ch.cancel()
 	_ = ch.c.Close()
 	for _, f := range bye {
 		f()
@@ -257,10 +259,10 @@
 }
 
 // Closed tells whether the channel has ended.
-func (ch *Channel) Closed() bool { return ch.sc.Ended() }
+func (ch *Channel) Closed() bool { return ch.ctx.Err() != nil }
 
 // Done is closed with the channel.
-func (ch *Channel) Done() <-chan struct{} { return ch.sc.Done() }
+func (ch *Channel) Done() <-chan struct{} { return ch.ctx.Done() }
 
 // Remote is the peer's address.
 func (ch *Channel) Remote() string { return ch.c.RemoteAddr().String() }
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/binary"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"sync"
@@ -14,9 +14,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
 )
 
 // rough is a connection that splits what is written at any byte, delays the pieces and breaks in the middle of one.
@@ -54,7 +51,7 @@
 
 // roughNet dials rough connections to one handler.
 type roughNet struct {
-	sc      *task.Scope
+	ctx     context.Context
 	r       *rand.Rand
 	breaks  int
 	handler Handler
@@ -62,10 +59,10 @@
 
 func (n *roughNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (n *roughNet) Dial(string, clock.Duration) (net.Conn, error) {
+func (n *roughNet) Dial(string, time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
 	seed := n.r.Uint64()
-	Open(n.sc, &rough{Conn: b, r: rand.New(rand.NewPCG(seed, 1)), breaks: n.breaks}, n.handler)
+	Open(n.ctx, &rough{Conn: b, r: rand.New(rand.NewPCG(seed, 1)), breaks: n.breaks}, n.handler)
 	return &rough{Conn: a, r: rand.New(rand.NewPCG(seed, 2)), breaks: n.breaks}, nil
 }
 
@@ -75,12 +72,12 @@
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 5))
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(time.Minute) }()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(time.Minute) }()
 			var mu sync.Mutex
 			handled := map[string]int{}
 			lag := rand.New(rand.NewPCG(seed, 6))
-			n := &roughNet{sc: sc, r: rand.New(rand.NewPCG(seed, 7)), breaks: []int{0, 30, 200}[seed%3]}
+			n := &roughNet{ctx: ctx, r: rand.New(rand.NewPCG(seed, 7)), breaks: []int{0, 30, 200}[seed%3]}
 			n.handler = func(_ *Channel, q *Message) *Message {
 				mu.Lock()
 				handled[string(q.Body)]++
@@ -91,7 +88,7 @@
 				a.Body = append([]byte("answer to "), q.Body...)
 				return a
 			}
-			l := NewLines(sc, n, nil)
+			l := NewLines(ctx, n, nil)
 			var all sync.WaitGroup
 			var wrong []string
 			got := 0
@@ -129,10 +126,10 @@
 
 func TestAnAnswerThatComesTooLateGoesToNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
-		Open(sc, b, func(_ *Channel, q *Message) *Message {
+		Open(ctx, b, func(_ *Channel, q *Message) *Message {
 			if string(q.Body) == "slow" {
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -140,7 +137,7 @@
 			answer.Body = q.Body
 			return answer
 		})
-		ch := Open(sc, a, nil)
+		ch := Open(ctx, a, nil)
 		_, err := ch.Call(&Message{Kind: Hello, Body: []byte("slow")}, 50*time.Millisecond)
 		require.Error(t, err)
 		for i := range 10 {
@@ -156,10 +153,10 @@
 
 func TestACallWhoseTimeIsOverIsNotSentLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
-		ch := Open(sc, a, nil)
+		ch := Open(ctx, a, nil)
 		_, err := ch.Call(&Message{Kind: Hello, Body: []byte("first")}, 10*time.Millisecond) // the socket takes nothing yet
 		require.Error(t, err)
 		_, err = ch.Call(&Message{Kind: Hello, Body: []byte("second")}, 10*time.Millisecond)
@@ -188,10 +185,10 @@
 
 func TestAnAnswerOfAnotherKindEndsTheChannel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
-		ch := Open(sc, a, nil)
+		ch := Open(ctx, a, nil)
 		go func() {
 			_, _ = ReadFrame(b)
 			forged := (&Message{Kind: Lease, Call: 1, Answer: true, OK: true}).Encode()
@@ -199,17 +196,17 @@
 		}()
 		_, err := ch.Call(&Message{Kind: Lend}, time.Second)
 		require.Error(t, err)
-		require.True(t, ch.sc.Ended())
+		require.True(t, ch.ctx.Err() != nil)
 	})
 }
 
 func TestAPartOfAFrameCountsAsHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer func() { sc.Stop(); time.Sleep(time.Second) }()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
 		var got []byte
-		ch := Open(sc, a, func(_ *Channel, n *Message) *Message { got = n.Body; return nil })
+		ch := Open(ctx, a, func(_ *Channel, n *Message) *Message { got = n.Body; return nil })
 		whole := frame((&Message{Kind: News, Body: bytes.Repeat([]byte("x"), 1000)}).Encode())
 		for len(whole) > 0 {
 			k := min(100, len(whole))
@@ -241,10 +238,10 @@
 	f.Add([]byte{255, 255, 255, 255, 1})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		synctest.Test(t, func(t *testing.T) {
-			sc := task.New(slog.New(slog.DiscardHandler))
-			defer func() { sc.Stop(); time.Sleep(time.Second) }()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer func() { cancel(); time.Sleep(time.Second) }()
 			a, b := net.Pipe()
-			ch := Open(sc, a, func(*Channel, *Message) *Message { return nil })
+			ch := Open(ctx, a, func(*Channel, *Message) *Message { return nil })
 			go func() { _, _ = io.Copy(io.Discard, b) }()
 			go func() {
 				time.Sleep(time.Millisecond)
--- a/coord/rpc/net.go
+++ b/coord/rpc/net.go
@@ -5,18 +5,19 @@
 	"net"
 	"sync"
 	"syscall"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"golang.org/x/sys/unix"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // Net is what a process reaches others through; tests put a simulated one here.
 type Net interface {
-	Dial(addr string, d clock.Duration) (net.Conn, error)
+	Dial(addr string, d time.Duration) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
 }
 
@@ -24,7 +25,7 @@
 type TCP struct{}
 
 // Dial connects, with a bound on how long unacknowledged bytes may wait.
-func (TCP) Dial(addr string, d clock.Duration) (net.Conn, error) {
+func (TCP) Dial(addr string, d time.Duration) (net.Conn, error) {
 	x := net.Dialer{Timeout: d, KeepAlive: -1, Control: UserTimeout}
 	return x.Dial("tcp4", addr)
 }
@@ -43,27 +44,27 @@
 	return nil
 }
 
-// Serve accepts channels until the scope ends.
-func Serve(sc *task.Scope, ln net.Listener, h Handler) {
+// Serve accepts channels until the context ends.
+func Serve(ctx context.Context, ln net.Listener, h Handler) {
 	go func() {
-		<-sc.Done()
+		<-ctx.Done()
 		_ = ln.Close()
 	}()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			if sc.Ended() || !clock.Rest(sc, beatEvery) {
+			if ctx.Err() != nil || !wait.Sleep(ctx, beatEvery) {
 				return
 			}
 			continue
 		}
-		Open(sc, c, h)
+		Open(ctx, c, h)
 	}
 }
 
 // Lines holds one channel per address and dials when it is needed.
 type Lines struct {
-	sc  *task.Scope
+	ctx context.Context
 	net Net
 	h   Handler
 	mu  sync.Mutex
@@ -77,8 +78,8 @@
 }
 
 // NewLines makes the set of channels of a process.
-func NewLines(sc *task.Scope, n Net, h Handler) *Lines {
-	return &Lines{sc: sc, net: n, h: h, m: map[string]*line{}}
+func NewLines(ctx context.Context, n Net, h Handler) *Lines {
+	return &Lines{ctx: ctx, net: n, h: h, m: map[string]*line{}}
 }
 
 // Get gives the channel to an address. Whoever comes while it is being dialled shares that dial's result: a silent address never makes a queue.
@@ -89,7 +90,7 @@
 		x = &line{}
 		l.m[addr] = x
 	}
-	if x.ch != nil && !x.ch.sc.Ended() {
+	if x.ch != nil && x.ch.ctx.Err() == nil {
 		defer l.mu.Unlock()
 		return x.ch, nil
 	}
@@ -114,12 +115,12 @@
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unready, err, "dial")
 	}
-	x.ch = Open(l.sc, c, l.h)
+	x.ch = Open(l.ctx, c, l.h)
 	return x.ch, nil
 }
 
 // Call asks one address. A channel on which nothing came during a failed call is closed, so that the next call dials anew.
-func (l *Lines) Call(addr string, n *Message, d clock.Duration) (*Message, error) {
+func (l *Lines) Call(addr string, n *Message, d time.Duration) (*Message, error) {
 	if addr == "" {
 		return nil, errkind.New(errkind.Unready, "no address")
 	}
--- a/coord/rpc/net_test.go
+++ b/coord/rpc/net_test.go
@@ -1,7 +1,7 @@
 package rpc
 
 import (
-	"log/slog"
+	"context"
 	"net"
 	"os"
 	"testing"
@@ -9,15 +9,12 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
 )
 
 // silent is a network in which every dial hangs until its time is up.
 type silent struct{ dials int }
 
-func (s *silent) Dial(_ string, d clock.Duration) (net.Conn, error) {
+func (s *silent) Dial(_ string, d time.Duration) (net.Conn, error) {
 	s.dials++
 	time.Sleep(d)
 	return nil, os.ErrDeadlineExceeded
@@ -27,10 +24,10 @@
 
 func TestASilentAddressMakesNoQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := task.New(slog.New(slog.DiscardHandler))
-		defer sc.Stop()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		n := &silent{}
-		l := NewLines(sc, n, nil)
+		l := NewLines(ctx, n, nil)
 		took := make(chan time.Duration, 20)
 		for range cap(took) {
 			go func() {
--- a/coord/slowness/watch.go
+++ b/coord/slowness/watch.go
@@ -1,20 +1,21 @@
 package slowness
 
 import (
+	"context"
+	"log/slog"
 	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 // Watch steps a detector with what this process measures of itself.
 type Watch struct {
-	scope *task.Scope
-	work  func() time.Duration
+	ctx  context.Context
+	log  *slog.Logger
+	work func() time.Duration
 
 	mu       sync.Mutex
 	detector *Detector
@@ -23,11 +24,11 @@
 
 // NewWatch makes a watch. The function work does the piece of work and gives its
 // time; nil stands for the usual piece of work.
-func NewWatch(scope *task.Scope, work func() time.Duration) *Watch {
+func NewWatch(ctx context.Context, log *slog.Logger, work func() time.Duration) *Watch {
 	if work == nil {
 		work = hashingWork()
 	}
-	return &Watch{scope: scope.Part("slowness"), work: work, detector: NewDetector()}
+	return &Watch{ctx: ctx, log: log.With("part", "slowness"), work: work, detector: NewDetector()}
 }
 
 // hashingWork makes the usual piece of work: it hashes a buffer a few times and
@@ -38,9 +39,9 @@
 	return func() time.Duration {
 		shortest := time.Duration(0)
 		for range levelTimes {
-			start := clock.Now()
+			start := time.Now()
 			sum ^= xxhash.Sum64(buffer)
-			took := clock.Since(start)
+			took := time.Since(start)
 			if shortest == 0 || took < shortest {
 				shortest = took
 			}
@@ -53,7 +54,7 @@
 // Look measures once. It is to be called every LevelEvery; by how much a call is
 // late is part of the observation.
 func (w *Watch) Look() {
-	now := clock.Now()
+	now := time.Now()
 	work := w.work()
 	w.mu.Lock()
 	late := w.lateness(now)
@@ -62,7 +63,7 @@
 	state := w.detector.State()
 	w.mu.Unlock()
 	if state.Out != outBefore {
-		w.scope.Log().Info("own machine",
+		w.log.Info("own machine",
 			"slow", state.Slow,
 			"out", state.Out,
 			"work_us", work.Microseconds(),
--- a/coord/slowness/watch_test.go
+++ b/coord/slowness/watch_test.go
@@ -1,6 +1,7 @@
 package slowness
 
 import (
+	"context"
 	"log/slog"
 	"testing"
 	"testing/synctest"
@@ -9,13 +10,12 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 func TestAWatchSeesLateLooksAndSlowWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := 10 * us
-		w := NewWatch(task.New(slog.New(slog.DiscardHandler)), func() time.Duration { return work })
+		w := NewWatch(context.Background(), slog.New(slog.DiscardHandler), func() time.Duration { return work })
 		look := func(n int, every time.Duration) {
 			for range n {
 				w.Hear("n1", false)
@@ -40,7 +40,7 @@
 }
 
 func TestTheUsualPieceOfWorkTakesTime(t *testing.T) {
-	w := NewWatch(task.New(slog.New(slog.DiscardHandler)), nil)
+	w := NewWatch(context.Background(), slog.New(slog.DiscardHandler), nil)
 	require.Positive(t, w.work())
 	w.Look()
 	require.False(t, w.Slow())
--- a/internal/adminapi/orders.go
+++ b/internal/adminapi/orders.go
@@ -1,10 +1,10 @@
 package adminapi
 
 import (
+	"context"
 	"time"
 
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // Orders is the control state as the operator sees it. Every answer that it gives without an error, and every
@@ -14,9 +14,9 @@
 	// Primary is the control address to ask, and whether it is this process; empty if none is known to be in office.
 	Primary() (address string, here bool)
 	// Take makes one order; nil means that it is in force for good.
-	Take(scope *task.Scope, order *Order) error
+	Take(ctx context.Context, order *Order) error
 	// Read gives the newest view, confirmed by a majority in this call.
-	Read(scope *task.Scope, deadline time.Time) (*state.View, error)
+	Read(ctx context.Context, deadline time.Time) (*state.View, error)
 }
 
 // Order is one change that the operator asks for.
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -2,7 +2,9 @@
 package adminapi
 
 import (
+	"context"
 	"io"
+	"log/slog"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -10,19 +12,20 @@
 	"sync"
 	"time"
 
+	"shaletrestle/coord/wait"
+
 	"github.com/labstack/echo/v4"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // Server serves the control address.
 type Server struct {
-	scope  *task.Scope
+	ctx    context.Context
+	log    *slog.Logger
 	orders Orders
 
 	mu          sync.Mutex
@@ -37,8 +40,8 @@
 }
 
 // New makes the operator's handler.
-func New(scope *task.Scope, orders Orders) http.Handler {
-	s := &Server{scope: scope.Part("adminapi"), orders: orders}
+func New(ctx context.Context, log *slog.Logger, orders Orders) http.Handler {
+	s := &Server{ctx: ctx, log: log.With("part", "adminapi"), orders: orders}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	serve := func(c echo.Context) error {
@@ -51,7 +54,7 @@
 }
 
 func (s *Server) dispatch(w http.ResponseWriter, r *http.Request) {
-	c := &call{writer: w, request: r, deadline: clock.Now().Add(orderWait)}
+	c := &call{writer: w, request: r, deadline: time.Now().Add(orderWait)}
 	path := strings.Split(strings.Trim(r.URL.EscapedPath(), "/"), "/")
 	name := r.Method + " " + strings.Join(path[:min(2, len(path))], "/")
 	switch {
@@ -86,7 +89,7 @@
 			redirect(c, address)
 			return
 		}
-		if !s.worthWaiting(c) || !clock.Rest(s.scope, takeoverLook) {
+		if !s.worthWaiting(c) || !wait.Sleep(s.ctx, takeoverLook) {
 			httpreply.Fault(c.writer, errkind.New(errkind.Unready, "no primary is known"))
 			return
 		}
@@ -102,7 +105,7 @@
 // worthWaiting tells whether the primary was lost so lately that a takeover may be under way, and whether the
 // caller can wait for it. A member that is cut off answers at once: another one may know more.
 func (s *Server) worthWaiting(c *call) bool {
-	now := clock.Now()
+	now := time.Now()
 	s.mu.Lock()
 	if s.noPrimaryAt.IsZero() {
 		s.noPrimaryAt = now
@@ -134,7 +137,7 @@
 }
 
 func (s *Server) read(c *call) {
-	v, err := s.orders.Read(s.scope, c.deadline)
+	v, err := s.orders.Read(s.ctx, c.deadline)
 	switch {
 	case err != nil:
 		s.fault(c, err)
@@ -152,7 +155,7 @@
 		httpreply.Fault(c.writer, errkind.New(errkind.BadInput, "body can't be read whole"))
 		return
 	}
-	if after := clock.Now().Add(afterLargeBody); len(body) > largeBody && c.deadline.Before(after) {
+	if after := time.Now().Add(afterLargeBody); len(body) > largeBody && c.deadline.Before(after) {
 		c.deadline = after
 	}
 	base, err := builtOn(c.request.Header.Get("If-Match"))
@@ -185,8 +188,8 @@
 func (s *Server) take(c *call, order *Order) {
 	order.Deadline = c.deadline
 	order.Gone = c.request.Context().Done()
-	if err := s.orders.Take(s.scope, order); err != nil {
-		s.scope.Log().Info("order not taken", "kind", order.Kind, "base", order.Base, "err", err.Error())
+	if err := s.orders.Take(s.ctx, order); err != nil {
+		s.log.Info("order not taken", "kind", order.Kind, "base", order.Base, "err", err.Error())
 		s.fault(c, err)
 		return
 	}
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -1,6 +1,7 @@
 package adminapi
 
 import (
+	"context"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
@@ -14,7 +15,6 @@
 
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // desk is a control state that notes what it is asked.
@@ -39,7 +39,7 @@
 	return d.primary, d.here
 }
 
-func (d *desk) Take(_ *task.Scope, o *Order) error {
+func (d *desk) Take(_ context.Context, o *Order) error {
 	asked := *o
 	asked.Deadline, asked.Gone = time.Time{}, nil
 	d.got = append(d.got, &asked)
@@ -48,7 +48,9 @@
 	}
 	return d.fail
 }
-func (d *desk) Read(*task.Scope, time.Time) (*state.View, error) { return state.EmptyView(), d.fail }
+func (d *desk) Read(context.Context, time.Time) (*state.View, error) {
+	return state.EmptyView(), d.fail
+}
 
 func ask(d *desk, method, target, match, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
@@ -56,7 +58,7 @@
 		r.Header.Set("If-Match", match)
 	}
 	w := httptest.NewRecorder()
-	New(task.New(slog.New(slog.DiscardHandler)), d).ServeHTTP(w, r)
+	New(context.Background(), slog.New(slog.DiscardHandler), d).ServeHTTP(w, r)
 	return w
 }
 
@@ -119,7 +121,7 @@
 func TestACallWaitsForATakeoverThatMayBeUnderWayAndNotForOneThatIsNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &desk{}
-		handler := New(task.New(slog.New(slog.DiscardHandler)), d)
+		handler := New(context.Background(), slog.New(slog.DiscardHandler), d)
 		timed := func() (int, time.Duration) {
 			start := time.Now()
 			w := httptest.NewRecorder()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,8 +2,14 @@
 package controller
 
 import (
+	"context"
+	"log/slog"
 	"net/http"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 
 	"go.uber.org/atomic"
 
@@ -16,13 +22,11 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/adminapi"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/discovery"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // Plan is what a controller is built from.
@@ -34,7 +38,8 @@
 
 // Controller is one control process.
 type Controller struct {
-	scope    *task.Scope
+	ctx      context.Context
+	log      *slog.Logger
 	settings *settings.Settings
 	net      rpc.Net
 	lines    *rpc.Lines
@@ -62,17 +67,18 @@
 	deck   *loadsum.Sum
 
 	mu     sync.Mutex
-	judged clock.Time            // when reports on replicas were last weighed
-	words  []outlier.Report      // followers' reports on their way to the primary
-	fleet  map[string]clock.Time // routers, and when they were last reached
-	most   int                   // the largest fleet of late
-	mostAt clock.Time
+	judged time.Time            // when reports on replicas were last weighed
+	words  []outlier.Report     // followers' reports on their way to the primary
+	fleet  map[string]time.Time // routers, and when they were last reached
+	most   int                  // the largest fleet of late
+	mostAt time.Time
 }
 
 // New builds a controller.
-func New(scope *task.Scope, p Plan) (*Controller, error) {
+func New(ctx context.Context, log *slog.Logger, p Plan) (*Controller, error) {
 	c := &Controller{
-		scope:    scope,
+		ctx:      ctx,
+		log:      log,
 		settings: p.Env,
 		net:      p.Net,
 		state:    state.NewOrderBook(),
@@ -83,30 +89,30 @@
 		lender:   newLender(p.Env),
 		jury:     outlier.NewJury(),
 		deck:     loadsum.NewSum(),
-		fleet:    map[string]clock.Time{},
+		fleet:    map[string]time.Time{},
 	}
-	c.lines = rpc.NewLines(scope, p.Net, c.handle)
-	c.feed = distribution.NewFeed(scope, c.news, func(uint64, uint64) {
+	c.lines = rpc.NewLines(ctx, p.Net, c.handle)
+	c.feed = distribution.NewFeed(ctx, log, c.news, func(uint64, uint64) {
 		if c.follower != nil {
 			c.follower.Tell()
 		}
 	})
-	member, err := replication.New(scope, c.replicationConfig(p.Store))
+	member, err := replication.New(ctx, log, c.replicationConfig(p.Store))
 	if err != nil {
 		return nil, err
 	}
 	c.replica = currentMember{member}
-	c.follower = distribution.NewFollower(scope, p.Net, c.feed, member.Self(), true, c.upstream, c.feed.Reached)
+	c.follower = distribution.NewFollower(ctx, p.Net, c.feed, member.Self(), true, c.upstream, c.feed.Reached)
 	c.follower.Carry(c.carry)
 	c.follower.Others(c.spread)
-	c.duty = lease.NewHolder(scope, "list", member.Self(), c.lines, c.witnesses, c.wantsDuty, c.grantor)
+	c.duty = lease.NewHolder(ctx, "list", member.Self(), c.lines, c.witnesses, c.wantsDuty, c.grantor)
 	c.state.Watch(c.committed)
 	return c, nil
 }
 
 func newLender(env *settings.Settings) *fairshare.Lender {
 	pot := constants.BudgetMargin * constants.BudgetPot * env.Bounds.BudgetSlack
-	window := clock.Seconds(env.Bounds.BudgetWindowS) + constants.LumpSpan
+	window := durations.FromSeconds(env.Bounds.BudgetWindowS) + constants.LumpSpan
 	return fairshare.NewLender(int64(pot), window)
 }
 
@@ -115,7 +121,7 @@
 	env := c.settings
 	losses, ok := env.Losses()
 	if !ok {
-		c.scope.Part("controller").Log().Warn("the settings' losses can't all be borne in these zones", "zones", len(env.Zones), "borne", losses)
+		c.log.With("part", "controller").Warn("the settings' losses can't all be borne in these zones", "zones", len(env.Zones), "borne", losses)
 	}
 	areas := env.Tolerance.Zones
 	area := func(zone string) string { return zone }
@@ -139,7 +145,7 @@
 	}
 }
 
-// Run serves until the scope ends.
+// Run serves until the context ends.
 func (c *Controller) Run() error {
 	members, err := c.net.Listen(c.settings.Port(constants.PortTally))
 	if err != nil {
@@ -153,14 +159,14 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "state page")
 	}
-	go rpc.Serve(c.scope, members, c.handle)
-	api := httpServer(adminapi.New(c.scope, c))
+	go rpc.Serve(c.ctx, members, c.handle)
+	api := httpServer(adminapi.New(c.ctx, c.log, c))
 	page := httpServer(http.HandlerFunc(c.page))
 	go func() { _ = api.Serve(control) }()
 	go func() { _ = page.Serve(pages) }()
 	c.startDuties()
-	c.scope.Log().Info("started", "part", "controller", "node", c.settings.NodeName)
-	<-c.scope.Done()
+	c.log.Info("started", "part", "controller", "node", c.settings.NodeName)
+	<-c.ctx.Done()
 	_ = api.Close()
 	_ = page.Close()
 	return nil
@@ -175,18 +181,18 @@
 	go c.follower.Run()
 	go c.duty.Run()
 	go c.read()
-	go clock.Every(c.scope, constants.FleetEvery, func() bool { c.count(); return true })
-	go clock.Every(c.scope, constants.NewsBeat, func() bool { c.judge(); return true })
+	go wait.Every(c.ctx, constants.FleetEvery, func() bool { c.count(); return true })
+	go wait.Every(c.ctx, constants.NewsBeat, func() bool { c.judge(); return true })
 	go c.addUp()
 }
 
-// Leave hands duty and primacy over; the program ends the scope afterwards.
+// Leave hands duty and primacy over; the program ends the context afterwards.
 func (c *Controller) Leave() {
 	c.leaving.Store(true)
 	c.duty.Renew() // it is not wanted any more: given back
-	grace := clock.Seconds(c.settings.Bounds.GraceS) - constants.GraceMargin
-	if !c.replica.Leave(clock.Now().Add(grace)) {
-		c.scope.Log().Warn("left with roles that nobody else has taken", "part", "controller")
+	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - constants.GraceMargin
+	if !c.replica.Leave(time.Now().Add(grace)) {
+		c.log.Warn("left with roles that nobody else has taken", "part", "controller")
 	}
 }
 
@@ -208,7 +214,7 @@
 	case rpc.Lend:
 		return c.lend(n)
 	case rpc.Deck:
-		c.deck.Put(n.From.ID, loadsum.Decode(n.Body), clock.Now())
+		c.deck.Put(n.From.ID, loadsum.Decode(n.Body), time.Now())
 	}
 	return nil
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 	"sort"
+	"time"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
@@ -15,7 +15,7 @@
 	if !c.Acting() {
 		return
 	}
-	now := clock.Now()
+	now := time.Now()
 	c.mu.Lock()
 	for _, s := range c.feed.Reached() {
 		c.fleet[s.Address] = now
@@ -64,7 +64,7 @@
 	_, known := c.fleet[n.Word]
 	if known && len(c.fleet)-1 >= c.most-c.most/constants.SuspectPart {
 		delete(c.fleet, n.Word)
-		c.scope.Log().Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Word)
+		c.log.Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Word)
 	}
 	c.mu.Unlock()
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
+	"time"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
@@ -26,7 +27,7 @@
 	if !held {
 		return n.Reply(false)
 	}
-	lent := c.lender.Lend(n.Word, int64(min(n.Number, constants.LumpTries)), since, clock.Now())
+	lent := c.lender.Lend(n.Word, int64(min(n.Number, constants.LumpTries)), since, time.Now())
 	if !c.duty.Held() { // this process may have stood still in between
 		return n.Reply(false)
 	}
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -1,20 +1,20 @@
 package controller
 
 import (
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
 
 // read does the duty of reading the list: at once when the lease comes, then again and again.
 func (c *Controller) read() {
-	for !c.scope.Ended() {
+	for c.ctx.Err() == nil {
 		pause := leaseAgain
 		if c.Acting() && (c.duty.Held() || c.duty.Renew()) {
 			c.poll(false)
 			pause = constants.ListEvery
 		}
-		if !clock.Rest(c.scope, pause) {
+		if !wait.Sleep(c.ctx, pause) {
 			return
 		}
 	}
@@ -28,10 +28,10 @@
 		return
 	}
 	c.polls.Inc()
-	now, err := c.reader.Read(c.scope)
+	now, err := c.reader.Read(c.ctx)
 	if err != nil {
 		if c.fails.Inc()%16 == 1 {
-			c.scope.Log().Warn("list not read", "part", "discovery", "err", err.Error())
+			c.log.Warn("list not read", "part", "discovery", "err", err.Error())
 		}
 		return
 	}
--- a/internal/controller/loadsum.go
+++ b/internal/controller/loadsum.go
@@ -1,9 +1,11 @@
 package controller
 
 import (
+	"time"
+
 	"shaletrestle/coord/loadsum"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
 	"shaletrestle/internal/state"
 )
 
@@ -12,8 +14,8 @@
 	var seen *state.View
 	var s *loadsum.Services
 	told := false // something was spread the last time: an end of it is told too
-	clock.Every(c.scope, deckPush, func() bool {
-		ps := c.deck.Total(clock.Now())
+	wait.Every(c.ctx, deckPush, func() bool {
+		ps := c.deck.Total(time.Now())
 		if !c.Acting() {
 			if told = false; len(ps) > 0 {
 				c.follower.Send(c.deckNote(ps))
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -1,13 +1,12 @@
 package controller
 
 import (
+	"context"
 	"time"
 
 	"shaletrestle/internal/adminapi"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // answerMargin is what is left of an order's time for the answer's way when followers are no longer waited for.
@@ -24,10 +23,10 @@
 
 // Take makes one order. It returns once the order is in force for good and the connected followers have it, as
 // far as the order's time allows to wait for them.
-func (c *Controller) Take(scope *task.Scope, order *adminapi.Order) error {
+func (c *Controller) Take(ctx context.Context, order *adminapi.Order) error {
 	event := eventOf(order)
 	decide := func() ([]byte, error) {
-		if order.Over(clock.Now()) {
+		if order.Over(time.Now()) {
 			return nil, errkind.New(errkind.Unready, "nobody waits for the answer any more")
 		}
 		return decideOn(c.state.View(), event)
@@ -38,7 +37,7 @@
 	if anotherWon(c.state.View(), event) {
 		return errkind.New(errkind.Unready, "another order on this version is in force")
 	}
-	c.awaitFollowers(scope, order.Deadline)
+	c.awaitFollowers(ctx, order.Deadline)
 	return nil
 }
 
@@ -86,7 +85,7 @@
 }
 
 // awaitFollowers waits a little until the connected followers have what was pushed up to now.
-func (c *Controller) awaitFollowers(scope *task.Scope, deadline time.Time) {
+func (c *Controller) awaitFollowers(ctx context.Context, deadline time.Time) {
 	source := c.source.Load()
 	if source == nil {
 		return
@@ -95,12 +94,12 @@
 	if !active || number == 0 {
 		return
 	}
-	left := clock.Until(deadline) - answerMargin
-	c.feed.Wait(scope, number, max(0, min(ackWait, left)))
+	left := time.Until(deadline) - answerMargin
+	c.feed.Wait(ctx, number, max(0, min(ackWait, left)))
 }
 
 // Read gives the view that the witnesses confirmed to be the newest after the call.
-func (c *Controller) Read(_ *task.Scope, deadline time.Time) (*state.View, error) {
+func (c *Controller) Read(_ context.Context, deadline time.Time) (*state.View, error) {
 	var view *state.View
 	look := func() { view = c.state.View() }
 	if err := c.replica.Read(deadline, look); err != nil {
--- a/internal/controller/outliers.go
+++ b/internal/controller/outliers.go
@@ -2,9 +2,9 @@
 
 import (
 	"encoding/json"
+	"time"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
@@ -22,7 +22,7 @@
 				return r.Pool
 			}
 			return ""
-		}, clock.Now())
+		}, time.Now())
 		c.judge()
 		return
 	}
@@ -46,7 +46,7 @@
 
 // judge tells the fleet which replicas its experience makes suspect, when that changed or runs out, at most once a beat.
 func (c *Controller) judge() {
-	now := clock.Now()
+	now := time.Now()
 	c.mu.Lock()
 	due := now.Sub(c.judged) >= constants.NewsBeat
 	if due {
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -2,9 +2,9 @@
 
 import (
 	"net/http"
+	"time"
 
 	"shaletrestle/internal/calendar"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/metrics"
@@ -19,7 +19,7 @@
 	if err != nil {
 		return map[string]string{"ignored": err.Error()}
 	}
-	return calendar.At(ws, clock.Wall())
+	return calendar.At(ws, time.Now())
 }
 
 // page is the state page: all of it, or at /fleet the view of the fleet that the checker reads.
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -1,7 +1,8 @@
 package controller
 
 import (
-	"shaletrestle/internal/clock"
+	"time"
+
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
@@ -12,10 +13,10 @@
 	c.follower.Drop()
 	source := c.feed.Begin(epoch, c.firstView)
 	if c.source.Swap(source) == nil {
-		c.officeFrom.Store(clock.Now().UnixNano())
+		c.officeFrom.Store(time.Now().UnixNano())
 	}
 	if source == nil {
-		c.scope.Log().Warn("a newer source is known", "epoch", epoch)
+		c.log.Warn("a newer source is known", "epoch", epoch)
 		return
 	}
 	go c.poll(true) // once, without the lease: that one settles who reads again and again
@@ -72,7 +73,7 @@
 // wantsDuty tells whether this process should hold the duty. One that has just become primary waits for a lease's
 // span: its witnesses may be others than those that granted the lease of the primary before it.
 func (c *Controller) wantsDuty() bool {
-	inOffice := clock.Duration(clock.Now().UnixNano() - c.officeFrom.Load())
+	inOffice := time.Duration(time.Now().UnixNano() - c.officeFrom.Load())
 	return c.Acting() && !c.leaving.Load() && inOffice >= constants.LeaseSpan
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,7 +1,7 @@
 package discovery
 
 import (
-	"log/slog"
+	"context"
 	"net"
 	"net/http"
 	"testing"
@@ -10,7 +10,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // platform answers calls over in-memory connections.
@@ -47,7 +46,7 @@
 		p.c <- b
 		return a, nil
 	})
-	out, err := r.Read(task.New(slog.New(slog.DiscardHandler)))
+	out, err := r.Read(context.Background())
 	return out, p.calls, err
 }
 
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -14,7 +14,6 @@
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // maxPages is the most pages of one listing; more is taken for an endless loop.
@@ -51,11 +50,11 @@
 func (p *page) isLast() bool { return p.Next == nil || *p.Next == "" }
 
 // Read gives the whole list; it is an error if any page fails.
-func (r *Reader) Read(scope *task.Scope) ([]*state.Replica, error) {
+func (r *Reader) Read(ctx context.Context) ([]*state.Replica, error) {
 	var replicas []*state.Replica
 	token := ""
 	for range maxPages {
-		body, err := r.fetch(scope, token)
+		body, err := r.fetch(ctx, token)
 		if err != nil {
 			return nil, err
 		}
@@ -73,12 +72,12 @@
 }
 
 // fetch gets the page with a token, the first one if it is empty.
-func (r *Reader) fetch(scope *task.Scope, token string) ([]byte, error) {
+func (r *Reader) fetch(ctx context.Context, token string) ([]byte, error) {
 	address := r.url
 	if token != "" {
 		address += "?page_token=" + url.QueryEscape(token)
 	}
-	request, err := http.NewRequestWithContext(scope.Context(), http.MethodGet, address, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Internal, err, "platform")
 	}
--- a/internal/emulator/await.go
+++ b/internal/emulator/await.go
@@ -1,13 +1,15 @@
 package emulator
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 const readinessPath = "/v1/readiness"
@@ -34,13 +36,13 @@
 
 // await checks a condition again and again until it is met; its error tells that it
 // was not met in time.
-func await(scope *task.Scope, timeout time.Duration, complaint string, met func() bool) error {
-	end := clock.Now().Add(timeout)
+func await(ctx context.Context, timeout time.Duration, complaint string, met func() bool) error {
+	end := time.Now().Add(timeout)
 	for !met() {
-		if clock.Now().After(end) {
+		if time.Now().After(end) {
 			return errkind.New(errkind.Unready, "%s within %s", complaint, timeout)
 		}
-		if !clock.Rest(scope, yardLook) {
+		if !wait.Sleep(ctx, yardLook) {
 			return errInterrupted
 		}
 	}
@@ -48,14 +50,14 @@
 }
 
 // readyTimeout is the time that the experiment gives for anything to be ready.
-func (b *testbed) readyTimeout() time.Duration { return clock.Seconds(b.experiment.Ready) }
+func (b *testbed) readyTimeout() time.Duration { return durations.FromSeconds(b.experiment.Ready) }
 
 // awaitReplicas waits until every replica answers that it is healthy.
 func (b *testbed) awaitReplicas() error {
 	for _, name := range b.replicaNames {
 		url := "http://" + b.replicas[name].address + healthPath
 		healthy := func() bool { return probeStatus(url) == http.StatusOK }
-		if err := await(b.scope, b.readyTimeout(), "replica "+name+" did not start", healthy); err != nil {
+		if err := await(b.ctx, b.readyTimeout(), "replica "+name+" did not start", healthy); err != nil {
 			return err
 		}
 	}
@@ -70,7 +72,7 @@
 		}
 		url := "http://" + b.addresses.address(router.ip, portReadiness) + readinessPath
 		ready := func() bool { return probeStatus(url) == http.StatusOK }
-		if err := await(b.scope, b.readyTimeout(), router.name+" was not ready", ready); err != nil {
+		if err := await(b.ctx, b.readyTimeout(), router.name+" was not ready", ready); err != nil {
 			return err
 		}
 	}
--- a/internal/emulator/cell.go
+++ b/internal/emulator/cell.go
@@ -2,16 +2,18 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
 	"io"
+	"log/slog"
 	"os"
 	"os/exec"
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // A cell is a process that holds daemons of one role, so that their processor time
@@ -41,8 +43,9 @@
 }
 
 // Cell serves as a cell until its input ends.
-func Cell(scope *task.Scope, in io.Reader, out io.Writer) error {
-	server := &cellServer{scope: scope.Part("cell"), daemons: map[string]*daemon{}}
+func Cell(ctx context.Context, log *slog.Logger, in io.Reader, out io.Writer) error {
+	ctx, cancel := context.WithCancel(ctx)
+	server := &cellServer{ctx: ctx, cancel: cancel, log: log.With("part", "cell"), daemons: map[string]*daemon{}}
 	defer server.close()
 	lines := bufio.NewReader(in)
 	for {
@@ -64,7 +67,9 @@
 
 // cellServer is the cell's side.
 type cellServer struct {
-	scope   *task.Scope
+	ctx     context.Context
+	cancel  context.CancelFunc
+	log     *slog.Logger
 	daemons map[string]*daemon // by name
 }
 
@@ -93,9 +98,9 @@
 		network := &network{
 			zone:   spec.Zone,
 			zoneOf: func(ip string) string { return received.Zones[ip] },
-			delay:  clock.Millis(received.DelayMs),
+			delay:  durations.FromMilliseconds(received.DelayMs),
 		}
-		if err := started.start(s.scope, network); err != nil {
+		if err := started.start(s.ctx, s.log, network); err != nil {
 			return err
 		}
 		s.daemons[spec.Name] = started
@@ -119,7 +124,7 @@
 		stopping.Go(daemon.stop)
 	}
 	stopping.Wait()
-	s.scope.Stop()
+	s.cancel()
 }
 
 // cell is the side of the process that started it.
@@ -159,11 +164,11 @@
 }
 
 // startCellHere starts a cell in this process, for tests.
-func startCellHere(scope *task.Scope) (*cell, error) {
+func startCellHere(ctx context.Context, log *slog.Logger) (*cell, error) {
 	commandReader, commandWriter := io.Pipe()
 	answerReader, answerWriter := io.Pipe()
 	done := make(chan error, 1)
-	go func() { done <- Cell(scope, commandReader, answerWriter) }()
+	go func() { done <- Cell(ctx, log, commandReader, answerWriter) }()
 	return &cell{
 		commands: commandWriter,
 		answers:  bufio.NewReaderSize(answerReader, yardLine),
@@ -191,7 +196,7 @@
 	if answer.Err != "" {
 		return usage{}, errkind.New(errkind.Internal, "cell: %s", answer.Err)
 	}
-	answer.at = clock.Now()
+	answer.at = time.Now()
 	return answer, nil
 }
 
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -9,7 +10,9 @@
 	"strings"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/upstream"
 )
 
@@ -57,13 +60,13 @@
 }
 
 func (t *traffic) newRequest(kind *Kind, number, prefix int) *clientRequest {
-	now := clock.Now()
+	now := time.Now()
 	request := &clientRequest{
 		traffic:  t,
 		kind:     kind,
 		name:     fmt.Sprintf("%s.%d", kind.Name, number),
 		sentAt:   now,
-		deadline: now.Add(clock.Millis(kind.TimeoutMs)),
+		deadline: now.Add(durations.FromMilliseconds(kind.TimeoutMs)),
 	}
 	request.body = "body of " + request.name + strings.Repeat(".", kind.Bytes)
 	if kind.Prefixes > 0 {
@@ -107,7 +110,7 @@
 			result.Why = ""
 			break
 		}
-		if !request.mayRetry(attempt) || !clock.Rest(t.scope, attempt.wait) {
+		if !request.mayRetry(attempt) || !wait.Sleep(t.ctx, attempt.wait) {
 			break
 		}
 	}
@@ -135,12 +138,12 @@
 }
 
 func (r *clientRequest) mayRetry(attempt attemptResult) bool {
-	return attempt.retry && clock.Until(r.deadline) > attempt.wait
+	return attempt.retry && time.Until(r.deadline) > attempt.wait
 }
 
 // measure fills in the times of a result.
 func (r *clientRequest) measure(result *Result) {
-	took := clock.Since(r.sentAt)
+	took := time.Since(r.sentAt)
 	if !r.firstEvent.IsZero() {
 		took = r.firstEvent.Sub(r.sentAt)
 		result.GapMs = millis(r.longestGap)
@@ -157,11 +160,11 @@
 	id := fmt.Sprintf("%s.%d", r.name, number)
 	path := "/" + r.kind.Name + "/" + r.name
 	rules.sent(id, !r.kind.repeatable(), http.MethodPost+" "+path+" "+r.body)
-	scope := r.traffic.scope.Within(clock.Until(r.deadline))
-	defer scope.Stop()
+	ctx, cancel := context.WithDeadline(r.traffic.ctx, r.deadline)
+	defer cancel()
 	// The body can't be read a second time, so that the transport repeats nothing.
 	body := io.NopCloser(strings.NewReader(r.body))
-	request, err := http.NewRequestWithContext(scope.Context(), http.MethodPost, "http://"+router+path, body)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, body)
 	if err != nil {
 		return attemptResult{why: err.Error()}
 	}
@@ -182,7 +185,7 @@
 }
 
 func (r *clientRequest) setHeaders(request *http.Request, id string) {
-	left := clock.Until(r.deadline).Milliseconds()
+	left := time.Until(r.deadline).Milliseconds()
 	request.ContentLength = int64(len(r.body))
 	request.Host = testHost
 	request.Header.Set(upstream.HeadID, id)
@@ -244,5 +247,5 @@
 	if err != nil {
 		return yardLook
 	}
-	return min(clock.Seconds(seconds), clock.Until(r.deadline)/3)
+	return min(durations.FromSeconds(seconds), time.Until(r.deadline)/3)
 }
--- a/internal/emulator/client_stream.go
+++ b/internal/emulator/client_stream.go
@@ -7,8 +7,8 @@
 	"io"
 	"net/http"
 	"strings"
+	"time"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/upstream"
 )
 
@@ -61,7 +61,7 @@
 
 // received counts an event and the time since the one before it.
 func (r *clientRequest) received() {
-	now := clock.Now()
+	now := time.Now()
 	r.events++
 	if r.firstEvent.IsZero() {
 		r.firstEvent = now
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -4,8 +4,9 @@
 	"encoding/json"
 	"fmt"
 
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/prefixindex"
@@ -189,7 +190,7 @@
 		Chain:    chain,
 		Capacity: modelCapacity,
 		OutMost:  100,
-		Aim:      clock.Seconds(1),
+		Aim:      durations.FromSeconds(1),
 		Not:      map[string]bool{},
 	}
 	choice, ok := placer.Place(ask)
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -1,13 +1,14 @@
 package emulator
 
 import (
+	"context"
+	"log/slog"
 	"strings"
 
 	"shaletrestle/coord/replication/store"
 	"shaletrestle/internal/controller"
 	"shaletrestle/internal/router"
 	"shaletrestle/internal/settings"
-	"shaletrestle/internal/task"
 )
 
 // The roles of daemons; a daemon's name begins with its role.
@@ -24,28 +25,31 @@
 	zone    string
 	ip      string
 	network *network
-	scope   *task.Scope // nil: it does not run
+	ctx     context.Context // nil: it does not run
+	cancel  context.CancelFunc
+	log     *slog.Logger
 	program settings.Daemon
 	done    chan error
 }
 
 // start reads the settings file and runs the daemon that its name tells, with the
 // real packages, in this process.
-func (d *daemon) start(scope *task.Scope, network *network) error {
+func (d *daemon) start(ctx context.Context, log *slog.Logger, network *network) error {
 	isController := strings.HasPrefix(d.name, roleController)
 	env, err := settings.LoadFile(d.file, settings.Need{Front: !isController, Control: isController})
 	if err != nil {
 		return err
 	}
 	d.network = network
-	d.scope = scope.Part(d.name)
+	d.ctx, d.cancel = context.WithCancel(ctx)
+	d.log = log.With("part", d.name)
 	if isController {
 		d.program, err = d.newController(env)
 		if err != nil {
 			return err
 		}
 	} else {
-		d.program = router.New(d.scope, router.Plan{Env: env, Net: network, Dialer: network})
+		d.program = router.New(d.ctx, d.log, router.Plan{Env: env, Net: network, Dialer: network})
 	}
 	d.done = make(chan error, 1)
 	go func() { d.done <- d.program.Run() }()
@@ -57,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	program, err := controller.New(d.scope, controller.Plan{Env: env, Net: d.network, Store: disk})
+	program, err := controller.New(d.ctx, d.log, controller.Plan{Env: env, Net: d.network, Store: disk})
 	if err != nil {
 		return nil, err
 	}
@@ -66,10 +70,10 @@
 
 // stop ends a daemon without notice to the others and waits for its end.
 func (d *daemon) stop() {
-	if d.scope == nil {
+	if d.ctx == nil {
 		return
 	}
-	d.scope.Stop()
+	d.cancel()
 	<-d.done
-	d.scope = nil
+	d.ctx = nil
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,17 +1,19 @@
 package emulator
 
 import (
+	"context"
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/replicamodel"
-	"shaletrestle/internal/task"
 )
 
 // engine runs the model of a replica in real time.
 type engine struct {
-	scope  *task.Scope
+	ctx    context.Context
 	start  time.Time // the model's time is counted from here
 	wakeup chan struct{}
 
@@ -22,20 +24,20 @@
 
 // newEngine starts an engine for a service; it is slower by a factor than the
 // service says.
-func newEngine(scope *task.Scope, service *Service, slower float64) *engine {
+func newEngine(ctx context.Context, service *Service, slower float64) *engine {
 	spec := service.Engine
 	model := replicamodel.New(replicamodel.Spec{
 		Slots:   service.Slots,
 		Queue:   service.Queue,
-		Step:    clock.Millis(spec.StepMs * slower),
-		Each:    clock.Millis(spec.EachMs * slower),
+		Step:    durations.FromMilliseconds(spec.StepMs * slower),
+		Each:    durations.FromMilliseconds(spec.EachMs * slower),
 		Prefill: spec.Prefill / slower,
 		Chunk:   spec.Chunk,
 		Memory:  spec.Memory,
 	})
 	started := &engine{
-		scope:   scope,
-		start:   clock.Now(),
+		ctx:     ctx,
+		start:   time.Now(),
 		wakeup:  make(chan struct{}, 1),
 		model:   model,
 		streams: map[string]chan replicamodel.Token{},
@@ -51,11 +53,11 @@
 			select {
 			case <-e.wakeup:
 				continue
-			case <-e.scope.Done():
+			case <-e.ctx.Done():
 				return
 			}
 		}
-		if !clock.Rest(e.scope, clock.Until(e.start.Add(stepEnd))) {
+		if !wait.Sleep(e.ctx, time.Until(e.start.Add(stepEnd))) {
 			return
 		}
 		e.step()
@@ -85,7 +87,7 @@
 func (e *engine) offer(job replicamodel.Job) (<-chan replicamodel.Token, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.model.Offer(clock.Since(e.start), job) {
+	if !e.model.Offer(time.Since(e.start), job) {
 		return nil, false
 	}
 	stream := make(chan replicamodel.Token, job.Out+1)
--- a/internal/emulator/hollowfleet.go
+++ b/internal/emulator/hollowfleet.go
@@ -1,15 +1,18 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"slices"
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // fleetSize is what a hollow fleet is built to, and what a series grows.
@@ -53,7 +56,7 @@
 
 // newHollowFleet starts a fleet. The window is how long it is measured; half of it
 // is left alone before.
-func newHollowFleet(scope *task.Scope, size fleetSize, start newCell, window time.Duration) (*hollowFleet, error) {
+func newHollowFleet(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, window time.Duration) (*hollowFleet, error) {
 	experiment := &Experiment{
 		Name:     "plant",
 		Duration: yardDuration,
@@ -75,7 +78,7 @@
 		window: window,
 		list:   madeUpReplicas(size.Replicas, size.Models, size.zones()),
 	}
-	bed, err := newTestbed(scope, experiment, fleet.listed)
+	bed, err := newTestbed(ctx, log, experiment, fleet.listed)
 	if err != nil {
 		return nil, err
 	}
@@ -157,7 +160,7 @@
 			return err
 		}
 	}
-	if _, err := f.operator.put(f.scope, f.size.configuration(), f.readyTimeout()); err != nil {
+	if _, err := f.operator.put(f.ctx, f.size.configuration(), f.readyTimeout()); err != nil {
 		return err
 	}
 	if err := f.tell(f.nodeCell, commandStart, f.routers); err != nil {
@@ -236,16 +239,16 @@
 
 // changeRoute changes the timeout of one route.
 func (f *hollowFleet) changeRoute(number, timeout int) (time.Duration, error) {
-	return f.operator.patch(f.scope, f.size.route(number%f.size.Routes, timeout), f.readyTimeout())
+	return f.operator.patch(f.ctx, f.size.route(number%f.size.Routes, timeout), f.readyTimeout())
 }
 
-// changeSteadily makes the changes of the fleet's size until the scope ends.
-func (f *hollowFleet) changeSteadily(scope *task.Scope) *sync.WaitGroup {
+// changeSteadily makes the changes of the fleet's size until the context ends.
+func (f *hollowFleet) changeSteadily(ctx context.Context) *sync.WaitGroup {
 	var changing sync.WaitGroup
 	if f.size.Changes > 0 {
 		number := 0
 		changing.Go(func() {
-			clock.Every(scope, clock.Seconds(secondsPerMinute/f.size.Changes), func() bool {
+			wait.Every(ctx, durations.FromSeconds(secondsPerMinute/f.size.Changes), func() bool {
 				number++
 				_, _ = f.changeRoute(number, 20000+number) // one that was begun is finished
 				return true
@@ -254,7 +257,7 @@
 	}
 	if f.size.Churn > 0 {
 		changing.Go(func() {
-			clock.Every(scope, clock.Seconds(secondsPerMinute/f.size.Churn), func() bool {
+			wait.Every(ctx, durations.FromSeconds(secondsPerMinute/f.size.Churn), func() bool {
 				f.changeReplica()
 				return true
 			})
--- a/internal/emulator/measure.go
+++ b/internal/emulator/measure.go
@@ -1,16 +1,17 @@
 package emulator
 
 import (
+	"context"
 	"os"
 	"sort"
 	"strconv"
 	"strings"
 	"time"
 
+	"shaletrestle/coord/wait"
+
 	"gonum.org/v1/gonum/floats"
 	"gonum.org/v1/gonum/stat"
-
-	"shaletrestle/internal/clock"
 )
 
 // values is what one point of a series measured, by name.
@@ -19,7 +20,7 @@
 // measure looks at the fleet for a while: first with the steady changes of its size,
 // then with a few changes one after the other whose way is timed.
 func (f *hollowFleet) measure() (values, error) {
-	if !clock.Rest(f.scope, f.window/2) {
+	if !wait.Sleep(f.ctx, f.window/2) {
 		return nil, errInterrupted
 	}
 	roles, err := f.awaitPrimary()
@@ -30,10 +31,11 @@
 	if err != nil {
 		return nil, err
 	}
-	steady := f.scope.Part("busy")
-	changing := f.changeSteadily(steady)
-	rested := clock.Rest(f.scope, f.window)
-	steady.Stop()
+	changesCtx, stopChanges := context.WithCancel(f.ctx)
+	defer stopChanges()
+	changing := f.changeSteadily(changesCtx)
+	rested := wait.Sleep(f.ctx, f.window)
+	stopChanges()
 	changing.Wait()
 	if !rested {
 		return nil, errInterrupted
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -9,7 +9,6 @@
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/upstream"
 )
 
@@ -31,7 +30,7 @@
 	delayed := n.delay > 0 && n.zoneOf(host) != n.zone
 	roundTrip := 2 * n.delay
 	if delayed && roundTrip > timeout {
-		<-clock.After(timeout)
+		<-time.After(timeout)
 		return nil, os.ErrDeadlineExceeded
 	}
 	connection, err := rpc.TCP{}.Dial(address, timeout)
@@ -42,7 +41,7 @@
 	if !delayed {
 		return counted, nil
 	}
-	<-clock.After(roundTrip) // the handshake
+	<-time.After(roundTrip) // the handshake
 	return newDelayedConn(counted, n.delay), nil
 }
 
@@ -155,7 +154,7 @@
 		buffer := make([]byte, chunkSize)
 		n, err := c.Conn.Read(buffer)
 		select {
-		case c.incoming <- chunk{due: clock.Now().Add(c.delay), data: buffer[:n], err: err}:
+		case c.incoming <- chunk{due: time.Now().Add(c.delay), data: buffer[:n], err: err}:
 		case <-c.closed:
 			return
 		}
@@ -167,7 +166,7 @@
 
 // waitUntil waits; false if the connection was closed.
 func (c *delayedConn) waitUntil(due time.Time) bool {
-	timer := clock.NewTimer(clock.Until(due))
+	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -199,7 +198,7 @@
 }
 
 func (c *delayedConn) Write(data []byte) (int, error) {
-	sent := chunk{due: clock.Now().Add(c.delay), data: append([]byte{}, data...)}
+	sent := chunk{due: time.Now().Add(c.delay), data: append([]byte{}, data...)}
 	select {
 	case c.outgoing <- sent:
 		return len(data), nil
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -2,15 +2,16 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"io"
 	"net/http"
 	"strconv"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // operator is the stand-in for the operator.
@@ -31,52 +32,52 @@
 }
 
 // put replaces the whole configuration.
-func (o *operator) put(scope *task.Scope, config *configuration, timeout time.Duration) (time.Duration, error) {
-	return o.order(scope, http.MethodPut, config, timeout)
+func (o *operator) put(ctx context.Context, config *configuration, timeout time.Duration) (time.Duration, error) {
+	return o.order(ctx, http.MethodPut, config, timeout)
 }
 
 // patch changes one route.
-func (o *operator) patch(scope *task.Scope, route routeConfig, timeout time.Duration) (time.Duration, error) {
-	return o.order(scope, http.MethodPatch, upsertRoute(route), timeout)
+func (o *operator) patch(ctx context.Context, route routeConfig, timeout time.Duration) (time.Duration, error) {
+	return o.order(ctx, http.MethodPatch, upsertRoute(route), timeout)
 }
 
 // order sends one change on top of the newest revision, to one controller after
 // the other, until it is taken. It gives the time of the call that was answered.
-func (o *operator) order(scope *task.Scope, method string, config *configuration, timeout time.Duration) (time.Duration, error) {
+func (o *operator) order(ctx context.Context, method string, config *configuration, timeout time.Duration) (time.Duration, error) {
 	config.Revision = o.revision + 1
 	body, err := json.Marshal(config)
 	if err != nil {
 		return 0, errkind.Wrap(errkind.Internal, err, "order")
 	}
 	last := "no answer"
-	end := clock.Now().Add(timeout)
-	for i := 0; clock.Now().Before(end); i++ {
-		request, err := o.request(scope, method, o.controllers[i%len(o.controllers)], body)
+	end := time.Now().Add(timeout)
+	for i := 0; time.Now().Before(end); i++ {
+		request, err := o.request(ctx, method, o.controllers[i%len(o.controllers)], body)
 		if err != nil {
 			return 0, errkind.Wrap(errkind.Internal, err, "order")
 		}
-		start := clock.Now()
+		start := time.Now()
 		status, text, err := o.send(request)
 		if err == nil {
 			if status.isClass(2) {
 				o.revision = config.Revision
-				return clock.Since(start), nil
+				return time.Since(start), nil
 			}
 			last = text
 			if status.isClass(4) {
 				break
 			}
 		}
-		if !clock.Rest(scope, yardLook) {
+		if !wait.Sleep(ctx, yardLook) {
 			return 0, errInterrupted
 		}
 	}
 	return 0, errkind.New(errkind.Unready, "the configuration was not taken: %s", last)
 }
 
-func (o *operator) request(scope *task.Scope, method, controller string, body []byte) (*http.Request, error) {
+func (o *operator) request(ctx context.Context, method, controller string, body []byte) (*http.Request, error) {
 	url := "http://" + controller + "/v1/config"
-	request, err := http.NewRequestWithContext(scope.Context(), method, url, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"sort"
@@ -8,10 +9,11 @@
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // rateWindow is the time over which calls are counted against the rate.
@@ -36,11 +38,11 @@
 	replicas []*state.Replica
 }
 
-func newPlatform(scope *task.Scope, spec ListSpec, current func() []*state.Replica) *platform {
+func newPlatform(ctx context.Context, spec ListSpec, current func() []*state.Replica) *platform {
 	p := &platform{spec: spec, current: current}
 	p.record()
-	interval := max(yardLook, clock.Millis(spec.LagMs)/4)
-	go clock.Every(scope, interval, func() bool {
+	interval := max(yardLook, durations.FromMilliseconds(spec.LagMs)/4)
+	go wait.Every(ctx, interval, func() bool {
 		p.record()
 		return true
 	})
@@ -53,8 +55,8 @@
 	sort.Slice(replicas, func(i, j int) bool { return replicas[i].ID < replicas[j].ID })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.snapshots = append(p.snapshots, snapshot{at: clock.Now(), replicas: replicas})
-	for len(p.snapshots) > 1 && clock.Since(p.snapshots[1].at) >= clock.Millis(p.spec.LagMs) {
+	p.snapshots = append(p.snapshots, snapshot{at: time.Now(), replicas: replicas})
+	for len(p.snapshots) > 1 && time.Since(p.snapshots[1].at) >= durations.FromMilliseconds(p.spec.LagMs) {
 		p.snapshots = p.snapshots[1:]
 	}
 }
@@ -87,7 +89,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	now := clock.Now()
+	now := time.Now()
 	for len(p.recentCalls) > 0 && now.Sub(p.recentCalls[0]) > rateWindow {
 		p.recentCalls = p.recentCalls[1:]
 	}
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -33,11 +34,11 @@
 
 func TestTheListRunsBehindComesInPagesAndHasARate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := quiet()
-		defer sc.Stop()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		var n atomic.Int64
 		n.Store(5)
-		p := newPlatform(sc, ListSpec{LagMs: 400, Rate: 3, Page: 2}, func() (out []*state.Replica) {
+		p := newPlatform(ctx, ListSpec{LagMs: 400, Rate: 3, Page: 2}, func() (out []*state.Replica) {
 			for i := range int(n.Load()) {
 				out = append(out, &state.Replica{ID: fmt.Sprint(i), Zone: []string{"a", "b"}[i%2]})
 			}
--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -1,38 +1,39 @@
 package emulator
 
 import (
+	"context"
+	"log/slog"
 	"slices"
 
-	"time"
+	"shaletrestle/coord/wait"
 
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
+	"time"
 )
 
 // measureTarget measures the fleet of the target size, and how long it takes to come
 // back from losses.
-func measureTarget(scope *task.Scope, start newCell, output Output) ([]Point, error) {
-	return measureWhole(scope, targetSize, start, output, yardWindow)
+func measureTarget(ctx context.Context, log *slog.Logger, start newCell, output Output) ([]Point, error) {
+	return measureWhole(ctx, log, targetSize, start, output, yardWindow)
 }
 
 // measureFiveControllers is the same with five controllers for the same zones, as on
 // five machines that are set aside for them.
-func measureFiveControllers(scope *task.Scope, start newCell, output Output) ([]Point, error) {
+func measureFiveControllers(ctx context.Context, log *slog.Logger, start newCell, output Output) ([]Point, error) {
 	size := targetSize
 	size.Controllers = 5
 	size.Zones = targetSize.Controllers
-	return measureWhole(scope, size, start, output, yardWindow)
+	return measureWhole(ctx, log, size, start, output, yardWindow)
 }
 
 // measureWhole measures a fleet in use, then its recovery from several losses.
-func measureWhole(scope *task.Scope, size fleetSize, start newCell, output Output, window time.Duration) ([]Point, error) {
-	startedAt := clock.Now()
-	fleet, err := newHollowFleet(scope, size, start, window)
+func measureWhole(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, output Output, window time.Duration) ([]Point, error) {
+	startedAt := time.Now()
+	fleet, err := newHollowFleet(ctx, log, size, start, window)
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.close()
-	startTime := clock.Since(startedAt)
+	startTime := time.Since(startedAt)
 	measured, err := fleet.measure()
 	if err != nil {
 		return nil, err
@@ -122,10 +123,10 @@
 			return 0, err
 		}
 	}
-	if !clock.Rest(f.scope, f.window/2) {
+	if !wait.Sleep(f.ctx, f.window/2) {
 		return 0, errInterrupted
 	}
-	start := clock.Now()
+	start := time.Now()
 	for _, i := range lost.controllers {
 		if err := f.writeSettings(f.controllers[i], false); err != nil {
 			return 0, err
@@ -140,13 +141,13 @@
 	if err := f.awaitRouters(lost.routers); err != nil {
 		return 0, err
 	}
-	return clock.Since(start), nil
+	return time.Since(start), nil
 }
 
 // losePrimary ends the primary's process and gives the time until a change is taken
 // again.
 func (f *hollowFleet) losePrimary() (time.Duration, error) {
-	if !clock.Rest(f.scope, f.window/2) {
+	if !wait.Sleep(f.ctx, f.window/2) {
 		return 0, errInterrupted
 	}
 	roles, err := f.awaitPrimary()
@@ -156,7 +157,7 @@
 	if err := f.tellController(roles[rolePrimary], commandStop); err != nil {
 		return 0, err
 	}
-	start := clock.Now()
+	start := time.Now()
 	_, err = f.changeRoute(0, 30000)
-	return clock.Since(start), err
+	return time.Since(start), err
 }
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -8,11 +9,11 @@
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/replicamodel"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 const healthPath = "/health"
@@ -40,7 +41,7 @@
 // Replica is a stand-in for a replica: it speaks the protocol over real sockets,
 // takes the time that the model gives and can be given faults.
 type Replica struct {
-	scope   *task.Scope
+	ctx     context.Context
 	rules   *ruleChecker
 	service *Service
 	name    string
@@ -64,9 +65,9 @@
 	reportedAt  time.Time
 }
 
-func newReplica(scope *task.Scope, rules *ruleChecker, service *Service, name, address, zone string) *Replica {
+func newReplica(ctx context.Context, rules *ruleChecker, service *Service, name, address, zone string) *Replica {
 	return &Replica{
-		scope:   scope,
+		ctx:     ctx,
 		rules:   rules,
 		service: service,
 		name:    name,
@@ -84,14 +85,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := clock.Now()
+	now := time.Now()
 	r.life++
 	r.fault = ""
 	r.setState(replicaReady)
 	r.startedAt = now
-	r.answersFrom = now.Add(clock.Seconds(r.service.StartS))
+	r.answersFrom = now.Add(durations.FromSeconds(r.service.StartS))
 	if !first {
-		r.warmFrom = now.Add(clock.Seconds(r.service.WarmupS))
+		r.warmFrom = now.Add(durations.FromSeconds(r.service.WarmupS))
 	}
 	r.resetModel(1)
 	r.connections = 0
@@ -115,7 +116,7 @@
 // setState is called with the lock held.
 func (r *Replica) setState(state replicaState) {
 	r.state = state
-	r.stateSince = clock.Now()
+	r.stateSince = time.Now()
 }
 
 // resetModel begins with an empty memory, slower by a factor than the service says;
@@ -123,7 +124,7 @@
 func (r *Replica) resetModel(slower float64) {
 	r.queue = replicamodel.NewQueue(r.service.Slots, r.service.Queue)
 	if r.service.Engine != nil {
-		r.engine = newEngine(r.scope, r.service, slower)
+		r.engine = newEngine(r.ctx, r.service, slower)
 	}
 }
 
@@ -179,7 +180,7 @@
 func (r *Replica) entry() *state.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state == replicaGone && (r.life == 0 || clock.Since(r.stateSince) > yardCrashSeen) {
+	if r.state == replicaGone && (r.life == 0 || time.Since(r.stateSince) > yardCrashSeen) {
 		return nil
 	}
 	entry := &state.Replica{
@@ -190,7 +191,7 @@
 		Software: softwareVersion,
 		Slots:    r.service.Slots,
 		State:    string(replicaReady),
-		ColdMs:   max(0, millis(clock.Until(r.warmFrom))),
+		ColdMs:   max(0, millis(time.Until(r.warmFrom))),
 	}
 	if r.state == replicaDraining {
 		entry.State = string(replicaDraining)
@@ -210,5 +211,5 @@
 	if r.engine != nil {
 		return r.engine.load()
 	}
-	return r.queue.Load(clock.Since(r.startedAt))
+	return r.queue.Load(time.Since(r.startedAt))
 }
--- a/internal/emulator/replica_faults.go
+++ b/internal/emulator/replica_faults.go
@@ -3,12 +3,13 @@
 import (
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 )
 
 // trouble gives the replica a fault and takes it away at the end.
 func (r *Replica) trouble(trouble Trouble) {
-	duration := clock.Seconds(trouble.ForS)
+	duration := durations.FromSeconds(trouble.ForS)
 	switch trouble.How {
 	case Crash:
 		r.crash(duration)
@@ -22,7 +23,7 @@
 		r.lie(duration)
 	default:
 		r.setFault(trouble.How)
-		clock.Rest(r.scope, duration)
+		wait.Sleep(r.ctx, duration)
 		r.setFault("")
 	}
 }
@@ -35,22 +36,22 @@
 
 func (r *Replica) crash(duration time.Duration) {
 	r.stop()
-	if clock.Rest(r.scope, duration) {
+	if wait.Sleep(r.ctx, duration) {
 		_ = r.start(false)
 	}
 }
 
 func (r *Replica) flap(duration time.Duration) {
-	end := clock.Now().Add(duration)
-	for clock.Now().Before(end) {
+	end := time.Now().Add(duration)
+	for time.Now().Before(end) {
 		r.stop()
-		if !clock.Rest(r.scope, yardFlap) {
+		if !wait.Sleep(r.ctx, yardFlap) {
 			return
 		}
 		if r.start(false) != nil {
 			return
 		}
-		if !clock.Rest(r.scope, yardFlap) {
+		if !wait.Sleep(r.ctx, yardFlap) {
 			return
 		}
 	}
@@ -60,10 +61,10 @@
 	r.mu.Lock()
 	r.setState(replicaDraining)
 	r.mu.Unlock()
-	if clock.Rest(r.scope, yardDrain+yardLag+yardDrain/2) {
+	if wait.Sleep(r.ctx, yardDrain+yardLag+yardDrain/2) {
 		r.stop()
 	}
-	if clock.Rest(r.scope, duration) {
+	if wait.Sleep(r.ctx, duration) {
 		_ = r.start(false)
 	}
 }
@@ -71,12 +72,12 @@
 func (r *Replica) turnCold(duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.warmFrom = clock.Now().Add(duration)
+	r.warmFrom = time.Now().Add(duration)
 }
 
 func (r *Replica) lie(duration time.Duration) {
 	r.beginFault(Lying, yardSlow)
-	clock.Rest(r.scope, duration)
+	wait.Sleep(r.ctx, duration)
 	r.beginFault("", 1)
 }
 
--- a/internal/emulator/replica_http.go
+++ b/internal/emulator/replica_http.go
@@ -8,7 +8,8 @@
 	"strings"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/replicamodel"
@@ -42,7 +43,7 @@
 		fault:    r.fault,
 		engine:   r.engine,
 		queue:    r.queue,
-		up:       !clock.Now().Before(r.answersFrom),
+		up:       !time.Now().Before(r.answersFrom),
 		draining: r.state != replicaReady,
 		load:     r.load(),
 	}
@@ -128,7 +129,7 @@
 
 // work answers after the time that the queue gives.
 func (r *Replica) work(w http.ResponseWriter, request *http.Request, view replicaView, id, seal string) {
-	work := clock.Millis(r.service.WorkMs)
+	work := durations.FromMilliseconds(r.service.WorkMs)
 	if view.fault == Lying {
 		work *= yardSlow
 	}
@@ -138,7 +139,7 @@
 		return
 	}
 	r.rules.ran(id, seal)
-	if !waitFor(request, clock.Until(end)) {
+	if !waitFor(request, time.Until(end)) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(headerSeal, seal)
@@ -149,7 +150,7 @@
 func (r *Replica) offer(view replicaView, work time.Duration) (end time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	offset, ok := view.queue.Offer(clock.Since(r.startedAt), work)
+	offset, ok := view.queue.Offer(time.Since(r.startedAt), work)
 	return r.startedAt.Add(offset), ok
 }
 
@@ -161,7 +162,7 @@
 
 // waitFor waits; false if the request was cancelled.
 func waitFor(request *http.Request, duration time.Duration) bool {
-	timer := clock.NewTimer(duration)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -204,7 +205,7 @@
 			return
 		case <-request.Context().Done():
 			panic(http.ErrAbortHandler)
-		case <-r.scope.Done():
+		case <-r.ctx.Done():
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -244,7 +245,7 @@
 }
 
 // uniqueID names a part that no other prompt has.
-func uniqueID() uint64 { return uint64(clock.Now().UnixNano()) }
+func uniqueID() uint64 { return uint64(time.Now().UnixNano()) }
 
 // parseTokenCounts reads the tokens of the prompt and those to generate.
 func parseTokenCounts(header string) (in, out int) {
@@ -294,9 +295,9 @@
 func (r *Replica) delayedLoad() replicamodel.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if clock.Since(r.reportedAt) >= yardReportLag {
+	if time.Since(r.reportedAt) >= yardReportLag {
 		r.reported = r.load()
-		r.reportedAt = clock.Now()
+		r.reportedAt = time.Now()
 	}
 	return r.reported
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -8,8 +8,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"shaletrestle/internal/clock"
 )
 
 // microsPerMilli turns a histogram's values, which are in µs, into ms.
@@ -40,7 +38,7 @@
 	r := &report{
 		experiment: experiment,
 		lines:      lines,
-		start:      clock.Now(),
+		start:      time.Now(),
 		rows:       map[string]*Row{},
 		changes:    newHistogram(),
 	}
@@ -70,7 +68,7 @@
 	if r.lines == nil {
 		return
 	}
-	at := fmt.Sprintf("%.3f", clock.Since(r.start).Seconds())
+	at := fmt.Sprintf("%.3f", time.Since(r.start).Seconds())
 	encoded, err := json.Marshal(line{Is: kind, At: at, V: value})
 	if err == nil {
 		_, _ = r.lines.Write(append(encoded, '\n'))
@@ -127,7 +125,7 @@
 	defer r.mu.Unlock()
 	summary := &Summary{
 		Name:        r.experiment.Name,
-		TookS:       clock.Since(r.start).Seconds(),
+		TookS:       time.Since(r.start).Seconds(),
 		Changes:     int(r.changes.TotalCount()),
 		ChangeP99Ms: quantile(r.changes, 99),
 		Interrupted: interrupted,
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
@@ -104,7 +103,7 @@
 // awaitPrimary waits until there is a primary and tells who is what.
 func (f *hollowFleet) awaitPrimary() (controllerRoles, error) {
 	var roles controllerRoles
-	err := await(f.scope, f.readyTimeout(), "there was no primary", func() bool {
+	err := await(f.ctx, f.readyTimeout(), "there was no primary", func() bool {
 		found, _, err := f.roles()
 		roles = found
 		return err == nil
@@ -115,13 +114,13 @@
 // timeChange makes one change and gives the time until every connected node has it
 // in force.
 func (f *hollowFleet) timeChange(number int) (time.Duration, error) {
-	start := clock.Now()
+	start := time.Now()
 	if _, err := f.changeRoute(number, 10001+number); err != nil {
 		return 0, err
 	}
-	err := await(f.scope, f.readyTimeout(), "a change was not in force", func() bool {
+	err := await(f.ctx, f.readyTimeout(), "a change was not in force", func() bool {
 		_, page, err := f.roles()
 		return err == nil && page.Updates.Acked == page.Updates.Number
 	})
-	return clock.Since(start), err
+	return time.Since(start), err
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -1,12 +1,15 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
 	"io"
+	"log/slog"
 	"sync"
+	"time"
 
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 )
 
 // secondsPerMinute turns a rate by the minute into a pause in seconds.
@@ -26,11 +29,11 @@
 }
 
 // Run starts an experiment's fleet and stand-ins, loads them, and ends everything
-// again. It ends early, with what was measured so far, when the scope does.
-func Run(scope *task.Scope, experiment *Experiment, output Output) (*Summary, error) {
+// again. It ends early, with what was measured so far, when the context does.
+func Run(ctx context.Context, log *slog.Logger, experiment *Experiment, output Output) (*Summary, error) {
 	output.say("%s: %d replicas, %d controllers, %d routers in this process",
 		experiment.Name, experiment.replicaCount(), experiment.Fleet.Controllers, experiment.Fleet.Routers)
-	bed, err := newTestbed(scope, experiment, nil)
+	bed, err := newTestbed(ctx, log, experiment, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -39,11 +42,11 @@
 		return nil, err
 	}
 	output.say("replicas answer; settings are in %s", bed.dir)
-	start := clock.Now()
+	start := time.Now()
 	if err := bed.startDaemons(); err != nil {
 		return nil, err
 	}
-	took, err := bed.operator.put(bed.scope, experiment.configuration(), bed.readyTimeout())
+	took, err := bed.operator.put(bed.ctx, experiment.configuration(), bed.readyTimeout())
 	if err != nil {
 		return nil, err
 	}
@@ -52,25 +55,26 @@
 		return nil, err
 	}
 	output.say("routers ready %.0f ms after their start; sending %d requests over %g s",
-		millis(clock.Since(start)), experiment.requestCount(), experiment.Duration)
+		millis(time.Since(start)), experiment.requestCount(), experiment.Duration)
 	return bed.load(output), nil
 }
 
 // load sends the traffic, with faults and changes beside it.
 func (b *testbed) load(output Output) *Summary {
 	report := newReport(b.experiment, output.Lines)
-	beside := b.scope.Part("beside")
+	besideCtx, stopBeside := context.WithCancel(b.ctx)
+	defer stopBeside()
 	var besides sync.WaitGroup
 	for _, trouble := range b.experiment.Troubles {
-		besides.Go(func() { b.giveTrouble(beside, report, trouble) })
+		besides.Go(func() { b.giveTrouble(besideCtx, report, trouble) })
 	}
 	if b.experiment.Changes > 0 {
-		besides.Go(func() { b.changeConfiguration(beside, report) })
+		besides.Go(func() { b.changeConfiguration(besideCtx, report) })
 	}
-	besides.Go(func() { sayProgress(beside, report, output) })
-	newTraffic(b.scope, b.experiment, b.rules, b.fronts(), report.add).run()
-	interrupted := b.scope.Ended()
-	beside.Stop()
+	besides.Go(func() { sayProgress(besideCtx, report, output) })
+	newTraffic(b.ctx, b.experiment, b.rules, b.fronts(), report.add).run()
+	interrupted := b.ctx.Err() != nil
+	stopBeside()
 	besides.Wait()
 	summary := report.summary(b, interrupted)
 	if output.Plots != "" {
@@ -91,8 +95,8 @@
 }
 
 // giveTrouble gives a replica a fault when it is due.
-func (b *testbed) giveTrouble(scope *task.Scope, report *report, trouble Trouble) {
-	if !clock.Rest(scope, clock.Seconds(trouble.AtS)) {
+func (b *testbed) giveTrouble(ctx context.Context, report *report, trouble Trouble) {
+	if !wait.Sleep(ctx, durations.FromSeconds(trouble.AtS)) {
 		return
 	}
 	report.trouble(trouble)
@@ -100,21 +104,21 @@
 }
 
 // changeConfiguration makes a small change at regular times.
-func (b *testbed) changeConfiguration(scope *task.Scope, report *report) {
+func (b *testbed) changeConfiguration(ctx context.Context, report *report) {
 	number := 0
-	pause := clock.Seconds(secondsPerMinute / b.experiment.Changes)
-	clock.Every(scope, pause, func() bool {
+	pause := durations.FromSeconds(secondsPerMinute / b.experiment.Changes)
+	wait.Every(ctx, pause, func() bool {
 		number++
-		took, err := b.operator.patch(b.scope, b.experiment.spareRoute(number), b.readyTimeout())
+		took, err := b.operator.patch(b.ctx, b.experiment.spareRoute(number), b.readyTimeout())
 		report.change(took, err)
 		return true
 	})
 }
 
-func sayProgress(scope *task.Scope, report *report, output Output) {
-	clock.Every(scope, yardProgress, func() bool {
+func sayProgress(ctx context.Context, report *report, output Output) {
+	wait.Every(ctx, yardProgress, func() bool {
 		ended, served := report.progress()
-		output.say("%6.1f s: %d ended, %d served", clock.Since(report.start).Seconds(), ended, served)
+		output.say("%6.1f s: %d ended, %d served", time.Since(report.start).Seconds(), ended, served)
 		return true
 	})
 }
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"log/slog"
 	"os"
@@ -13,10 +14,9 @@
 
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
-func quiet() *task.Scope { return task.New(slog.New(slog.DiscardHandler)) }
+func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // leftovers lists what experiments left in the temporary folder.
 func leftovers(t *testing.T) []string {
@@ -35,7 +35,7 @@
 	x.Address, x.Port = g.ip(0), g.port
 	var lines, progress bytes.Buffer
 	plots := t.TempDir()
-	s, err := Run(quiet(), x, Output{Lines: &lines, Progress: &progress, Plots: plots})
+	s, err := Run(t.Context(), quiet(), x, Output{Lines: &lines, Progress: &progress, Plots: plots})
 	require.NoError(t, err)
 	require.Empty(t, s.Rules)
 	require.True(t, s.Whole(), "%+v\n%s", s, lines.String())
@@ -82,7 +82,7 @@
 `))
 	require.NoError(t, err)
 	var lines bytes.Buffer
-	s, err := Run(quiet(), x, Output{Lines: &lines})
+	s, err := Run(t.Context(), quiet(), x, Output{Lines: &lines})
 	require.NoError(t, err)
 	require.Empty(t, s.Rules)
 	all, served := 0, 0
@@ -102,10 +102,11 @@
 	x, err := Demo()
 	require.NoError(t, err)
 	x.Duration, x.Kinds[0].Count = 300, 0
-	sc := quiet()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	got := make(chan struct{}, 1)
-	go func() { <-got; sc.Stop() }()
-	s, err := Run(sc, x, Output{Lines: firstRequest(got)})
+	go func() { <-got; cancel() }()
+	s, err := Run(ctx, quiet(), x, Output{Lines: firstRequest(got)})
 	require.NoError(t, err)
 	require.True(t, s.Interrupted)
 	for _, r := range s.Rows {
@@ -136,14 +137,14 @@
 	x, err := Parse([]byte(good))
 	require.NoError(t, err)
 	x.Address, x.Port = g.ip(0), g.port
-	_, err = Run(quiet(), x, Output{})
+	_, err = Run(t.Context(), quiet(), x, Output{})
 	require.ErrorContains(t, err, g.address(g.ip(1), portReplica)+" is taken")
 	require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
 
 	x, err = Parse([]byte(good))
 	require.NoError(t, err)
 	x.Services[1].StartS, x.Ready = 3600, 0.05
-	_, err = Run(quiet(), x, Output{})
+	_, err = Run(t.Context(), quiet(), x, Output{})
 	require.ErrorContains(t, err, "replica model-1 did not start within 50ms")
 	require.Empty(t, leftovers(t))
 }
@@ -152,11 +153,11 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
-	y, err := newTestbed(quiet(), x, nil)
+	y, err := newTestbed(t.Context(), quiet(), x, nil)
 	require.NoError(t, err)
 	defer y.close()
 	require.NoError(t, y.startDaemons())
-	_, err = y.operator.put(y.scope, x.configuration(), yardReadyWait)
+	_, err = y.operator.put(y.ctx, x.configuration(), yardReadyWait)
 	require.NoError(t, err)
 	require.NoError(t, y.awaitRouters(y.routers))
 	page, err := os.ReadFile("../../docs/metrics.md")
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -1,8 +1,10 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -10,10 +12,8 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
-	"shaletrestle/internal/task"
 )
 
 // minPoints is the number of points that a line is fitted to at least.
@@ -47,7 +47,7 @@
 
 // Slopes measures series, all if none is named, and writes one JSON file for each
 // into a folder.
-func Slopes(scope *task.Scope, names []string, dir string, output Output) error {
+func Slopes(ctx context.Context, log *slog.Logger, names []string, dir string, output Output) error {
 	for _, name := range names {
 		if !slices.Contains(SeriesNames(), name) {
 			return errkind.New(errkind.BadEnv, "there is no series %q; there are %v", name, SeriesNames())
@@ -60,7 +60,7 @@
 		if len(names) > 0 && !slices.Contains(names, spec.name) {
 			continue
 		}
-		measured, err := spec.measure(scope, spawnCell, output, yardWindow)
+		measured, err := spec.measure(ctx, log, spawnCell, output, yardWindow)
 		if err != nil {
 			return err
 		}
@@ -80,40 +80,40 @@
 }
 
 // measure measures a series; an interrupted one is an error.
-func (s seriesSpec) measure(scope *task.Scope, start newCell, output Output, window time.Duration) (*Series, error) {
-	startedAt := clock.Now()
+func (s seriesSpec) measure(ctx context.Context, log *slog.Logger, start newCell, output Output, window time.Duration) (*Series, error) {
+	startedAt := time.Now()
 	measured := &Series{Name: s.name, Grows: s.grows, Made: buildDescription(), Fits: map[string]Fit{}}
 	if s.whole != nil {
-		points, err := s.whole(scope, start, output)
+		points, err := s.whole(ctx, log, start, output)
 		if err != nil {
 			return nil, err
 		}
 		measured.Points = points
 	}
 	for _, x := range s.at {
-		point, err := s.measurePoint(scope, x, start, window)
+		point, err := s.measurePoint(ctx, log, x, start, window)
 		if err != nil {
 			return nil, err
 		}
 		output.say("%s %g: %v", s.name, x, point.Values.text())
 		measured.Points = append(measured.Points, point)
-		if scope.Ended() {
+		if ctx.Err() != nil {
 			return nil, errInterrupted
 		}
 	}
 	measured.fit()
-	measured.TookS = clock.Since(startedAt).Seconds()
+	measured.TookS = time.Since(startedAt).Seconds()
 	return measured, nil
 }
 
 // measurePoint measures a component of this process, or a fleet of the size.
-func (s seriesSpec) measurePoint(scope *task.Scope, x float64, start newCell, window time.Duration) (Point, error) {
+func (s seriesSpec) measurePoint(ctx context.Context, log *slog.Logger, x float64, start newCell, window time.Duration) (Point, error) {
 	if s.component != nil {
 		return Point{X: x, Values: s.component(x)}, nil
 	}
 	size := baseSize
 	s.set(&size, x)
-	measured, err := measureFleet(scope, size, start, window)
+	measured, err := measureFleet(ctx, log, size, start, window)
 	if err != nil {
 		return Point{}, err
 	}
@@ -121,8 +121,8 @@
 }
 
 // measureFleet starts a fleet, measures it and ends it.
-func measureFleet(scope *task.Scope, size fleetSize, start newCell, window time.Duration) (values, error) {
-	fleet, err := newHollowFleet(scope, size, start, window)
+func measureFleet(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, window time.Duration) (values, error) {
+	fleet, err := newHollowFleet(ctx, log, size, start, window)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/series_list.go
+++ b/internal/emulator/series_list.go
@@ -1,6 +1,9 @@
 package emulator
 
-import "shaletrestle/internal/task"
+import (
+	"context"
+	"log/slog"
+)
 
 // baseSize is the fleet that a series grows one quantity of.
 var baseSize = fleetSize{
@@ -33,7 +36,7 @@
 	at        []float64
 	set       func(size *fleetSize, x float64) // sets the size of a fleet
 	component func(x float64) values           // measures a component; no fleet is needed
-	whole     func(*task.Scope, newCell, Output) ([]Point, error)
+	whole     func(context.Context, *slog.Logger, newCell, Output) ([]Point, error)
 }
 
 var allSeries = []seriesSpec{
--- a/internal/emulator/series_test.go
+++ b/internal/emulator/series_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"math"
 	"path/filepath"
 	"testing"
@@ -25,11 +26,11 @@
 
 func TestAHollowFleetIsMeasuredAndRebuilt(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	sc := quiet()
-	defer sc.Stop()
-	start := func() (*cell, error) { return startCellHere(sc) }
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	start := func() (*cell, error) { return startCellHere(ctx, quiet()) }
 	z := fleetSize{Nodes: 6, Controllers: 3, Replicas: 30, Models: 3, Routes: 9, Tenants: 3, DelayMs: 1, Changes: 600, Churn: 600}
-	points, err := measureWhole(sc, z, start, Output{}, 300*time.Millisecond)
+	points, err := measureWhole(ctx, quiet(), z, start, Output{}, 300*time.Millisecond)
 	require.NoError(t, err)
 	v := points[0].Values
 	for _, k := range []string{"node_heap_kb", "node_in_bytes_per_s", "primary_out_bytes_per_s", "backup_in_bytes_per_s", "witness_heap_kb", "in_force_ms_mean", "rebuild_zone_ms", "order_taken_after_primary_lost_ms"} {
@@ -40,26 +41,26 @@
 
 func TestSeriesNeedAKnownName(t *testing.T) {
 	dir := t.TempDir()
-	err := Slopes(quiet(), []string{"nodes", "nodess"}, dir, Output{})
+	err := Slopes(t.Context(), quiet(), []string{"nodes", "nodess"}, dir, Output{})
 	require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
 	require.ErrorContains(t, err, `"nodess"`)
-	sc := quiet()
-	sc.Stop()
-	require.Error(t, Slopes(sc, []string{"placing"}, dir, Output{}), "an interrupted series is not written")
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	require.Error(t, Slopes(ctx, quiet(), []string{"placing"}, dir, Output{}), "an interrupted series is not written")
 	require.NoFileExists(t, filepath.Join(dir, "placing.json"))
 }
 
 func TestASeriesIsFitted(t *testing.T) {
 	var out bytes.Buffer
 	g := seriesSpec{name: "x", at: []float64{1, 2, 3, 4}, component: func(x float64) values { return values{"y": 2 * x} }}
-	s, err := g.measure(quiet(), nil, Output{Progress: &out}, 0)
+	s, err := g.measure(t.Context(), quiet(), nil, Output{Progress: &out}, 0)
 	require.NoError(t, err)
 	require.InDelta(t, 2, s.Fits["y"].Slope, 1e-9)
 	require.Contains(t, out.String(), "y=8")
 }
 
 func TestACellAnswersEachCommand(t *testing.T) {
-	c, err := startCellHere(quiet())
+	c, err := startCellHere(t.Context(), quiet())
 	require.NoError(t, err)
 	_, err = c.do(command{Do: "start", Daemons: []daemonSpec{{Name: "router-1", File: filepath.Join(t.TempDir(), "none")}}})
 	require.ErrorContains(t, err, "settings file")
--- a/internal/emulator/testbed.go
+++ b/internal/emulator/testbed.go
@@ -1,22 +1,24 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
 	"sync"
 
+	"shaletrestle/internal/durations"
+
 	"gopkg.in/yaml.v3"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // maxSeeds is the number of controllers that the settings name as seeds.
@@ -24,7 +26,9 @@
 
 // testbed is everything that one experiment starts.
 type testbed struct {
-	scope        *task.Scope
+	ctx          context.Context
+	log          *slog.Logger
+	cancel       context.CancelFunc
 	experiment   *Experiment
 	dir          string // of the settings and the daemons' data
 	addresses    *addressPool
@@ -42,7 +46,7 @@
 // newTestbed starts the stand-ins and writes the settings. The function list gives
 // what the platform lists; nil stands for the experiment's replicas. Whatever is
 // returned must be ended by close.
-func newTestbed(scope *task.Scope, experiment *Experiment, list func() []*state.Replica) (*testbed, error) {
+func newTestbed(ctx context.Context, log *slog.Logger, experiment *Experiment, list func() []*state.Replica) (*testbed, error) {
 	addresses, err := newAddressPool(experiment.Address, experiment.Port)
 	if err != nil {
 		return nil, err
@@ -51,8 +55,11 @@
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Internal, err, "temporary folder")
 	}
+	ctx, cancel := context.WithCancel(ctx)
 	bed := &testbed{
-		scope:      scope.Part("emulator"),
+		ctx:        ctx,
+		cancel:     cancel,
+		log:        log.With("part", "emulator"),
 		experiment: experiment,
 		dir:        dir,
 		addresses:  addresses,
@@ -125,14 +132,14 @@
 	}
 	name := replicaName(service.Name, number)
 	address := b.addresses.address(ip, portReplica)
-	replica := newReplica(b.scope, b.rules, service, name, address, zone)
+	replica := newReplica(b.ctx, b.rules, service, name, address, zone)
 	b.replicas[name] = replica
 	b.replicaNames = append(b.replicaNames, name)
 	return replica.start(true)
 }
 
 func (b *testbed) startPlatform(list func() []*state.Replica) error {
-	b.platform = newPlatform(b.scope, b.experiment.Platform, list)
+	b.platform = newPlatform(b.ctx, b.experiment.Platform, list)
 	listener, err := listen(b.listAddress)
 	if err != nil {
 		return err
@@ -251,9 +258,9 @@
 		network := &network{
 			zone:   daemon.zone,
 			zoneOf: b.addresses.zoneOf,
-			delay:  clock.Millis(b.experiment.Fleet.ZoneDelayMs),
+			delay:  durations.FromMilliseconds(b.experiment.Fleet.ZoneDelayMs),
 		}
-		if err := daemon.start(b.scope, network); err != nil {
+		if err := daemon.start(b.ctx, b.log, network); err != nil {
 			return err
 		}
 	}
@@ -267,7 +274,7 @@
 		stopping.Go(daemon.stop)
 	}
 	stopping.Wait()
-	b.scope.Stop()
+	b.cancel()
 	for _, replica := range b.replicas {
 		replica.stop()
 	}
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -1,14 +1,15 @@
 package emulator
 
 import (
+	"context"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"sync"
 	"time"
 
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 )
 
 // idleConnections is the number of idle connections that the clients keep to a
@@ -17,7 +18,7 @@
 
 // traffic sends one experiment's requests.
 type traffic struct {
-	scope      *task.Scope
+	ctx        context.Context
 	experiment *Experiment
 	rules      *ruleChecker
 	routers    []string     // front addresses
@@ -27,15 +28,15 @@
 	results    func(Result)
 }
 
-func newTraffic(scope *task.Scope, experiment *Experiment, rules *ruleChecker, routers []string, results func(Result)) *traffic {
+func newTraffic(ctx context.Context, experiment *Experiment, rules *ruleChecker, routers []string, results func(Result)) *traffic {
 	return &traffic{
-		scope:      scope,
+		ctx:        ctx,
 		experiment: experiment,
 		rules:      rules,
 		routers:    routers,
 		keeping:    newClient(true),
 		fresh:      newClient(false),
-		start:      clock.Now(),
+		start:      time.Now(),
 		results:    results,
 	}
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-// run sends all requests and waits for their ends, or for the scope's.
+// run sends all requests and waits for their ends, or for the context's.
 func (t *traffic) run() {
 	var senders, open sync.WaitGroup
 	for i := range t.experiment.Kinds {
@@ -72,15 +73,15 @@
 	prefixes := newPrefixChooser(kind, random)
 	at := t.start
 	for number := range kind.total(t.experiment.Duration) {
-		at = at.Add(clock.Seconds(random.ExpFloat64() / kind.PerS))
+		at = at.Add(durations.FromSeconds(random.ExpFloat64() / kind.PerS))
 		prefix := prefixes.next()
 		router := random.IntN(len(t.routers))
-		if !clock.Rest(t.scope, clock.Until(at)) {
+		if !wait.Sleep(t.ctx, time.Until(at)) {
 			return
 		}
 		open.Go(func() {
 			result := t.send(kind, number, prefix, router)
-			if result.Outcome == Served || !t.scope.Ended() { // what an interruption cut off is no failure of the fleet
+			if result.Outcome == Served || t.ctx.Err() == nil { // what an interruption cut off is no failure of the fleet
 				t.results(result)
 			}
 		})
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -3,18 +3,20 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"net/http"
 	"strings"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"github.com/labstack/echo/v4"
 	"go.uber.org/atomic"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
-	"shaletrestle/internal/task"
 )
 
 type tapKey struct{}
@@ -58,7 +60,8 @@
 
 // Front accepts clients. A change of limits makes a new server for the connections that come later.
 type Front struct {
-	sc  *task.Scope
+	ctx context.Context
+	log *slog.Logger
 	ln  net.Listener
 	h   http.Handler
 	mu  sync.Mutex
@@ -70,7 +73,7 @@
 }
 
 // New makes the front over a listener.
-func New(sc *task.Scope, ln net.Listener, h http.Handler) *Front {
+func New(ctx context.Context, log *slog.Logger, ln net.Listener, h http.Handler) *Front {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	all := func(c echo.Context) error {
@@ -83,7 +86,7 @@
 	}
 	e.RouteNotFound("/*", all)
 	e.Any("/*", all)
-	f := &Front{sc: sc.Part("frontend"), ln: ln, h: e}
+	f := &Front{ctx: ctx, log: log.With("part", "frontend"), ln: ln, h: e}
 	f.Limit(routing.Limits{})
 	return f
 }
@@ -124,7 +127,7 @@
 		MaxHeaderBytes:               l.Head,
 		ReadHeaderTimeout:            l.HeadWait,
 		DisableGeneralOptionsHandler: true,
-		ErrorLog:                     quiet(f.sc),
+		ErrorLog:                     quiet(f.log),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, tapKey{}, c)
 		},
@@ -141,10 +144,10 @@
 	for {
 		c, err := f.ln.Accept()
 		if err != nil {
-			if f.sc.Ended() || strings.Contains(err.Error(), net.ErrClosed.Error()) {
+			if f.ctx.Err() != nil || strings.Contains(err.Error(), net.ErrClosed.Error()) {
 				return
 			}
-			clock.Rest(f.sc, acceptPause)
+			wait.Sleep(f.ctx, acceptPause)
 			continue
 		}
 		f.hand(&tap{Conn: c, limit: f.idle.Load})
@@ -175,19 +178,19 @@
 func (f *Front) Close() { f.Finish(0) }
 
 // Finish takes no more connections and waits for what is held, at most d.
-func (f *Front) Finish(d clock.Duration) {
+func (f *Front) Finish(d time.Duration) {
 	_ = f.ln.Close()
 	f.mu.Lock()
 	all := append(append([]*server{}, f.old...), f.now)
 	f.mu.Unlock()
-	sc := f.sc.Within(d)
-	defer sc.Stop()
+	ctx, cancel := context.WithTimeout(f.ctx, d)
+	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range all {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if s.s.Shutdown(sc.Context()) != nil {
+			if s.s.Shutdown(ctx) != nil {
 				_ = s.s.Close()
 			}
 		}()
--- a/internal/frontend/idle_test.go
+++ b/internal/frontend/idle_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"io"
 	"log/slog"
 	"net"
@@ -13,7 +14,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/internal/routing"
-	"shaletrestle/internal/task"
 )
 
 // doors is a listener whose connections a test makes.
@@ -74,7 +74,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newDoors()
-				f := New(task.New(slog.New(slog.DiscardHandler)), d, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				f := New(context.Background(), slog.New(slog.DiscardHandler), d, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					time.Sleep(2 * long) // work is no rest
 					w.WriteHeader(http.StatusOK)
 				}))
--- a/internal/frontend/tap.go
+++ b/internal/frontend/tap.go
@@ -7,20 +7,18 @@
 	"strings"
 	"sync"
 	"time"
-
-	"shaletrestle/internal/clock"
 )
 
 // tap is a client's connection. It remembers the head of the request being read, so that a doubtful
 // framing can be looked at as it was sent, and closes itself when it has rested too long.
 type tap struct {
 	net.Conn
-	limit func() clock.Duration // how long it may rest, as it is now
+	limit func() time.Duration // how long it may rest, as it is now
 	mu    sync.Mutex
 	buf   []byte
 	whole bool // the head is in buf: what follows it isn't kept
 	rests bool // between two requests
-	since clock.Time
+	since time.Time
 	timer *time.Timer // nil before the first rest
 }
 
@@ -68,9 +66,9 @@
 		t.wake()
 		return
 	}
-	t.rests, t.since = true, clock.Now()
+	t.rests, t.since = true, time.Now()
 	if t.timer == nil {
-		t.timer = clock.Later(t.limit(), t.overdue)
+		t.timer = time.AfterFunc(t.limit(), t.overdue)
 		return
 	}
 	t.timer.Reset(t.limit())
@@ -87,7 +85,7 @@
 // overdue closes a connection that has rested for as long as the limit now in force allows.
 func (t *tap) overdue() {
 	t.mu.Lock()
-	left := t.limit() - clock.Since(t.since)
+	left := t.limit() - time.Since(t.since)
 	if !t.rests || left > 0 {
 		if t.rests {
 			t.timer.Reset(left)
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -3,10 +3,12 @@
 import (
 	"math/rand/v2"
 	"sort"
+	"time"
+
+	"shaletrestle/internal/durations"
 
 	"github.com/cespare/xxhash/v2"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 )
@@ -150,7 +152,7 @@
 }
 
 // addHomes adds the first homes that may be used, the best first.
-func (y *Placer) addHomes(s *bunch, p *pool, a *Request, now clock.Time) {
+func (y *Placer) addHomes(s *bunch, p *pool, a *Request, now time.Time) {
 	var top [defaultHomes]ranked
 	n, head := 0, uint64(a.Chain.Head())
 	for _, b := range p.bucket(a.Chain.Head()) {
@@ -169,7 +171,7 @@
 func (y *Placer) cut(tokens int) int { return tokens / y.opts.Block * y.opts.Block }
 
 // sample draws one that may be used from a list; nil if none was found in some draws.
-func (y *Placer) sample(a *Request, bs []*berth, now clock.Time) *berth {
+func (y *Placer) sample(a *Request, bs []*berth, now time.Time) *berth {
 	for range min(sampleTries, 4*len(bs)) {
 		if b := bs[rand.IntN(len(bs))]; y.warm(a, b, now) {
 			return b
@@ -179,7 +181,7 @@
 }
 
 // scan looks through a whole list and draws one that may be used; it is needed only when hardly any may be.
-func (y *Placer) scan(a *Request, bs []*berth, now clock.Time) (pick *berth) {
+func (y *Placer) scan(a *Request, bs []*berth, now time.Time) (pick *berth) {
 	n := 0
 	for _, b := range bs {
 		if y.warm(a, b, now) {
@@ -192,7 +194,7 @@
 }
 
 // coldest is the cold replica that may be sent to and was sent to longest ago, with its rate.
-func (y *Placer) coldest(a *Request, p *pool, now clock.Time) (cold *berth, rate float64) {
+func (y *Placer) coldest(a *Request, p *pool, now time.Time) (cold *berth, rate float64) {
 	for _, b := range p.open {
 		if !y.fits(a, b, now) || !y.cold(b, now) || now.Before(b.coldNext) || cold != nil && !b.coldNext.Before(cold.coldNext) {
 			continue
@@ -205,12 +207,12 @@
 }
 
 // warm tells whether a replica may be used as one that is not cold.
-func (y *Placer) warm(a *Request, b *berth, now clock.Time) bool {
+func (y *Placer) warm(a *Request, b *berth, now time.Time) bool {
 	return y.fits(a, b, now) && !y.cold(b, now)
 }
 
 // gather finds the candidates of a prompt: homes, those that the index names, and a few at random.
-func (y *Placer) gather(s *bunch, p *pool, a *Request, now clock.Time) {
+func (y *Placer) gather(s *bunch, p *pool, a *Request, now time.Time) {
 	y.addHomes(s, p, a, now)
 	if len(p.open) <= len(s.at) { // so few that all are
 		for _, b := range p.open {
@@ -241,7 +243,7 @@
 }
 
 // engine weighs the candidates: the least cost wins, and of equal ones the first.
-func (y *Placer) engine(a *Request, p *pool, now clock.Time) (*berth, Choice) {
+func (y *Placer) engine(a *Request, p *pool, now time.Time) (*berth, Choice) {
 	var s bunch
 	a.weight = y.opts.shared(a, y.prefill)
 	y.gather(&s, p, a, now)
@@ -251,7 +253,7 @@
 	return y.choose(s.at[:s.n], p, a, now)
 }
 
-func (y *Placer) choose(cs []candidate, p *pool, a *Request, now clock.Time) (*berth, Choice) {
+func (y *Placer) choose(cs []candidate, p *pool, a *Request, now time.Time) (*berth, Choice) {
 	best := 0
 	y.index.Each(a.Chain, len(cs), func(i int) string { return cs[i].b.r.ID }, func(i, n int) { cs[i].matched = n })
 	for i := range cs {
@@ -273,13 +275,13 @@
 	if c.Spilled {
 		y.spills++
 	}
-	c.Alone = firstBase + clock.Seconds(float64(a.Chain.Tokens()-c.Matched)*pick.b.prefill)
-	c.Expect = clock.Seconds(pick.b.delay(now, y.prompt*pick.b.prefill)) + c.Alone
+	c.Alone = firstBase + durations.FromSeconds(float64(a.Chain.Tokens()-c.Matched)*pick.b.prefill)
+	c.Expect = durations.FromSeconds(pick.b.delay(now, y.prompt*pick.b.prefill)) + c.Alone
 	return pick.b, c
 }
 
 // cost is what a candidate costs, its credit taken off.
-func (y *Placer) cost(c *candidate, p *pool, a *Request, now clock.Time) float64 {
+func (y *Placer) cost(c *candidate, p *pool, a *Request, now time.Time) float64 {
 	var l Load
 	y.weigh(&l, c.b, p, a, now)
 	credit := y.opts.credit(a.Chain, max(c.matched, c.expect), a.weight)
@@ -288,7 +290,7 @@
 }
 
 // plain takes the less busy of two random ones, the first of them from the own locality if it has any.
-func (y *Placer) plain(a *Request, p *pool, now clock.Time) *berth {
+func (y *Placer) plain(a *Request, p *pool, now time.Time) *berth {
 	near := p.near[a.Locality]
 	first := y.sample(a, near, now)
 	if first == nil {
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -10,14 +10,13 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
 )
 
 // full is the choice that weighs every replica.
-func full(y *Placer, a *Request, now clock.Time) (best *candidate) {
+func full(y *Placer, a *Request, now time.Time) (best *candidate) {
 	p := y.pools[a.Pool]
 	var s bunch
 	y.addHomes(&s, p, a, now)
@@ -55,7 +54,7 @@
 			c := prefixindex.NewChain(prefixindex.Root("m", 1), parts)
 			a := ask(c)
 			a.Capacity, a.OutMost = 400000, 300
-			now := clock.Now()
+			now := time.Now()
 			y.mu.Lock()
 			a.weight = y.opts.shared(a, y.prefill)
 			best := full(y, a, now)
@@ -171,7 +170,7 @@
 	at := map[string]int{}
 	for doc := range uint64(20000) {
 		var s bunch
-		y.addHomes(&s, y.pools["p"], ask(chain(10+doc, 50)), clock.Now())
+		y.addHomes(&s, y.pools["p"], ask(chain(10+doc, 50)), time.Now())
 		require.Equal(t, defaultHomes, s.n)
 		at[s.at[0].b.r.ID]++
 	}
@@ -199,7 +198,7 @@
 		require.Equal(t, "r123", c.Replica.ID)
 		require.False(t, c.Cold)
 	}
-	y.Health().Bad("r123", outlier.Silent, clock.Now())
+	y.Health().Bad("r123", outlier.Silent, time.Now())
 	c, ok := y.Place(ask(chain(1, 50)))
 	require.True(t, ok)
 	require.True(t, c.Cold)
@@ -250,7 +249,7 @@
 	require.Zero(t, x.Matched("r0", c), "other weights")
 	require.Zero(t, x.Matched("r1", c), "it will not come back")
 	require.NotZero(t, x.Matched("r2", c), "an evacuated locality comes back with what it kept")
-	y.Health().Bad("r2", outlier.Silent, clock.Now())
+	y.Health().Bad("r2", outlier.Silent, time.Now())
 	require.NotZero(t, x.Matched("r2", c), "a failure is no word on what is kept")
 	y.Wrong("r2")
 	require.Zero(t, x.Matched("r2", c), "another lives at its address")
