--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -2,8 +2,8 @@
 
 import (
 	"math"
+	"time"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/prefixindex"
 )
 
@@ -87,7 +87,7 @@
 }
 
 // busyness is how many requests run at a replica: its own word, fading to the service's mean, and never less than this process has there.
-func (b *berth) busyness(p *pool, now clock.Time) float64 {
+func (b *berth) busyness(p *pool, now time.Time) float64 {
 	n := p.mean * b.places()
 	if age := now.Sub(b.toldAt); b.slots > 0 && age < toldSpan {
 		n += (b.running - n) * (1 - float64(age)/float64(toldSpan))
@@ -103,7 +103,7 @@
 }
 
 // queued is how many wait there by its own word.
-func (b *berth) queued(now clock.Time) float64 {
+func (b *berth) queued(now time.Time) float64 {
 	if age := now.Sub(b.toldAt); age < toldWait {
 		return b.waiting * (1 - float64(age)/float64(toldWait))
 	}
@@ -111,7 +111,7 @@
 }
 
 // late is the delay beyond the predicted that was seen there, fading.
-func (b *berth) late(now clock.Time) float64 {
+func (b *berth) late(now time.Time) float64 {
 	if age := now.Sub(b.extraAt); age < extraSpan {
 		return b.extra * math.Exp(-age.Seconds()*extraFade)
 	}
@@ -119,7 +119,7 @@
 }
 
 // weigh fills a load but for its credit.
-func (y *Placer) weigh(l *Load, b *berth, p *pool, a *Request, now clock.Time) {
+func (y *Placer) weigh(l *Load, b *berth, p *pool, a *Request, now time.Time) {
 	block := float64(y.opts.Block)
 	l.IncomingPrompt = y.opts.incoming(a.Chain, a.weight)
 	l.IncomingActive = math.Ceil(float64(a.Chain.Tokens()+a.OutMost) / block)
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -8,9 +8,10 @@
 	"testing/synctest"
 	"time"
 
+	"shaletrestle/internal/durations"
+
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 )
@@ -68,7 +69,7 @@
 		kept := r.IntN(c.Tokens()+1) / o.Block * o.Block
 		x := candidate{b: b, matched: kept}
 		want := reference(parts, o.Block, kept, a.weight, o.PrefillScale, b.tokens/float64(o.Block), b.kv/float64(o.Block), float64(a.OutMost), o.ActiveWeight*float64(b.inflight))
-		require.InDelta(t, want, y.cost(&x, y.pools["p"], a, clock.Now()), 1e-6*max(1, want))
+		require.InDelta(t, want, y.cost(&x, y.pools["p"], a, time.Now()), 1e-6*max(1, want))
 	}
 }
 
@@ -103,16 +104,16 @@
 		y.Told("r0", 8, 4, 8)
 		p.mean = 0.25
 		b := y.b["r0"]
-		require.Equal(t, 8.0, b.busyness(p, clock.Now()))
-		require.Equal(t, 4.0, b.queued(clock.Now()))
+		require.Equal(t, 8.0, b.busyness(p, time.Now()))
+		require.Equal(t, 4.0, b.queued(time.Now()))
 		time.Sleep(toldSpan / 2)
-		require.InDelta(t, 5, b.busyness(p, clock.Now()), 1e-9)
-		require.Zero(t, b.queued(clock.Now()))
+		require.InDelta(t, 5, b.busyness(p, time.Now()), 1e-9)
+		require.Zero(t, b.queued(time.Now()))
 		time.Sleep(toldSpan / 2)
-		require.Equal(t, 2.0, b.busyness(p, clock.Now()))
-		require.Equal(t, 2.0, y.b["r1"].busyness(p, clock.Now()), "one that never told counts as the mean")
+		require.Equal(t, 2.0, b.busyness(p, time.Now()))
+		require.Equal(t, 2.0, y.b["r1"].busyness(p, time.Now()), "one that never told counts as the mean")
 		b.inflight = 7
-		require.Equal(t, 7.0, b.busyness(p, clock.Now()), "what this process has there is certain")
+		require.Equal(t, 7.0, b.busyness(p, time.Now()), "what this process has there is certain")
 	})
 }
 
@@ -163,7 +164,7 @@
 	got, ok := y.Place(ask(c))
 	require.True(t, ok)
 	require.Equal(t, 2096, got.Matched)
-	require.Equal(t, firstBase+clock.Seconds(float64(c.Tokens()-2096)*constants.PrefillToken.Seconds()), got.Alone)
+	require.Equal(t, firstBase+durations.FromSeconds(float64(c.Tokens()-2096)*constants.PrefillToken.Seconds()), got.Alone)
 	b := y.b[got.Replica.ID]
 	require.Equal(t, float64(c.Tokens()-2096), b.tokens)
 	y.Done(&End{Replica: got.Replica.ID, Chain: c, Matched: got.Matched})
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -5,10 +5,12 @@
 	"math"
 	"slices"
 	"sync"
+	"time"
+
+	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/loadsum"
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
@@ -21,7 +23,7 @@
 	Chain    *prefixindex.Chain // nil for services without an engine
 	Capacity int                // tokens of memory of one replica
 	OutMost  int                // most tokens that may come out
-	Aim      clock.Duration     // time within which the first token is wanted
+	Aim      time.Duration      // time within which the first token is wanted
 	Not      map[string]bool
 	Bold     bool                       // it may be sent again if it fails
 	Regions  func(locality string) bool // nil: everywhere
@@ -34,8 +36,8 @@
 type Choice struct {
 	Replica *state.Replica
 	Matched int
-	Expect  clock.Duration // predicted time to the first token
-	Alone   clock.Duration // the same with nothing else there
+	Expect  time.Duration // predicted time to the first token
+	Alone   time.Duration // the same with nothing else there
 	Spilled bool
 	Warmer  bool
 	Cold    bool
@@ -51,17 +53,17 @@
 	running  float64
 	waiting  float64
 	slots    float64
-	toldAt   clock.Time
+	toldAt   time.Time
 	prefill  float64 // seconds per prompt token, learned
 	extra    float64 // seconds of delay beyond the predicted, learned
-	extraAt  clock.Time
+	extraAt  time.Time
 	wrong    bool    // another replica is at its address
 	key      uint32  // by which the fleet names it
 	said     uint32  // tokens that this process told the fleet of last
 	fleet    float64 // tokens of others that wait here beyond the usual, by the fleet's sum
-	fleetAt  clock.Time
-	coldNext clock.Time
-	coldTill clock.Time // back from an evacuation: cold until the list has had time to say
+	fleetAt  time.Time
+	coldNext time.Time
+	coldTill time.Time // back from an evacuation: cold until the list has had time to say
 }
 
 // Placer knows the replicas and how busy they seem from here.
@@ -90,7 +92,7 @@
 func (y *Placer) Health() *outlier.Gauge { return y.health }
 
 // Set takes the replicas and evacuated localities of the moment. back is how long a locality that takes inquiries again counts as cold.
-func (y *Placer) Set(rs map[string]*state.Replica, evac map[string]bool, back clock.Duration) {
+func (y *Placer) Set(rs map[string]*state.Replica, evac map[string]bool, back time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	keeps := map[string]bool{}
@@ -103,7 +105,7 @@
 			y.b[id] = b
 		}
 		if y.evac[r.Zone] && !evac[r.Zone] {
-			b.coldTill = clock.Now().Add(back)
+			b.coldTill = time.Now().Add(back)
 		}
 		if b.r != nil && b.r.Pool == r.Pool && !slices.Equal(b.r.Models, r.Models) {
 			y.index.Forget(id) // other weights: nothing of what it kept is of use
@@ -152,7 +154,7 @@
 	return
 }
 
-func (y *Placer) cold(b *berth, now clock.Time) bool {
+func (y *Placer) cold(b *berth, now time.Time) bool {
 	return b.r.ColdMs > 0 || now.Before(b.coldTill)
 }
 
@@ -160,7 +162,7 @@
 func (y *Placer) Place(a *Request) (c Choice, ok bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	now := clock.Now()
+	now := time.Now()
 	p := y.pools[a.Pool]
 	if p == nil {
 		return c, false
@@ -176,7 +178,7 @@
 	}
 	if y.cold(b, now) {
 		c.Cold = true
-		b.coldNext = now.Add(clock.Seconds(1 / coldRate))
+		b.coldNext = now.Add(durations.FromSeconds(1 / coldRate))
 	}
 	c.Replica = b.r
 	y.health.Sent(b.r.ID)
@@ -193,7 +195,7 @@
 }
 
 // pick chooses a warm replica, or a cold one if no other may be used; nil if none may. coldRate is what may be sent to a cold one in a second.
-func (y *Placer) pick(a *Request, p *pool, now clock.Time) (b *berth, c Choice, coldRate float64) {
+func (y *Placer) pick(a *Request, p *pool, now time.Time) (b *berth, c Choice, coldRate float64) {
 	if a.Chain != nil {
 		b, c = y.engine(a, p, now)
 	} else {
@@ -206,7 +208,7 @@
 }
 
 // fits tells whether a replica may take an inquiry now.
-func (y *Placer) fits(a *Request, b *berth, now clock.Time) bool {
+func (y *Placer) fits(a *Request, b *berth, now time.Time) bool {
 	if !y.open(b) || a.Not[b.r.ID] || a.Regions != nil && !a.Regions(b.r.Zone) {
 		return false
 	}
@@ -215,7 +217,7 @@
 }
 
 // delay is the predicted time before a new inquiry's own prompt is read.
-func (b *berth) delay(now clock.Time, prompt float64) float64 {
+func (b *berth) delay(now time.Time, prompt float64) float64 {
 	d := (b.tokens + b.others(now)) * b.prefill
 	if age := now.Sub(b.extraAt).Seconds(); age < 2 {
 		d = max(d, b.extra*math.Exp(-age*2))
@@ -226,7 +228,7 @@
 	return d
 }
 
-func (b *berth) load(now clock.Time) float64 {
+func (b *berth) load(now time.Time) float64 {
 	n := float64(b.inflight)
 	if b.slots > 0 {
 		if age := now.Sub(b.toldAt).Seconds(); age < 2 {
@@ -248,7 +250,7 @@
 }
 
 // Began notes that the first event came, took long after sending, while expect was predicted.
-func (y *Placer) Began(e *End, took, expect clock.Duration) {
+func (y *Placer) Began(e *End, took, expect time.Duration) {
 	y.mu.Lock()
 	b := y.b[e.Replica]
 	if b == nil || e.First {
@@ -256,14 +258,14 @@
 		return
 	}
 	e.First = true
-	y.health.Good(e.Replica, took, expect, e.Overdue, clock.Now())
+	y.health.Good(e.Replica, took, expect, e.Overdue, time.Now())
 	if e.Chain == nil {
 		y.mu.Unlock()
 		return
 	}
 	n := float64(e.Chain.Tokens() - e.Matched)
 	b.tokens = max(0, b.tokens-n)
-	b.extra, b.extraAt = max(0, (took-expect).Seconds()), clock.Now()
+	b.extra, b.extraAt = max(0, (took-expect).Seconds()), time.Now()
 	quiet := b.inflight <= 1
 	if n >= learnTokens {
 		per := max(0, took.Seconds()-firstBase.Seconds()) / n
@@ -319,7 +321,7 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if b := y.b[id]; b != nil {
-		b.running, b.waiting, b.slots, b.toldAt = running, waiting, slots, clock.Now()
+		b.running, b.waiting, b.slots, b.toldAt = running, waiting, slots, time.Now()
 		if p := y.pools[b.r.Pool]; p != nil && slots > 0 {
 			p.mean += holderSlice * (running/slots - p.mean)
 			y.index.Room(id, running*p.hold)
@@ -332,7 +334,7 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	b := y.b[id]
-	return b != nil && b.waiting > 0 && clock.Since(b.toldAt) < queueSpan
+	return b != nil && b.waiting > 0 && time.Since(b.toldAt) < queueSpan
 }
 
 // Wrong notes that another replica answers at this one's address.
@@ -372,7 +374,7 @@
 func (y *Placer) Stats() Stats {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	now := clock.Now()
+	now := time.Now()
 	s := Stats{y.placed, y.spills, y.warmer, y.prefill * 1e6, map[string]BerthStat{}, y.health.Stats(now)}
 	for id, b := range y.b {
 		s.Berths[id] = BerthStat{b.r.Pool, b.r.Zone, b.r.State, b.inflight, y.cold(b, now), b.wrong}
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -9,7 +9,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
@@ -99,7 +98,7 @@
 			require.True(t, y.May("r3"))
 			require.False(t, y.May("r0") || y.May("r1") || y.May("r2"))
 		}
-		y.Health().Bad("r3", outlier.Silent, clock.Now())
+		y.Health().Bad("r3", outlier.Silent, time.Now())
 		_, ok := y.Place(&Request{Pool: "p", ColdRate: func(string) float64 { return 0 }})
 		require.False(t, ok)
 		time.Sleep(constants.EjectFirst)
--- a/internal/placement/waiting.go
+++ b/internal/placement/waiting.go
@@ -3,9 +3,9 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"shaletrestle/coord/loadsum"
-	"shaletrestle/internal/clock"
 )
 
 // Waiting is what this process has sent to replicas that they have not read yet, to be told to the fleet.
@@ -26,7 +26,7 @@
 func (y *Placer) Hear(ps []loadsum.Load) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	now := clock.Now()
+	now := time.Now()
 	of := make(map[uint32]uint32, len(ps))
 	for _, p := range ps {
 		of[p.Key] = p.Tokens
@@ -38,7 +38,7 @@
 }
 
 // others is what other nodes have waiting at a replica beyond the usual, in tokens, fading.
-func (b *berth) others(now clock.Time) float64 {
+func (b *berth) others(now time.Time) float64 {
 	age := now.Sub(b.fleetAt)
 	if age >= deckSpan {
 		return 0
--- a/internal/placement/waiting_test.go
+++ b/internal/placement/waiting_test.go
@@ -8,7 +8,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/loadsum"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/prefixindex"
 )
 
@@ -28,13 +27,13 @@
 			y := there.b[home.Replica.ID]
 			y.tokens += float64(a.Chain.Tokens())
 		}
-		sum.Put(1, here.Waiting(), clock.Now())
-		sum.Put(2, there.Waiting(), clock.Now())
+		sum.Put(1, here.Waiting(), time.Now())
+		sum.Put(2, there.Waiting(), time.Now())
 		all := &loadsum.Services{Of: map[uint32]string{}, Size: map[string]int{"p": 9}}
 		for id := range here.b {
 			all.Of[loadsum.Key(id)] = "p"
 		}
-		here.Hear(loadsum.Decode(loadsum.Encode(loadsum.Excess(sum.Total(clock.Now()), all))))
+		here.Hear(loadsum.Decode(loadsum.Encode(loadsum.Excess(sum.Total(time.Now()), all))))
 		next, ok := here.Place(short())
 		require.True(t, ok)
 		require.NotEqual(t, home.Replica.ID, next.Replica.ID)
@@ -54,13 +53,13 @@
 		ps := y.Waiting()
 		require.Equal(t, []loadsum.Load{{Key: loadsum.Key("r3"), Tokens: 50000}}, ps)
 		y.Hear(ps)
-		require.Zero(t, b.others(clock.Now()), "they are this process's own")
+		require.Zero(t, b.others(time.Now()), "they are this process's own")
 		y.Hear([]loadsum.Load{{Key: loadsum.Key("r4"), Tokens: 70000}, {Key: loadsum.Key("r3"), Tokens: 60000}, {Key: 12345, Tokens: 1}})
-		require.InDelta(t, 70000, y.b["r4"].others(clock.Now()), 1)
-		require.InDelta(t, 10000, b.others(clock.Now()), 1)
+		require.InDelta(t, 70000, y.b["r4"].others(time.Now()), 1)
+		require.InDelta(t, 10000, b.others(time.Now()), 1)
 		time.Sleep(deckSpan / 2)
-		require.InDelta(t, 35000, y.b["r4"].others(clock.Now()), 1)
+		require.InDelta(t, 35000, y.b["r4"].others(time.Now()), 1)
 		y.Hear(nil)
-		require.Zero(t, y.b["r4"].others(clock.Now()))
+		require.Zero(t, y.b["r4"].others(time.Now()))
 	})
 }
--- a/internal/replicamodel/model.go
+++ b/internal/replicamodel/model.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
 )
 
 // Spec is one replica's size and speed.
@@ -191,7 +191,7 @@
 		return
 	}
 	decoding, read := m.planStep()
-	duration := clock.Seconds(float64(read) / m.spec.Prefill)
+	duration := durations.FromSeconds(float64(read) / m.spec.Prefill)
 	if decoding > 0 {
 		duration += m.spec.Step + time.Duration(decoding-1)*m.spec.Each
 	}
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -4,9 +4,9 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/upstream"
@@ -90,7 +90,7 @@
 		passBack(q.w.Header(), h)
 		q.w.WriteHeader(http.StatusOK)
 	}
-	_ = q.rc.SetWriteDeadline(clock.Now().Add(writeWait))
+	_ = q.rc.SetWriteDeadline(time.Now().Add(writeWait))
 	if _, err := q.w.Write(p.Bytes); err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -171,6 +171,6 @@
 	passBack(q.w.Header(), p.Head)
 	q.w.Header().Set("Content-Length", strconv.Itoa(len(p.Bytes)))
 	q.w.WriteHeader(p.Status)
-	_ = q.rc.SetWriteDeadline(clock.Now().Add(writeWait))
+	_ = q.rc.SetWriteDeadline(time.Now().Add(writeWait))
 	_, _ = q.w.Write(p.Bytes)
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -4,10 +4,10 @@
 	"errors"
 	"net/http"
 	"strconv"
+	"time"
 
 	"shaletrestle/coord/attempt"
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/routing"
@@ -20,7 +20,7 @@
 		return
 	}
 	for {
-		left := clock.Until(q.deadline)
+		left := time.Until(q.deadline)
 		if left <= budgetReserve {
 			q.giveUp(errkind.Late, "time ran out")
 			return
@@ -54,13 +54,13 @@
 
 // awaitPlace waits a little while no replica can be used; false if the request was answered.
 func (q *request) awaitPlace() bool {
-	if !q.try.MayHaveRun() && clock.Until(q.refuseAt()) <= 0 {
+	if !q.try.MayHaveRun() && time.Until(q.refuseAt()) <= 0 {
 		q.refuse(errkind.Crowded)
 		return false
 	}
 	clear(q.ask.Not)
 	select {
-	case <-clock.After(placeAgain):
+	case <-time.After(placeAgain):
 		return true
 	case <-q.r.Context().Done():
 		q.abandon()
@@ -70,11 +70,11 @@
 
 // letIn tells whether a request is worth sending: not if the line before it alone is predicted to
 // outlast what is left of its time. The length of its own prompt never counts against it.
-func letIn(c placement.Choice, left clock.Duration) bool { return c.Expect-c.Alone < left }
+func letIn(c placement.Choice, left time.Duration) bool { return c.Expect-c.Alone < left }
 
 // refuseAt is when a request that could be sent nowhere is refused.
-func (q *request) refuseAt() clock.Time {
-	return q.arrived.Add(clock.Duration(float64(q.path.Aim) * refusePart))
+func (q *request) refuseAt() time.Time {
+	return q.arrived.Add(time.Duration(float64(q.path.Aim) * refusePart))
 }
 
 // attempt sends to one replica; true means that another may be tried.
@@ -85,8 +85,8 @@
 	if connection == nil {
 		return again
 	}
-	at := clock.Now()
-	if clock.Until(q.deadline) <= budgetReserve {
+	at := time.Now()
+	if time.Until(q.deadline) <= budgetReserve {
 		connection.Back()
 		return true
 	}
@@ -109,8 +109,8 @@
 // Without a connection, again tells whether another replica may be tried.
 func (q *request) connect(c placement.Choice) (connection *upstream.Connection, again bool) {
 	id := c.Replica.ID
-	left := clock.Until(q.deadline)
-	wait := min(left, max(placeAgain, clock.Until(q.refuseAt())))
+	left := time.Until(q.deadline)
+	wait := min(left, max(placeAgain, time.Until(q.refuseAt())))
 	connection, err := q.g.pool(c.Replica, q.table).Get(q.path.Name, wait, !q.path.Repeatable(), q.r.Context().Done())
 	if q.r.Context().Err() != nil {
 		if connection != nil {
@@ -150,7 +150,7 @@
 
 // upstreamRequest is the request as it goes to one replica. What it says of time, and what was looked at
 // before, is true for a little while only: it doesn't leave later than that.
-func (q *request) upstreamRequest(c placement.Choice, now clock.Time) *upstream.Request {
+func (q *request) upstreamRequest(c placement.Choice, now time.Time) *upstream.Request {
 	left := q.deadline.Sub(now) - budgetReserve
 	head := q.head.Clone()
 	head.Set(upstream.HeadExpect, c.Replica.ID)
@@ -191,7 +191,7 @@
 
 // urgency is the class that a replica is told: by the path's priority, behind all others if the prompt
 // alone takes longer than the aim.
-func (q *request) urgency(alone clock.Duration) int {
+func (q *request) urgency(alone time.Duration) int {
 	if q.long {
 		return urgencyLong
 	}
@@ -235,14 +235,14 @@
 }
 
 // patience is how long a replica may be silent before another one is tried; 0 if none may be.
-func (q *request) patience() clock.Duration {
+func (q *request) patience() time.Duration {
 	if !q.path.Repeatable() || q.try.Sent() >= q.path.Attempts {
 		return 0
 	}
 	if q.began {
-		return clock.Duration(float64(q.path.Gap) * silenceGaps)
+		return time.Duration(float64(q.path.Gap) * silenceGaps)
 	}
-	return clock.Duration(float64(q.path.Aim) * silenceAims)
+	return time.Duration(float64(q.path.Aim) * silenceAims)
 }
 
 // listener takes the parts of one attempt's answer.
@@ -252,8 +252,8 @@
 	answer     *upstream.Answer
 	choice     placement.Choice
 	end        *placement.End
-	at         clock.Time // the attempt was sent
-	heard      clock.Time // the newest part
+	at         time.Time // the attempt was sent
+	heard      time.Time // the newest part
 	head       upstream.Part
 	joined     bool // the events follow those that the client has
 }
@@ -265,20 +265,20 @@
 	l.heard = l.at
 	due, known := q.g.yard.Health().Due(id, l.choice.Expect, q.path.Aim)
 	for {
-		wait := clock.Until(q.deadline)
+		wait := time.Until(q.deadline)
 		if p := q.patience(); p > 0 {
-			wait = min(wait, p-clock.Since(l.heard))
+			wait = min(wait, p-time.Since(l.heard))
 		}
-		untilDue := due - clock.Since(l.at)
+		untilDue := due - time.Since(l.at)
 		watch := known && !l.end.First && !l.end.Overdue && untilDue < wait
 		if watch {
 			wait = untilDue
 		}
-		late := clock.NewTimer(max(0, wait))
+		late := time.NewTimer(max(0, wait))
 		part, ok := l.answer.Next(late.C, q.r.Context().Done())
 		late.Stop()
 		if ok {
-			l.heard = clock.Now()
+			l.heard = time.Now()
 			if again, done := l.take(&part); done {
 				return again
 			}
@@ -300,7 +300,7 @@
 
 // silent ends an attempt of which nothing was heard for too long.
 func (l *listener) silent() bool {
-	if clock.Until(l.q.deadline) <= 0 {
+	if time.Until(l.q.deadline) <= 0 {
 		l.q.giveUp(errkind.Late, "time ran out")
 		return false
 	}
@@ -316,7 +316,7 @@
 		q.told(id, part.Head.Get(upstream.HeadLoad))
 		l.head = *part
 	case upstream.Event:
-		q.g.yard.Began(l.end, clock.Since(l.at), l.choice.Expect)
+		q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
 		if !q.event(part, l.head.Head, &l.joined) {
 			q.blame(id, outlier.Cut)
 			return q.again("events out of order"), true
@@ -326,7 +326,7 @@
 	case upstream.End:
 		q.try.Move(part.State)
 		if part.State == attempt.Answered && l.head.Status < http.StatusInternalServerError {
-			q.g.yard.Began(l.end, clock.Since(l.at), l.choice.Expect)
+			q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
 		}
 		if part.State == attempt.NotExecuted {
 			return q.turnedAway(&l.head, id), true
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -2,18 +2,18 @@
 
 import (
 	"sync"
+	"time"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
 type lump struct {
 	n    int64
-	till clock.Time
+	till time.Time
 }
 
 type account struct {
-	asked, extra []clock.Time
+	asked, extra []time.Time
 	lumps        []lump
 }
 
@@ -22,13 +22,13 @@
 	mu     sync.Mutex
 	ratio  float64
 	slack  float64
-	window clock.Duration
+	window time.Duration
 	margin float64
 	a      map[string]*account
 }
 
 // NewBudget makes a budget; slack is the whole fleet's.
-func NewBudget(ratio, slack float64, window clock.Duration, margin float64) *Budget {
+func NewBudget(ratio, slack float64, window time.Duration, margin float64) *Budget {
 	return &Budget{ratio: ratio, slack: slack, window: window, margin: margin, a: map[string]*account{}}
 }
 
@@ -38,9 +38,9 @@
 		a = &account{}
 		b.a[pool] = a
 	}
-	now := clock.Now()
+	now := time.Now()
 	old := now.Add(-b.window)
-	trim := func(ms []clock.Time) []clock.Time {
+	trim := func(ms []time.Time) []time.Time {
 		i := 0
 		for i < len(ms) && ms[i].Before(old) {
 			i++
@@ -59,11 +59,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(pool)
-	a.asked = append(a.asked, clock.Now())
+	a.asked = append(a.asked, time.Now())
 }
 
 // Lent adds borrowed tries; till is the end of the loan, counted from before it was asked for.
-func (b *Budget) Lent(pool string, n int64, till clock.Time) {
+func (b *Budget) Lent(pool string, n int64, till time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(pool)
@@ -99,6 +99,6 @@
 	if b.left(a, fleet) < 1 {
 		return false
 	}
-	a.extra = append(a.extra, clock.Now())
+	a.extra = append(a.extra, time.Now())
 	return true
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -3,7 +3,8 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/coord/wait"
+
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/state"
@@ -73,7 +74,7 @@
 // keep looks at this process's own machine again and again, and through its idle connections now and then: one waking-up does for both.
 func (g *Router) keep() {
 	n := 0
-	clock.Every(g.sc, constants.LevelEvery, func() bool {
+	wait.Every(g.ctx, constants.LevelEvery, func() bool {
 		g.level.Look()
 		if n++; n%sweepLooks == 0 {
 			g.sweep()
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -2,17 +2,17 @@
 
 import (
 	"encoding/json"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
 // words are the failures seen here since the last time, for the acknowledgement that is about to go; nil mostly.
 func (g *Router) words() []byte {
-	now := clock.Now()
+	now := time.Now()
 	g.mu.Lock()
 	due := now.Sub(g.toldAt) >= constants.NewsBeat/2
 	if due {
@@ -32,7 +32,7 @@
 
 // blame holds a failure against a replica, and tells of it at once if nothing was told for a beat.
 func (g *Router) blame(id string, k outlier.Kind) {
-	now := clock.Now()
+	now := time.Now()
 	g.yard.Health().Bad(id, k, now)
 	g.mu.Lock()
 	due := now.Sub(g.toldAt) >= constants.NewsBeat
--- a/internal/router/loadsum.go
+++ b/internal/router/loadsum.go
@@ -2,18 +2,20 @@
 
 import (
 	"slices"
+	"time"
+
+	"shaletrestle/coord/wait"
 
 	"shaletrestle/coord/loadsum"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 )
 
 // tellDeck tells the relay what this process has waiting at the replicas, when it changed or its last word grows old.
 func (g *Router) tellDeck() {
 	var last []loadsum.Load
-	var at clock.Time
-	clock.Every(g.sc, deckTell, func() bool {
-		now, ps := clock.Now(), g.yard.Waiting()
+	var at time.Time
+	wait.Every(g.ctx, deckTell, func() bool {
+		now, ps := time.Now(), g.yard.Waiting()
 		if slices.Equal(ps, last) && (len(ps) == 0 || now.Sub(at) < deckAgain) {
 			return true
 		}
--- a/internal/router/longwork.go
+++ b/internal/router/longwork.go
@@ -2,16 +2,17 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"time"
 
+	"shaletrestle/coord/wait"
+
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
 )
 
 // longWork drives the state machines of package handoff: it carries their
@@ -19,7 +20,8 @@
 // are.
 type longWork struct {
 	gate         *Router
-	scope        *task.Scope
+	ctx          context.Context
+	log          *slog.Logger
 	self         string // own address for messages between routers
 	lines        *rpc.Lines
 	start        time.Time
@@ -62,9 +64,10 @@
 	}
 	work := &longWork{
 		gate:       gate,
-		scope:      gate.sc.Part("longwork"),
+		ctx:        gate.ctx,
+		log:        gate.log.With("part", "longwork"),
 		self:       gate.env.Load().Port(portGate),
-		start:      clock.Now(),
+		start:      time.Now(),
 		wakeup:     make(chan struct{}, 1),
 		owner:      handoff.NewOwner(life, bounds),
 		taker:      handoff.NewTaker(life, bounds),
@@ -75,7 +78,7 @@
 		queues:     map[string]*longQueue{},
 		open:       map[*request]struct{}{},
 	}
-	work.lines = rpc.NewLines(work.scope, gate.net, gate.handle)
+	work.lines = rpc.NewLines(work.ctx, gate.net, gate.handle)
 	return work
 }
 
@@ -83,20 +86,20 @@
 func (l *longWork) enabled() bool { return l.gate.env.Load().LongWork.Enabled }
 
 // now is the time of the state machines: the time since the start.
-func (l *longWork) now() time.Duration { return clock.Since(l.start) }
+func (l *longWork) now() time.Duration { return time.Since(l.start) }
 
-// run does what falls due, until the scope ends.
+// run does what falls due, until the context ends.
 func (l *longWork) run() {
 	var reported longCounters
-	reportedAt := clock.Now()
+	reportedAt := time.Now()
 	for l.sleep(l.interval()) {
 		counters := l.tick()
-		if counters == reported || clock.Since(reportedAt) < longReport {
+		if counters == reported || time.Since(reportedAt) < longReport {
 			continue
 		}
 		reported = counters
-		reportedAt = clock.Now()
-		l.scope.Log().Info("long work",
+		reportedAt = time.Now()
+		l.log.Info("long work",
 			"here", counters.here,
 			"offered", counters.offered,
 			"elsewhere", counters.elsewhere,
@@ -119,21 +122,21 @@
 	return longOff
 }
 
-// sleep waits for an interval or until it is woken; false if the scope ended. By
+// sleep waits for an interval or until it is woken; false if the context ended. By
 // how much it wakes late tells how loaded the processor is.
 func (l *longWork) sleep(interval time.Duration) bool {
-	start := clock.Now()
-	timer := clock.NewTimer(interval)
+	start := time.Now()
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		late := clock.Since(start) - interval
+		late := time.Since(start) - interval
 		l.timerLag.Store(max(late, l.fadedLag()))
 		return true
 	case <-l.wakeup:
 		l.timerLag.Store(l.fadedLag())
 		return true
-	case <-l.scope.Done():
+	case <-l.ctx.Done():
 		return false
 	}
 }
@@ -190,12 +193,12 @@
 
 // finish waits for what runs for others, at most for a time.
 func (l *longWork) finish(timeout time.Duration) {
-	end := clock.Now().Add(timeout)
-	for clock.Until(end) > 0 {
+	end := time.Now().Add(timeout)
+	for time.Until(end) > 0 {
 		l.mu.Lock()
 		running := len(l.cancels)
 		l.mu.Unlock()
-		if running == 0 || !clock.Rest(l.scope, longTick) {
+		if running == 0 || !wait.Sleep(l.ctx, longTick) {
 			return
 		}
 	}
--- a/internal/router/longwork_messages.go
+++ b/internal/router/longwork_messages.go
@@ -92,7 +92,7 @@
 			l.send(effect.Message)
 		case handoff.Begin:
 			l.counters.taken++
-			ctx, cancel := context.WithCancel(l.scope.Context())
+			ctx, cancel := context.WithCancel(l.ctx)
 			l.cancels[effect.Ticket.Number] = cancel
 			go l.runTaken(ctx, effect, l.start.Add(effect.Since))
 		case handoff.Stop:
--- a/internal/router/longwork_neighbours.go
+++ b/internal/router/longwork_neighbours.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
@@ -25,7 +24,7 @@
 	if l.timerLag.Load() >= longLag {
 		return true
 	}
-	if clock.Since(l.lastShortage.Load()) < longShort {
+	if time.Since(l.lastShortage.Load()) < longShort {
 		return true
 	}
 	return l.bodyMemoryUsed() > constants.CalmPart*bodyMemory*l.memory()
@@ -56,7 +55,7 @@
 // short records that a connection to a replica could not be had.
 func (l *longWork) short() {
 	if l.enabled() {
-		l.lastShortage.Store(clock.Now())
+		l.lastShortage.Store(time.Now())
 	}
 }
 
@@ -83,7 +82,7 @@
 	l.neighbours[node] = neighbour{
 		room: int(min(answer.Span, constants.LongTakeMost)),
 		zone: answer.From.Zone,
-		at:   clock.Now(),
+		at:   time.Now(),
 	}
 }
 
@@ -95,7 +94,7 @@
 	env := l.gate.env.Load()
 	best, most := "", 0
 	for node, candidate := range l.neighbours {
-		if clock.Since(candidate.at) > longKnown {
+		if time.Since(candidate.at) > longKnown {
 			delete(l.neighbours, node)
 			continue
 		}
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"shaletrestle/coord/handoff"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/routing"
@@ -55,7 +55,7 @@
 }
 
 func (q *request) mayBeOffered() bool {
-	if q.taken || clock.Until(q.refuseAt()) < longAnswer {
+	if q.taken || time.Until(q.refuseAt()) < longAnswer {
 		return false
 	}
 	return q.g.env.Load().LongWork.Always || q.g.long.overloaded()
@@ -63,7 +63,7 @@
 
 // pack writes the request as its taker is to send it; nil if that is not possible.
 func (q *request) pack() []byte {
-	left := clock.Until(q.deadline) - budgetReserve
+	left := time.Until(q.deadline) - budgetReserve
 	header := q.head.Clone()
 	header.Set(upstream.HeadBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	if q.lastID >= 0 {
@@ -147,7 +147,7 @@
 	}
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	deadline := work.now() + clock.Until(q.deadline) - budgetReserve
+	deadline := work.now() + time.Until(q.deadline) - budgetReserve
 	job.number = work.owner.Take(deadline, q.path.Repeatable(), q.path.Attempts)
 	work.inboxes[job.number] = job.inbox
 	work.counters.offered++
@@ -218,7 +218,7 @@
 	}
 	if lost {
 		work.counters.lost++
-		work.scope.Log().Warn("a neighbour was lost, its job is placed anew", "node", j.node, "request", q.id)
+		work.log.Warn("a neighbour was lost, its job is placed anew", "node", j.node, "request", q.id)
 	}
 	q.try.Elsewhere(q.path.Attempts-attemptsLeft-q.try.Sent(), lost)
 	return true
@@ -237,7 +237,7 @@
 		q.giveUp(errkind.Late, "time ran out")
 	default:
 		j.countBroken()
-		j.work.scope.Log().Warn("a neighbour was lost with a job that may have begun", "node", j.node, "request", q.id)
+		j.work.log.Warn("a neighbour was lost with a job that may have begun", "node", j.node, "request", q.id)
 		q.giveUp(errkind.Broken, "the neighbour was lost")
 	}
 	return jobAnswered
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"shaletrestle/coord/handoff"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/errkind"
 )
 
@@ -63,7 +62,7 @@
 		running: report[0],
 		waiting: report[1],
 		slots:   report[2],
-		at:      clock.Now(),
+		at:      time.Now(),
 	}
 }
 
@@ -72,7 +71,7 @@
 func (x *longQueue) idle() bool {
 	var sum longLoad
 	for replica, load := range x.loads {
-		if clock.Since(load.at) > longTold {
+		if time.Since(load.at) > longTold {
 			delete(x.loads, replica)
 			continue
 		}
@@ -132,7 +131,7 @@
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	queue := work.queue(q.ask.Pool)
-	until := work.now() + min(clock.Until(q.refuseAt()), clock.Until(q.deadline))
+	until := work.now() + min(time.Until(q.refuseAt()), time.Until(q.deadline))
 	if q.try.Sent() > 0 {
 		queue.handoff.Enter()
 		return true, nil
@@ -208,6 +207,6 @@
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	queue := work.queue(q.ask.Pool)
-	queue.handoff.Prompt(work.now(), float64(clock.Since(q.arrived))/float64(q.path.Aim))
+	queue.handoff.Prompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.Aim))
 	work.admit(queue)
 }
--- a/internal/router/longwork_state.go
+++ b/internal/router/longwork_state.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"shaletrestle/internal/clock"
 )
 
 // longWorkState is the section on long work of the state page. The fields are in
@@ -68,7 +66,7 @@
 func (l *longWork) oldest() time.Duration {
 	oldest := time.Duration(0)
 	for request := range l.open {
-		oldest = max(oldest, clock.Since(request.arrived))
+		oldest = max(oldest, time.Since(request.arrived))
 	}
 	return oldest
 }
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -7,11 +7,13 @@
 	"sync"
 	"testing"
 	"testing/synctest"
+	"time"
+
+	"shaletrestle/internal/durations"
 
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/handoff"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
@@ -28,7 +30,7 @@
 		e := &settings.Settings{Zone: "a", Zones: map[string]string{"a": "east", "b": "west"}, LongWork: settings.LongWork{Enabled: true}}
 		h := longOf(e)
 		fill := func() {
-			h.neighbours = map[string]neighbour{"near": {1, "a", clock.Now()}, "far": {3, "b", clock.Now()}, "full": {0, "a", clock.Now()}}
+			h.neighbours = map[string]neighbour{"near": {1, "a", time.Now()}, "far": {3, "b", time.Now()}, "full": {0, "a", time.Now()}}
 		}
 		fill()
 		require.Equal(t, "near", h.reserveNeighbour(&routing.Path{}))
@@ -39,7 +41,7 @@
 		require.Equal(t, "near", h.reserveNeighbour(&routing.Path{Regions: map[string]bool{"east": true}}), "a body stays in the route's regions")
 		require.Empty(t, h.reserveNeighbour(&routing.Path{Regions: map[string]bool{"north": true}}))
 		fill()
-		<-clock.After(longKnown + 1)
+		<-time.After(longKnown + 1)
 		require.Empty(t, h.reserveNeighbour(&routing.Path{}), "what is not heard of any more has no room")
 	})
 }
@@ -78,8 +80,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, worldBudget, stepOK)
 		defer w.end()
-		offered := clock.Now()
-		<-clock.After(clock.Seconds(17)) // the taker was frozen before it came to run the job
+		offered := time.Now()
+		<-time.After(durations.FromSeconds(17)) // the taker was frozen before it came to run the job
 		f := handoff.Effect{Message: handoff.Message{Body: []byte(requestText("once", "a")), Shots: 1}}
 		h := w.g.long
 		h.cancels[0] = func() {}
@@ -96,7 +98,7 @@
 			h := w.g.long
 			q := &request{g: w.g, path: &routing.Path{Attempts: 3}}
 			in := make(chan handoff.Effect, 4)
-			job := h.owner.Take(h.now()+clock.Seconds(1), true, 3)
+			job := h.owner.Take(h.now()+durations.FromSeconds(1), true, 3)
 			h.inboxes[job] = in
 			h.owner.Offer(h.now(), job, "n", nil)
 			offered := &offeredJob{work: h, request: q, node: "n", number: job}
@@ -107,7 +109,7 @@
 				answer.Kind = handoff.Failed
 			}
 			h.owner.Step(h.now(), answer)
-			<-clock.After(clock.Seconds(17))
+			<-time.After(durations.FromSeconds(17))
 			require.False(t, offered.takeBack())
 			want := handoff.Refused
 			if lost {
@@ -122,20 +124,20 @@
 	for _, taken := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			h := longOf(&settings.Settings{LongWork: settings.LongWork{Enabled: true}})
-			h.gate.long, h.start, h.queues, h.open = h, clock.Now(), map[string]*longQueue{}, map[*request]struct{}{}
+			h.gate.long, h.start, h.queues, h.open = h, time.Now(), map[string]*longQueue{}, map[*request]struct{}{}
 			x := h.queue("p")
-			x.loads["r"] = longLoad{running: 7, waiting: 2, slots: 8, at: clock.Now()}
+			x.loads["r"] = longLoad{running: 7, waiting: 2, slots: 8, at: time.Now()}
 			for range int(longRoom) {
 				x.handoff.Join(0, false)
 			}
 			w := httptest.NewRecorder()
-			q := &request{g: h.gate, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), ask: &placement.Request{Pool: "p"}, path: &routing.Path{Aim: clock.Seconds(1)},
-				arrived: clock.Now(), deadline: clock.Now().Add(clock.Seconds(9)), taken: taken, long: true}
+			q := &request{g: h.gate, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), ask: &placement.Request{Pool: "p"}, path: &routing.Path{Aim: durations.FromSeconds(1)},
+				arrived: time.Now(), deadline: time.Now().Add(durations.FromSeconds(9)), taken: taken, long: true}
 			var pumps sync.WaitGroup
 			defer pumps.Wait()
 			pumps.Go(func() {
 				for range 10 {
-					<-clock.After(longTick)
+					<-time.After(longTick)
 					h.mu.Lock()
 					h.admit(x)
 					h.mu.Unlock()
@@ -144,10 +146,10 @@
 			require.False(t, q.enter())
 			require.Equal(t, http.StatusServiceUnavailable, w.Code)
 			require.NotEmpty(t, w.Header().Get("Retry-After"))
-			if took := clock.Since(q.arrived); taken {
+			if took := time.Since(q.arrived); taken {
 				require.Zero(t, took)
 			} else {
-				require.Equal(t, clock.Seconds(refusePart), took)
+				require.Equal(t, durations.FromSeconds(refusePart), took)
 			}
 			runs, waiting, _ := x.handoff.Seen()
 			require.Equal(t, int(longRoom), runs)
--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -28,7 +28,7 @@
 		{Name: "a gone client gets an empty success", File: "answer.go", From: "func (q *request) abandon() {\n\tpanic(http.ErrAbortHandler)", To: "func (q *request) abandon() {", Run: "OwnDirection"},
 		{Name: "no time before the first byte", File: "attempt.go", From: "NotAfter: notAfter,", To: "NotAfter: notAfter.Add(1 << 60),", Run: "Wakes"},
 		{Name: "the route's timeout is not looked at", File: "request.go", From: "min(clientWaits(q.r.Header), q.path.Timeout)", To: "clientWaits(q.r.Header)", Run: "NothingIsHeld"},
-		{Name: "a wait goes on past the deadline", File: "attempt.go", From: "wait := clock.Until(q.deadline)\n", To: "wait := clock.Until(q.deadline) + q.path.Timeout\n", Run: "NothingIsHeld"},
+		{Name: "a wait goes on past the deadline", File: "attempt.go", From: "wait := time.Until(q.deadline)\n", To: "wait := time.Until(q.deadline) + q.path.Timeout\n", Run: "NothingIsHeld"},
 	} {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -7,9 +7,11 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
+
+	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/frontend"
@@ -32,8 +34,8 @@
 	path     *routing.Path
 	pool     *routing.Pool
 	id       string
-	arrived  clock.Time
-	deadline clock.Time
+	arrived  time.Time
+	deadline time.Time
 	body     []byte
 	head     http.Header
 	ask      *placement.Request
@@ -54,7 +56,7 @@
 		r:       r,
 		rc:      http.NewResponseController(w),
 		table:   g.table.Load(),
-		arrived: clock.Now(),
+		arrived: time.Now(),
 		lastID:  -1,
 	}
 }
@@ -90,7 +92,7 @@
 	case <-q.g.isReady:
 		q.table = q.g.table.Load()
 		return true
-	case <-clock.After(unreadyHold):
+	case <-time.After(unreadyHold):
 		q.refuse(errkind.Unready)
 	case <-q.r.Context().Done():
 		q.abandon()
@@ -168,7 +170,7 @@
 	if n := max(q.r.ContentLength, 0); !q.hold(n) {
 		return false
 	}
-	_ = q.rc.SetReadDeadline(clock.Now().Add(bodyWait))
+	_ = q.rc.SetReadDeadline(time.Now().Add(bodyWait))
 	var b bytes.Buffer
 	if q.held > 0 {
 		b.Grow(int(q.held) + bytes.MinRead)
@@ -181,7 +183,7 @@
 	if n > q.held && !q.hold(n-q.held) {
 		return false
 	}
-	_ = q.rc.SetReadDeadline(clock.Time{})
+	_ = q.rc.SetReadDeadline(time.Time{})
 	q.body = b.Bytes()
 	return true
 }
@@ -224,12 +226,12 @@
 }
 
 // clientWaits is how long a client says that it waits.
-func clientWaits(h http.Header) clock.Duration {
+func clientWaits(h http.Header) time.Duration {
 	ms, err := strconv.ParseFloat(strings.TrimSpace(h.Get(upstream.HeadBudget)), 64)
 	if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
 		return defaultBudget
 	}
-	return min(clock.Millis(min(ms, day)), 24*defaultBudget)
+	return min(durations.FromMilliseconds(min(ms, day)), 24*defaultBudget)
 }
 
 func (q *request) split() bool {
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -1,17 +1,18 @@
 package router
 
 import (
+	"time"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
 // further draws one further try; when the own share is used up, it borrows a lump, which all who wait for that service share.
-func (g *Router) further(pool string, within clock.Duration) bool {
+func (g *Router) further(pool string, within time.Duration) bool {
 	if g.budget.Take(pool, g.fleet()) {
 		return true
 	}
-	now := clock.Now()
+	now := time.Now()
 	g.mu.Lock()
 	w := g.asking[pool]
 	if w == nil {
@@ -26,14 +27,14 @@
 	g.mu.Unlock()
 	select {
 	case <-w:
-	case <-clock.After(min(within, constants.LumpWait)):
+	case <-time.After(min(within, constants.LumpWait)):
 	}
 	return g.budget.Take(pool, g.fleet())
 }
 
 // borrow asks the controller for further tries of a service and wakes who waits for them.
 func (g *Router) borrow(pool string, w chan struct{}) {
-	start := clock.Now()
+	start := time.Now()
 	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Lend, Word: pool, Number: constants.LumpTries}, constants.LumpWait)
 	ok := err == nil && a.OK && a.Number > 0 && a.Number <= constants.LumpTries
 	if ok {
@@ -41,7 +42,7 @@
 	}
 	g.mu.Lock()
 	if !ok {
-		g.refusedAt[pool] = clock.Now()
+		g.refusedAt[pool] = time.Now()
 	}
 	delete(g.asking, pool)
 	g.mu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,8 +2,14 @@
 package router
 
 import (
+	"context"
+	"log/slog"
 	"net/http"
 	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/atomic"
@@ -14,7 +20,6 @@
 	"shaletrestle/coord/outlier"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/coord/slowness"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/frontend"
@@ -23,7 +28,6 @@
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 	"shaletrestle/internal/upstream"
 )
 
@@ -32,12 +36,13 @@
 	Env    *settings.Settings
 	Net    rpc.Net
 	Dialer upstream.Dialer
-	Work   func() clock.Duration // does and times the piece of work that shows a slow machine; nil for the usual one
+	Work   func() time.Duration // does and times the piece of work that shows a slow machine; nil for the usual one
 }
 
 // Router is one traffic process.
 type Router struct {
-	sc        *task.Scope
+	ctx       context.Context
+	log       *slog.Logger
 	env       atomic.Pointer[settings.Settings]
 	net       rpc.Net
 	dialer    upstream.Dialer
@@ -64,11 +69,11 @@
 	pools     map[string]*upstream.Pool
 	keeps     map[string]*upstream.Keep // by service
 	asking    map[string]chan struct{}  // services that a lump is being borrowed for
-	refusedAt map[string]clock.Time     // when none was lent, by service
-	toldAt    clock.Time                // when failures were told last
+	refusedAt map[string]time.Time      // when none was lent, by service
+	toldAt    time.Time                 // when failures were told last
 	pickAt    int
-	bad       map[string]clock.Time // controllers and when they failed last
-	dropped   string                // one that was left for a nearer one, not for failing
+	bad       map[string]time.Time // controllers and when they failed last
+	dropped   string               // one that was left for a nearer one, not for failing
 	long      *longWork
 }
 
@@ -77,11 +82,12 @@
 }
 
 // New builds a router.
-func New(sc *task.Scope, p Plan) *Router {
+func New(ctx context.Context, log *slog.Logger, p Plan) *Router {
 	env := p.Env
 	self := env.Port(portGate)
 	g := &Router{
-		sc:        sc,
+		ctx:       ctx,
+		log:       log,
 		net:       p.Net,
 		dialer:    p.Dialer,
 		book:      state.NewBook(true),
@@ -89,15 +95,15 @@
 		pools:     map[string]*upstream.Pool{},
 		keeps:     map[string]*upstream.Keep{},
 		asking:    map[string]chan struct{}{},
-		refusedAt: map[string]clock.Time{},
+		refusedAt: map[string]time.Time{},
 		isReady:   make(chan struct{}),
-		bad:       map[string]clock.Time{},
+		bad:       map[string]time.Time{},
 	}
 	g.env.Store(env)
 	g.yard = placement.NewYard(g.index)
 	g.yard.Use(env.Placement)
 	bounds := env.Bounds
-	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, clock.Seconds(bounds.BudgetWindowS), constants.BudgetMargin)
+	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), constants.BudgetMargin)
 	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemory)
 	g.bodies = fairshare.New(bodyBytes, constants.CalmPart)
 	g.table.Store(routing.Compile(state.EmptyView().Doc))
@@ -105,8 +111,8 @@
 	g.cold.Store(newColdShares(nil, self))
 	g.cursor = distribution.NewCursor(g.book)
 	seat := rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone}
-	g.follower = distribution.NewFollower(sc, p.Net, g.cursor, seat, false, g.pick, nil)
-	g.level = slowness.NewWatch(sc, p.Work)
+	g.follower = distribution.NewFollower(ctx, p.Net, g.cursor, seat, false, g.pick, nil)
+	g.level = slowness.NewWatch(ctx, log, p.Work)
 	g.long = newLongWork(g)
 	g.watcher = g.newWatcher(self)
 	g.follower.Carry(g.words)
@@ -117,16 +123,16 @@
 
 // newWatcher makes the detector that asks other routers whether they are there and tells control of those that are not.
 func (g *Router) newWatcher(self string) *failuredetector.Watcher {
-	every := max(clock.Millis(g.env.Load().BeatMs), constants.NewsBeat)
+	every := max(durations.FromMilliseconds(g.env.Load().BeatMs), constants.NewsBeat)
 	nodes := func() []string { return g.book.View().Nodes }
-	ping := g.pinger(rpc.NewLines(g.sc, g.net, g.handle), self)
+	ping := g.pinger(rpc.NewLines(g.ctx, g.net, g.handle), self)
 	tell := func(node string, alive bool) {
 		g.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Word: node})
 	}
-	return failuredetector.New(g.sc, self, every, nodes, ping, tell)
+	return failuredetector.New(g.ctx, g.log, self, every, nodes, ping, tell)
 }
 
-// Run serves until the scope ends.
+// Run serves until the context ends.
 func (g *Router) Run() error {
 	e := g.env.Load()
 	fl, err := g.net.Listen(e.Bind.Front)
@@ -145,8 +151,8 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "crew port")
 	}
-	go rpc.Serve(g.sc, cl, g.handle)
-	g.front = frontend.New(g.sc, fl, http.HandlerFunc(g.serve))
+	go rpc.Serve(g.ctx, cl, g.handle)
+	g.front = frontend.New(g.ctx, g.log, fl, http.HandlerFunc(g.serve))
 	g.front.Limit(g.table.Load().Limits)
 	rs := &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: constants.HeadWait, IdleTimeout: constants.IdleWait}
 	ps := &http.Server{Handler: http.HandlerFunc(g.page), ReadHeaderTimeout: constants.HeadWait}
@@ -158,8 +164,8 @@
 	go g.keep()
 	go g.long.run()
 	go g.front.Run()
-	g.sc.Log().Info("started", "part", "router", "node", e.NodeName)
-	<-g.sc.Done()
+	g.log.Info("started", "part", "router", "node", e.NodeName)
+	<-g.ctx.Done()
 	_ = rs.Close()
 	_ = ps.Close()
 	g.front.Close()
@@ -175,12 +181,12 @@
 func (g *Router) Leave() {
 	g.leaving.Store(true)
 	g.long.leave()
-	grace := clock.Seconds(g.env.Load().Bounds.GraceS)
-	start := clock.Now()
+	grace := durations.FromSeconds(g.env.Load().Bounds.GraceS)
+	start := time.Now()
 	linger := min(lingerReady, grace/2)
-	clock.Rest(g.sc, linger)
-	g.front.Finish(grace - constants.GraceMargin - clock.Since(start))
-	g.long.finish(grace - constants.GraceMargin - clock.Since(start))
+	wait.Sleep(g.ctx, linger)
+	g.front.Finish(grace - constants.GraceMargin - time.Since(start))
+	g.long.finish(grace - constants.GraceMargin - time.Since(start))
 }
 
 // Reload takes new settings.
@@ -200,4 +206,4 @@
 }
 
 // Health tells what is held against replicas here.
-func (g *Router) Health() map[string]outlier.Stat { return g.yard.Health().Stats(clock.Now()) }
+func (g *Router) Health() map[string]outlier.Stat { return g.yard.Health().Stats(time.Now()) }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"sort"
@@ -13,7 +14,6 @@
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 	"shaletrestle/internal/upstream"
 )
 
@@ -63,11 +63,11 @@
 }
 
 func TestSharesAndWeightsFollowTheView(t *testing.T) {
-	sc := task.New(slog.New(slog.DiscardHandler))
-	defer sc.Stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	e := &settings.Settings{NodeName: "n", IP: "10.0.0.1", Ports: []int{700, 710}, Seeds: []string{"10.0.0.1:83"}, Placement: placement.Defaults()}
 	e.Limits.MemoryMB = 100
-	g := New(sc, Plan{Env: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
+	g := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
 	require.Equal(t, 20*coldMargin/fleetGuess, g.cold.Load().rate(20, "r"))
 	self := e.Port(portGate)
 	fold := func(e *state.Event) { g.book.Fold(e.Encode()) }
--- a/internal/router/source.go
+++ b/internal/router/source.go
@@ -1,9 +1,10 @@
 package router
 
 import (
+	"time"
+
 	"github.com/cespare/xxhash/v2"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/state"
 )
 
@@ -12,7 +13,7 @@
 	e := g.env.Load()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := clock.Now()
+	now := time.Now()
 	if failed != "" && failed != g.dropped {
 		g.bad[failed] = now
 	}
@@ -62,7 +63,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range v.Houses {
-		if h.Zone == e.Zone && clock.Since(g.bad[h.Addr]) >= 2*e.Contact() {
+		if h.Zone == e.Zone && time.Since(g.bad[h.Addr]) >= 2*e.Contact() {
 			g.dropped = src
 			go g.follower.Drop()
 			return
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -1,8 +1,10 @@
 package router
 
 import (
-	"shaletrestle/internal/clock"
+	"time"
+
 	"shaletrestle/internal/constants"
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/state"
 )
@@ -10,7 +12,7 @@
 // changed brings everything that is derived up to date with a new view.
 func (g *Router) changed(old, v *state.View, e *state.Event) {
 	if e != nil && e.Kind == state.Health {
-		g.yard.Health().Suspected(e.Suspects, clock.Now())
+		g.yard.Health().Suspected(e.Suspects, time.Now())
 		return
 	}
 	if old.Doc != v.Doc {
@@ -44,7 +46,7 @@
 
 // useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their answers.
 func (g *Router) useReplicas(v *state.View) {
-	back := clock.Millis(g.env.Load().Cloud.MaxLagMs) + 2*constants.ListEvery
+	back := durations.FromMilliseconds(g.env.Load().Cloud.MaxLagMs) + 2*constants.ListEvery
 	g.yard.Set(v.Replicas, v.Evac, back)
 	g.weights.Store(newWeights(v.Replicas))
 	g.mu.Lock()
@@ -63,7 +65,7 @@
 		return
 	}
 	close(g.isReady)
-	g.sc.Log().Info("ready", "part", "router", "revision", v.Doc.Epoch, "replicas", len(v.Replicas))
+	g.log.Info("ready", "part", "router", "revision", v.Doc.Epoch, "replicas", len(v.Replicas))
 }
 
 // fleet is the number of routers that share the budgets; a guess until control has told it.
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
@@ -14,12 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/frontend"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // What follows plays scripted clients and replicas against the real request path (front, router, replica
@@ -36,13 +35,14 @@
 type noNet struct{}
 
 // Dial fails.
-func (noNet) Dial(string, clock.Duration) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }
+func (noNet) Dial(string, time.Duration) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }
 
 // Listen fails.
 func (noNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // world is one router with its clients and replicas.
 type world struct {
+	cancel     context.CancelFunc // ends the router
 	t          *testing.T
 	g          *Router
 	front      *frontend.Front
@@ -81,8 +81,9 @@
 // newWorld makes a router with replicas r1 to r3 that do the steps in turn, and then the last one for ever.
 func newWorld(t *testing.T, timeout time.Duration, steps ...step) *world {
 	env := &settings.Settings{NodeName: "g", Zone: "a", IP: "10.0.0.1", Ports: []int{9000, 9100}, Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64}}
-	w := &world{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps}
-	w.g = New(task.New(slog.New(slog.DiscardHandler)), Plan{Env: env, Net: noNet{}, Dialer: w})
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &world{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps, cancel: cancel}
+	w.g = New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: noNet{}, Dialer: w})
 	var routes []string
 	for name, kind := range worldRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":"h","path_prefix":"/%s/","backend_pool":"p","timeout_ms":%d,"target_latency_ms":200,"max_attempts":%d,%s}`,
@@ -101,7 +102,7 @@
 		w.g.book.Fold(e.Encode())
 	}
 	require.True(t, w.g.ready.Load())
-	w.front = frontend.New(w.g.sc, w, http.HandlerFunc(w.g.serve))
+	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
 	w.front.Limit(routing.Limits{})
 	go w.front.Run()
 	return w
@@ -120,11 +121,11 @@
 		_ = c.Close()
 	}
 	w.mu.Unlock()
-	w.g.sc.Stop()
+	w.cancel()
 }
 
 // DialReplica connects to a replica.
-func (w *world) DialReplica(addr string, _ clock.Duration) (net.Conn, error) {
+func (w *world) DialReplica(addr string, _ time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
 	w.mu.Lock()
 	w.pipes = append(w.pipes, near, far)
--- a/internal/routing/compile.go
+++ b/internal/routing/compile.go
@@ -4,7 +4,8 @@
 	"sort"
 	"strings"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/config"
 	"shaletrestle/internal/config/configpb"
 )
@@ -24,8 +25,8 @@
 		table.Limits = Limits{
 			Head:     int(limits.MaxHeaderBytes),
 			Body:     int64(limits.MaxBodyBytes),
-			HeadWait: clock.Millis(limits.HeaderTimeoutMs),
-			IdleWait: clock.Millis(limits.IdleTimeoutMs),
+			HeadWait: durations.FromMilliseconds(limits.HeaderTimeoutMs),
+			IdleWait: durations.FromMilliseconds(limits.IdleTimeoutMs),
 		}
 	}
 	return table
@@ -80,9 +81,9 @@
 		Prefix:   route.PathPrefix,
 		Kind:     kindOf(route),
 		Parts:    compileParts(route),
-		Timeout:  clock.Millis(route.TimeoutMs),
-		Aim:      clock.Millis(route.TargetLatencyMs),
-		Gap:      clock.Millis(route.TargetGapMs),
+		Timeout:  durations.FromMilliseconds(route.TimeoutMs),
+		Aim:      durations.FromMilliseconds(route.TargetLatencyMs),
+		Gap:      durations.FromMilliseconds(route.TargetGapMs),
 		Priority: int(route.Priority),
 		Attempts: max(1, int(route.MaxAttempts)),
 		Sticky:   route.SessionAffinity,
--- a/internal/settings/addresses.go
+++ b/internal/settings/addresses.go
@@ -5,7 +5,8 @@
 	"strconv"
 	"time"
 
-	"shaletrestle/internal/clock"
+	"shaletrestle/internal/durations"
+
 	"shaletrestle/internal/constants"
 )
 
@@ -50,4 +51,4 @@
 }
 
 // Contact is the bound contact_ms.
-func (e *Settings) Contact() time.Duration { return clock.Millis(e.Bounds.ContactMs) }
+func (e *Settings) Contact() time.Duration { return durations.FromMilliseconds(e.Bounds.ContactMs) }
--- a/internal/settings/main.go
+++ b/internal/settings/main.go
@@ -1,13 +1,13 @@
 package settings
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
 	"runtime/debug"
 
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 // Exit codes of a program.
@@ -25,11 +25,11 @@
 }
 
 // Main is the command line that the daemons share. It never returns.
-func Main(name, description string, need Need, build func(*task.Scope, *Settings) (Daemon, error)) {
+func Main(name, description string, need Need, build func(context.Context, *slog.Logger, *Settings) (Daemon, error)) {
 	os.Exit(run(name, description, need, build))
 }
 
-func run(name, description string, need Need, build func(*task.Scope, *Settings) (Daemon, error)) int {
+func run(name, description string, need Need, build func(context.Context, *slog.Logger, *Settings) (Daemon, error)) int {
 	options, err := parseOptions(name, description, need)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, name+":", err)
@@ -56,17 +56,19 @@
 }
 
 // serve runs the daemon until it ends.
-func serve(name string, options *options, env *Settings, build func(*task.Scope, *Settings) (Daemon, error)) int {
+func serve(name string, options *options, env *Settings, build func(context.Context, *slog.Logger, *Settings) (Daemon, error)) int {
 	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: options.logLevel})
 	log := slog.New(handler)
-	scope := task.New(log.With("program", name))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	daemonLog := log.With("program", name)
 	limitMemory(env)
-	daemon, err := build(scope, env)
+	daemon, err := build(ctx, daemonLog, env)
 	if err != nil {
 		log.Error("can't start", "part", name, "err", err.Error())
 		return exitError
 	}
-	reloader := newReloader(scope, daemon, options)
+	reloader := newReloader(ctx, cancel, daemonLog, daemon, options)
 	go reloader.run()
 	if err := daemon.Run(); err != nil {
 		log.Error("ended", "part", name, "err", err.Error())
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -1,29 +1,30 @@
 package settings
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
-
-	"shaletrestle/internal/clock"
-	"shaletrestle/internal/task"
+	"time"
 )
 
 // reloader reacts to signals and to changes of the settings file.
 type reloader struct {
-	scope   *task.Scope
+	ctx     context.Context
+	cancel  context.CancelFunc // ends the daemon
 	log     *slog.Logger
 	daemon  Daemon
 	options *options
 	loaded  string // the stamp of the file that was read last
 }
 
-func newReloader(scope *task.Scope, daemon Daemon, options *options) *reloader {
+func newReloader(ctx context.Context, cancel context.CancelFunc, log *slog.Logger, daemon Daemon, options *options) *reloader {
 	return &reloader{
-		scope:   scope,
-		log:     scope.Part("settings").Log(),
+		ctx:     ctx,
+		cancel:  cancel,
+		log:     log.With("part", "settings"),
 		daemon:  daemon,
 		options: options,
 	}
@@ -43,13 +44,13 @@
 			}
 			r.log.Info("leaving")
 			r.daemon.Leave()
-			r.scope.Stop()
+			r.cancel()
 			return
-		case <-clock.After(watchFile):
+		case <-time.After(watchFile):
 			if fileStamp(r.options.file) != r.loaded {
 				r.reload()
 			}
-		case <-r.scope.Done():
+		case <-r.ctx.Done():
 			return
 		}
 	}
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -1,9 +1,11 @@
 package sim
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"sort"
@@ -15,7 +17,6 @@
 	"shaletrestle/internal/controller"
 	"shaletrestle/internal/router"
 	"shaletrestle/internal/settings"
-	"shaletrestle/internal/task"
 )
 
 // life fences what a killed process still tries to do.
@@ -65,17 +66,19 @@
 
 // Proc is one of our processes.
 type Proc struct {
-	Name  string
-	ip    string
-	zone  string
-	disk  *Disk
-	relay bool // it has no disk
-	life  *life
-	sc    *task.Scope
-	house *controller.Controller
-	gate  *router.Router
-	slow  atomic.Int64 // so many times slower is its machine; none are 0 or 1
-	first bool
+	Name   string
+	ip     string
+	zone   string
+	disk   *Disk
+	relay  bool // it has no disk
+	life   *life
+	ctx    context.Context
+	cancel context.CancelFunc
+	log    *slog.Logger
+	house  *controller.Controller
+	gate   *router.Router
+	slow   atomic.Int64 // so many times slower is its machine; none are 0 or 1
+	first  bool
 
 	startedAt time.Time
 }
@@ -183,11 +186,12 @@
 	p.startedAt = time.Now()
 	p.life = &life{Host: w.Net.Host(p.ip), Disk: p.disk}
 	w.mu.Unlock()
-	p.sc = task.New(w.Log.With("node", name))
+	p.ctx, p.cancel = context.WithCancel(context.Background())
+	p.log = w.Log.With("node", name)
 	if isController(name) {
 		return w.startController(p, env)
 	}
-	gate := router.New(p.sc, router.Plan{Env: env, Net: p.life, Dialer: p.life, Work: p.work})
+	gate := router.New(p.ctx, p.log, router.Plan{Env: env, Net: p.life, Dialer: p.life, Work: p.work})
 	w.mu.Lock()
 	p.gate = gate
 	w.mu.Unlock()
@@ -200,7 +204,7 @@
 	if p.relay {
 		store = replication.NewNoDisk()
 	}
-	house, err := controller.New(p.sc, controller.Plan{Env: env, Net: p.life, Store: store})
+	house, err := controller.New(p.ctx, p.log, controller.Plan{Env: env, Net: p.life, Store: store})
 	if err != nil {
 		return err
 	}
@@ -277,7 +281,7 @@
 	p := w.process(name)
 	p.life.dead.Store(true)
 	w.Net.Kill(p.ip, power)
-	p.sc.Stop()
+	p.cancel()
 }
 
 // Wipe gives a killed process an empty disk.
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -80,7 +80,7 @@
 // End stops everything.
 func (w *World) End() {
 	for _, p := range w.procs {
-		if p.sc == nil {
+		if p.ctx == nil {
 			continue
 		}
 		w.Net.Freeze(p.ip, false)
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -2,9 +2,9 @@
 
 import (
 	"net/http"
+	"time"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 )
 
 // PartKind tells what a part of an answer is.
@@ -51,7 +51,7 @@
 
 // Next gives the next part. late fires when it has taken too long, quit when nobody wants it any more;
 // ok is false then.
-func (a *Answer) Next(late <-chan clock.Time, quit <-chan struct{}) (p Part, ok bool) {
+func (a *Answer) Next(late <-chan time.Time, quit <-chan struct{}) (p Part, ok bool) {
 	select {
 	case p = <-a.exchange.parts:
 		return p, true
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,11 +9,11 @@
 	"io"
 	"net"
 	"net/http"
+	"time"
 
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 )
 
 // Wire names of the headers that matter here.
@@ -48,9 +48,9 @@
 	Header   http.Header
 	Body     []byte
 	ID       string
-	Events   bool       // the answer is a stream of events
-	NotAfter clock.Time // no first byte leaves from then on
-	Deadline clock.Time // writing ends
+	Events   bool      // the answer is a stream of events
+	NotAfter time.Time // no first byte leaves from then on
+	Deadline time.Time // writing ends
 }
 
 // exchange is one request on a connection and the answer to it.
@@ -73,9 +73,9 @@
 	written  chan struct{} // a token for each request that was written whole
 	dead     chan struct{}
 	killed   atomic.Bool
-	idle     clock.Time
-	rested   clock.Duration // how long it was idle before this use, 0 for a new one; set while the pool is held
-	expires  clock.Time
+	idle     time.Time
+	rested   time.Duration // how long it was idle before this use, 0 for a new one; set while the pool is held
+	expires  time.Time
 	owner    string // who uses it now; guarded by the pool
 	used     bool   // it has carried an exchange to its end
 	lastID   string // the Attempt-Id of that one
@@ -89,7 +89,7 @@
 		start:   make(chan *exchange, 1),
 		written: make(chan struct{}, 1),
 		dead:    make(chan struct{}),
-		expires: clock.Now().Add(keepIdle),
+		expires: time.Now().Add(keepIdle),
 	}
 	go connection.read()
 	return connection
@@ -125,13 +125,13 @@
 // before the first of them, whatever was waited for till then.
 type sending struct {
 	conn     net.Conn
-	notAfter clock.Time
+	notAfter time.Time
 	state    attempt.State
 }
 
 // Write sends bytes.
 func (s *sending) Write(b []byte) (int, error) {
-	if s.state == attempt.NotSent && clock.Until(s.notAfter) <= 0 {
+	if s.state == attempt.NotSent && time.Until(s.notAfter) <= 0 {
 		return 0, ErrTooLate
 	}
 	n, err := s.conn.Write(b)
--- a/internal/upstream/keep.go
+++ b/internal/upstream/keep.go
@@ -2,21 +2,20 @@
 
 import (
 	"sync"
-
-	"shaletrestle/internal/clock"
+	"time"
 )
 
 // Keep is what this process knows of how long one service's replicas keep idle connections, beside what their answers say. A replica may forget one sooner, without a word.
 type Keep struct {
 	mu    sync.Mutex
-	limit clock.Duration // idle time at the newest loss, less a margin; 0 if none was lost
-	at    clock.Time
-	proof clock.Duration // longest idle time of late after which a connection worked
-	shown clock.Time
+	limit time.Duration // idle time at the newest loss, less a margin; 0 if none was lost
+	at    time.Time
+	proof time.Duration // longest idle time of late after which a connection worked
+	shown time.Time
 }
 
 // Kept notes that a connection worked after it was idle that long.
-func (k *Keep) Kept(idle clock.Duration, now clock.Time) {
+func (k *Keep) Kept(idle time.Duration, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle >= k.proof || now.Sub(k.shown) > keepProof {
@@ -25,25 +24,25 @@
 }
 
 // Forgot notes that a connection idle that long was reset when it was used again. It is false if others of the service worked lately after as long: then this one was not forgotten.
-func (k *Keep) Forgot(idle clock.Duration, now clock.Time) bool {
+func (k *Keep) Forgot(idle time.Duration, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle < k.proof && now.Sub(k.shown) <= keepProof {
 		return false
 	}
-	k.limit = max(keepLeast, min(k.most(now), clock.Duration(float64(idle)*keepPart)))
+	k.limit = max(keepLeast, min(k.most(now), time.Duration(float64(idle)*keepPart)))
 	k.at = now
 	return true
 }
 
 // Most is how long a connection may have been idle to be used for what may be sent again. After a loss it grows back.
-func (k *Keep) Most(now clock.Time) clock.Duration {
+func (k *Keep) Most(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.most(now)
 }
 
-func (k *Keep) most(now clock.Time) clock.Duration {
+func (k *Keep) most(now time.Time) time.Duration {
 	if k.limit == 0 {
 		return keepLongest
 	}
@@ -52,7 +51,7 @@
 }
 
 // Sure is the same for what may not be sent again: half of it while a loss was seen lately.
-func (k *Keep) Sure(now clock.Time) clock.Duration {
+func (k *Keep) Sure(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limit > 0 && now.Sub(k.at) < keepDoubt {
--- a/internal/upstream/model_lifetime_test.go
+++ b/internal/upstream/model_lifetime_test.go
@@ -12,7 +12,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 )
 
 // The life of a connection: early answers, frozen senders, closing and waiting.
@@ -61,7 +60,7 @@
 }
 
 // DialReplica connects.
-func (s *stalledDialer) DialReplica(addr string, d clock.Duration) (net.Conn, error) {
+func (s *stalledDialer) DialReplica(addr string, d time.Duration) (net.Conn, error) {
 	c, err := s.pipes.DialReplica(addr, d)
 	return &stalled{Conn: c, freeze: s.freeze}, err
 }
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -13,7 +13,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 )
 
 // The model plays every scripted replica against the real connection and pool over in-memory connections
@@ -33,7 +32,7 @@
 }
 
 // DialReplica connects.
-func (p *pipes) DialReplica(string, clock.Duration) (net.Conn, error) {
+func (p *pipes) DialReplica(string, time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.made++
 	number := p.made
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -5,26 +5,26 @@
 	"net"
 	"sync"
 	"syscall"
+	"time"
 
 	"go.uber.org/atomic"
 	"golang.org/x/sys/unix"
 
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
 // Dialer opens connections to replicas.
 type Dialer interface {
-	DialReplica(addr string, d clock.Duration) (net.Conn, error)
+	DialReplica(addr string, d time.Duration) (net.Conn, error)
 }
 
 // TCP is the real network: unacknowledged bytes and silent peers end a connection soon.
 type TCP struct{}
 
 // DialReplica connects.
-func (TCP) DialReplica(addr string, d clock.Duration) (net.Conn, error) {
+func (TCP) DialReplica(addr string, d time.Duration) (net.Conn, error) {
 	x := net.Dialer{Timeout: d, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(constants.UnackedMost.Milliseconds()))
@@ -105,8 +105,8 @@
 }
 
 // Get gives an owner an idle connection or a new one, waiting at most d. When they are nearly all in use, each owner has its portion. A wary one takes no connection that the replica may have forgotten. A wait ends when quit closes.
-func (p *Pool) Get(owner string, d clock.Duration, wary bool, quit <-chan struct{}) (*Connection, error) {
-	end := clock.Now().Add(d)
+func (p *Pool) Get(owner string, d time.Duration, wary bool, quit <-chan struct{}) (*Connection, error) {
+	end := time.Now().Add(d)
 	for {
 		p.mu.Lock()
 		if p.shut {
@@ -151,7 +151,7 @@
 		case <-w:
 		case <-quit:
 			return nil, ErrNotWanted
-		case <-clock.After(clock.Until(end)):
+		case <-time.After(time.Until(end)):
 			return nil, errkind.New(errkind.Crowded, "no connection is free")
 		}
 	}
@@ -159,7 +159,7 @@
 
 // idle takes the connection used last, if it may still be used; the caller holds the pool.
 func (p *Pool) idle(wary bool) *Connection {
-	now := clock.Now()
+	now := time.Now()
 	for len(p.free) > 0 {
 		ch := p.free[len(p.free)-1]
 		idle := now.Sub(ch.idle)
@@ -178,8 +178,8 @@
 }
 
 // forgot notes that a kept connection was reset when it was used again: those that were idle as long are closed, and the service's others are kept less long. It is false if that was no forgetting.
-func (p *Pool) forgot(rested clock.Duration) bool {
-	now := clock.Now()
+func (p *Pool) forgot(rested time.Duration) bool {
+	now := time.Now()
 	if !p.keep.Forgot(rested, now) {
 		return false
 	}
@@ -191,8 +191,8 @@
 	return true
 }
 
-func (p *Pool) dial(owner string, end clock.Time) (*Connection, error) {
-	c, err := p.d.DialReplica(p.addr, min(replicaDial, clock.Until(end)))
+func (p *Pool) dial(owner string, end time.Time) (*Connection, error) {
+	c, err := p.d.DialReplica(p.addr, min(replicaDial, time.Until(end)))
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -253,7 +253,7 @@
 // Sweep closes connections whose idle time is over.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
-	now := clock.Now()
+	now := time.Now()
 	old := p.takeOut(func(c *Connection) bool { return !now.Before(c.expires) })
 	p.mu.Unlock()
 	kill(old)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,7 +13,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
@@ -25,7 +24,7 @@
 	open   int
 }
 
-func (s *server) DialReplica(string, clock.Duration) (net.Conn, error) {
+func (s *server) DialReplica(string, time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
 	s.mu.Lock()
 	s.open++
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -10,9 +10,11 @@
 	"strconv"
 	"strings"
 	"syscall"
+	"time"
+
+	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
 )
 
@@ -179,12 +181,12 @@
 		keep = false
 	}
 	if c.rested > 0 {
-		c.pool.keep.Kept(c.rested, clock.Now())
+		c.pool.keep.Kept(c.rested, time.Now())
 	}
 	c.used, c.lastID = true, x.request.ID
 	keep = keep && c.exchange.CompareAndSwap(x, nil) // not if the answer was dropped at this moment
 	if keep {
-		c.idle = clock.Now()
+		c.idle = time.Now()
 		c.expires = c.idle.Add(keepFor(response.Header))
 		keep = c.pool.put(c)
 	}
@@ -197,14 +199,14 @@
 }
 
 // keepFor is how long an idle connection may be used again: a little less than its Keep-Alive says.
-func keepFor(h http.Header) clock.Duration {
+func keepFor(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			return max(0, clock.Seconds(float64(n))-keepMargin)
+			return max(0, durations.FromSeconds(float64(n))-keepMargin)
 		}
 	}
 	return keepIdle
