--- a/coord/lease/compatibility_test.go
+++ b/coord/lease/compatibility_test.go
@@ -1,8 +1,8 @@
 package lease
 
 import (
+	"context"
 	"errors"
-	"log/slog"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -11,9 +11,7 @@
 
 	"shaletrestle/coord/recordedtest"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/constants"
-	"shaletrestle/internal/task"
 )
 
 // recorder keeps what is asked and answers as one grantor does.
@@ -23,7 +21,7 @@
 	answers []*rpc.Message
 }
 
-func (r *recorder) Call(_ string, message *rpc.Message, _ clock.Duration) (*rpc.Message, error) {
+func (r *recorder) Call(_ string, message *rpc.Message, _ time.Duration) (*rpc.Message, error) {
 	message.Call = uint64(len(r.asked) + 1)
 	r.asked = append(r.asked, message)
 	answer := r.grantor.Handle(message)
@@ -43,7 +41,7 @@
 		self := rpc.Member{ID: 0x3001, Address: "10.0.0.1:7720", Zone: "zone-1"}
 		grantors := func() []rpc.Member { return []rpc.Member{{ID: 0x3002, Address: "10.0.0.2:7720", Zone: "zone-2"}} }
 		wanted := true
-		holder := NewHolder(task.New(slog.New(slog.DiscardHandler)), "list", self, r, grantors, func() bool { return wanted }, nil)
+		holder := NewHolder(context.Background(), "list", self, r, grantors, func() bool { return wanted }, nil)
 		holder.life = 0x3003 // drawn at random otherwise
 		require.False(t, holder.Renew(), "a grantor that has just started grants nothing")
 		time.Sleep(constants.LeaseSpan)
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -1,11 +1,13 @@
 package controller
 
 import (
+	"context"
 	"encoding/json"
 	"log/slog"
 	"net"
 	"os"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/require"
 
@@ -15,10 +17,8 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/replication/store"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // foldersPath is where the data folders are that the code of an earlier version wrote.
@@ -27,8 +27,8 @@
 // noNet has nobody on it.
 type noNet struct{}
 
-func (noNet) Dial(string, clock.Duration) (net.Conn, error) { return nil, net.ErrClosed }
-func (noNet) Listen(string) (net.Listener, error)           { return nil, net.ErrClosed }
+func (noNet) Dial(string, time.Duration) (net.Conn, error) { return nil, net.ErrClosed }
+func (noNet) Listen(string) (net.Listener, error)          { return nil, net.ErrClosed }
 
 // openRecorded makes a controller over a copy of a data folder.
 func openRecorded(t *testing.T, folder string) *Controller {
@@ -43,9 +43,9 @@
 		NodeName: "c", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{7720, 7729}, Quorum: true, DataDir: dir,
 		Zones: map[string]string{"zone-1": "east"}, Bounds: settings.Bounds{BudgetSlack: 100, BudgetWindowS: 10, GraceS: 1},
 	}
-	scope := task.New(slog.New(slog.DiscardHandler))
-	t.Cleanup(scope.Stop)
-	c, err := New(scope, Plan{Env: env, Net: noNet{}, Store: opened})
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	c, err := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: noNet{}, Store: opened})
 	require.NoError(t, err)
 	return c
 }
@@ -82,7 +82,7 @@
 	require.NoError(t, err)
 	require.Equal(t, sum, read)
 	require.Nil(t, c.handle(nil, read))
-	require.ElementsMatch(t, loads, c.deck.Total(clock.Now()))
+	require.ElementsMatch(t, loads, c.deck.Total(time.Now()))
 
 	lend := &rpc.Message{Kind: rpc.Lend, Call: 0x8005, Word: "service-1", Number: 3}
 	read, err = rpc.Decode(recording.Same("lend", lend.Encode()))
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
@@ -15,10 +16,8 @@
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/recordedtest"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/clock"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
-	"shaletrestle/internal/task"
 )
 
 // TestJob_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages on long work between nodes of an earlier
@@ -77,7 +76,7 @@
 			require.True(t, answer.Answer && answer.OK)
 			require.Equal(t, ping.Call, answer.Call)
 			w.g.long.roomOf(node, answer)
-			require.Equal(t, neighbour{room: 3, zone: "a", at: clock.Now()}, w.g.long.neighbours[node])
+			require.Equal(t, neighbour{room: 3, zone: "a", at: time.Now()}, w.g.long.neighbours[node])
 		}
 	})
 }
@@ -85,16 +84,16 @@
 // recordingNet has one controller on it, which notes what it is sent; nobody else is there.
 type recordingNet struct {
 	controller string
-	scope      *task.Scope
+	ctx        context.Context
 	handle     rpc.Handler
 }
 
-func (n recordingNet) Dial(address string, _ clock.Duration) (net.Conn, error) {
+func (n recordingNet) Dial(address string, _ time.Duration) (net.Conn, error) {
 	if address != n.controller {
 		return nil, net.ErrClosed
 	}
 	near, far := net.Pipe()
-	rpc.Open(n.scope, far, n.handle)
+	rpc.Open(n.ctx, far, n.handle)
 	return near, nil
 }
 
@@ -104,9 +103,9 @@
 func TestRouter_RecordedBytes_TellsControllerAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/controller.txt")
-		scope := task.New(slog.New(slog.DiscardHandler))
+		ctx, cancel := context.WithCancel(context.Background())
 		received := map[rpc.Kind][]byte{}
-		network := recordingNet{controller: "10.0.0.5:9000", scope: scope, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
+		network := recordingNet{controller: "10.0.0.5:9000", ctx: ctx, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
 			received[message.Kind] = message.Encode()
 			if message.Kind != rpc.Lend {
 				return nil
@@ -120,7 +119,7 @@
 			NodeName: "g", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{9000, 9100}, Seeds: []string{"10.0.0.5:8800"},
 			Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64},
 		}
-		r := New(scope, Plan{Env: env, Net: network})
+		r := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: network})
 		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
 		require.NoError(t, r.book.Fold((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
 		go r.follower.Run()
@@ -130,7 +129,7 @@
 		require.True(t, r.further("service-1", time.Second))
 		go r.watcher.Run()
 		time.Sleep(3 * time.Second)
-		scope.Stop()
+		cancel()
 		synctest.Wait()
 		for kind, name := range map[rpc.Kind]string{
 			rpc.Follow: "follow", rpc.Lend: "lend", 0: "lend-answer", rpc.Suspect: "suspect",
