--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -6,11 +6,12 @@
 	"os"
 	"time"
 
+	"shaletrestle/internal/version"
+
 	"github.com/integrii/flaggy"
 
 	"shaletrestle/internal/calendar"
 	"shaletrestle/internal/configcheck"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
 
@@ -26,7 +27,7 @@
 func run() int {
 	p := flaggy.NewParser("configcheck")
 	p.Description = "Checks a configuration file. Exit code 0: fine, 1: findings, 2: could not check."
-	p.Version = constants.Version
+	p.Version = version.Number
 	var file, fleet, cal string
 	var zones []string
 	asJSON, wait := false, 3*time.Second
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -11,9 +11,10 @@
 	"strings"
 	"syscall"
 
+	"shaletrestle/internal/version"
+
 	"github.com/integrii/flaggy"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/emulator"
 	"shaletrestle/internal/errkind"
 )
@@ -32,7 +33,7 @@
 func run(args []string, out, errs io.Writer) int {
 	p := flaggy.NewParser("emulator")
 	p.Description = "Emulates replicas, the platform's list, the operator and clients on loopback addresses, starts real daemons beside them in this process, loads them and measures. Exit code 0: all was served, 1: not all, 2: could not be done as asked, 130: interrupted."
-	p.Version = constants.Version
+	p.Version = version.Number
 	p.ShowHelpOnUnexpected = false
 	var file, lines, plots string
 	verbose := false
--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -18,7 +18,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // link is a network to one feed whose bytes from the feed share one rate.
@@ -145,7 +144,7 @@
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		push := begin(f, 1)
 		b.made = 0
-		l := &link{ctx: ctx, feed: f, rate: constants.LinkBytes}
+		l := &link{ctx: ctx, feed: f, rate: rpc.LinkBytesPerSecond}
 		const many = 390
 		cursors := make([]*Cursor, many)
 		start := time.Now()
@@ -167,7 +166,7 @@
 		}
 		t.Logf("%d followers after %v", many, time.Since(start))
 		require.LessOrEqual(t, most, snapshotsAtOnce)
-		require.Less(t, time.Since(start), 20*time.Second, "the link needs %d s for the bytes alone", many*300<<10/constants.LinkBytes)
+		require.Less(t, time.Since(start), 20*time.Second, "the link needs %d s for the bytes alone", many*300<<10/rpc.LinkBytesPerSecond)
 		require.LessOrEqual(t, b.made, 2, "encoded once a state, for all")
 		require.Equal(t, many, l.dials, "nobody gave up")
 		for _, c := range cursors {
--- a/coord/distribution/constants.go
+++ b/coord/distribution/constants.go
@@ -16,3 +16,8 @@
 	snapshotsAtOnce = 4                       // snapshots that one process sends at a time: a few hundred kilobytes each, a link carries 8 MB/s
 	newsKeep        = 512                     // deltas kept for those that come back
 )
+
+const (
+	// HeartbeatInterval is the time between heartbeats on a channel that carries nothing else.
+	HeartbeatInterval = 400 * time.Millisecond
+)
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -16,7 +16,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // words is a board that joins its changes.
@@ -193,7 +192,7 @@
 			defer func() { cancel(); time.Sleep(time.Second) }()
 			p := &tree{ctx: ctx}
 			src, push, lives := p.grow(3, 12)
-			time.Sleep(constants.NewsBeat)
+			time.Sleep(HeartbeatInterval)
 			for range 15 {
 				for range r.IntN(6) {
 					switch r.IntN(4) {
@@ -236,7 +235,7 @@
 		defer func() { cancel(); time.Sleep(time.Second) }()
 		p := &tree{ctx: ctx}
 		src, push, _ := p.grow(2, 60)
-		time.Sleep(3*constants.NewsBeat + constants.NewsBeat/2) // between two beats
+		time.Sleep(3*HeartbeatInterval + HeartbeatInterval/2) // between two beats
 		p.mu.Lock()
 		p.up, p.lists = 0, 0
 		p.mu.Unlock()
@@ -248,7 +247,7 @@
 		up := p.up
 		p.mu.Unlock()
 		require.LessOrEqual(t, up, 4, "of each of two relays one when it took the change, one when all its followers had")
-		time.Sleep(10 * constants.NewsBeat)
+		time.Sleep(10 * HeartbeatInterval)
 		synctest.Wait()
 		p.mu.Lock()
 		lists := p.lists
@@ -273,12 +272,12 @@
 		for i := range uint64(20) {
 			p.end(lives, i+1, "x")
 		}
-		time.Sleep(constants.NewsBeat)
+		time.Sleep(HeartbeatInterval)
 		synctest.Wait()
 		require.Equal(t, 1, b.made)
 		push("b")
 		p.end(lives, 99, "x")
-		time.Sleep(constants.NewsBeat)
+		time.Sleep(HeartbeatInterval)
 		synctest.Wait()
 		require.Equal(t, 2, b.made)
 		require.Equal(t, f.Acked(), uint64(2))
@@ -354,10 +353,10 @@
 		require.Len(t, src.Reached(), many)
 		notes, seats := up.heard.Load(), up.seats.Load()
 		const beats = 50
-		time.Sleep(beats * constants.NewsBeat)
+		time.Sleep(beats * HeartbeatInterval)
 		require.LessOrEqual(t, up.heard.Load()-notes, int64(beats+2))
 		require.Equal(t, seats, up.seats.Load(), "the same seats are not told again")
-		time.Sleep(constants.NewsBeat / 3) // between two beats
+		time.Sleep(HeartbeatInterval / 3) // between two beats
 		at := time.Now()
 		n := push("+")
 		have, of := src.Wait(ctx, n, time.Second)
@@ -400,9 +399,9 @@
 			})
 			go fo.Run()
 		}
-		time.Sleep(constants.NewsBeat)
+		time.Sleep(HeartbeatInterval)
 		f.Spread(&rpc.Message{Kind: rpc.Deck, Body: []byte("sum")})
-		time.Sleep(constants.NewsBeat / 2)
+		time.Sleep(HeartbeatInterval / 2)
 		require.Equal(t, int64(len(cs)), got.Load())
 		for _, c := range cs {
 			_, at := c.At()
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -10,7 +10,6 @@
 	"shaletrestle/coord/wait"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -57,7 +56,7 @@
 		wake:        make(chan struct{}),
 		onAck:       onAck,
 	}
-	go wait.Every(f.ctx, constants.NewsBeat, func() bool { f.beat(); return true })
+	go wait.Every(f.ctx, HeartbeatInterval, func() bool { f.beat(); return true })
 	return f
 }
 
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -12,7 +12,6 @@
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -106,7 +105,7 @@
 }
 
 func (f *Follower) follow(at string) {
-	c, err := f.net.Dial(at, constants.DialWait)
+	c, err := f.net.Dial(at, rpc.DialTimeout)
 	if err != nil {
 		return
 	}
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // need is whether a subscriber needs a snapshot before it can take changes.
@@ -181,14 +180,14 @@
 		return newsLost
 	}
 	bytes := s.snapshotBytes * snapshotsAtOnce
-	return newsLost + time.Duration((float64(bytes)/constants.LinkBytes)*float64(time.Second))
+	return newsLost + time.Duration((float64(bytes)/rpc.LinkBytesPerSecond)*float64(time.Second))
 }
 
 func (f *Feed) sendBeats() {
 	current := f.current()
 	encoded := map[Position][]byte{}
 	for _, s := range f.subscribers {
-		if current && time.Since(s.sentAt) < constants.NewsBeat/2 {
+		if current && time.Since(s.sentAt) < HeartbeatInterval/2 {
 			continue
 		}
 		if s.need != needChanges {
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -12,10 +12,10 @@
 	"testing/synctest"
 	"time"
 
+	"shaletrestle/coord/rpc"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/constants"
 )
 
 func names(n int) (out []string) {
@@ -162,7 +162,7 @@
 			ok := up || n != "b"
 			mu.Unlock()
 			if !ok {
-				time.Sleep(constants.CallWait)
+				time.Sleep(rpc.CallTimeout)
 			}
 			return ok
 		}, func(n string, alive bool) {
@@ -181,7 +181,7 @@
 		time.Sleep(20 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		require.Less(t, told[0].Sub(lost)+constants.FleetEvery, 4*time.Second)
+		require.Less(t, told[0].Sub(lost)+ReportInterval, 4*time.Second)
 		for i := 1; i < len(told); i++ {
 			require.Less(t, told[i].Sub(told[i-1]), 2*every)
 			require.Greater(t, told[i].Sub(told[i-1]), every/againPart)
--- a/coord/lease/compatibility_test.go
+++ b/coord/lease/compatibility_test.go
@@ -11,7 +11,6 @@
 
 	"shaletrestle/coord/recordedtest"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // recorder keeps what is asked and answers as one grantor does.
@@ -44,7 +43,7 @@
 		holder := NewHolder(context.Background(), "list", self, r, grantors, func() bool { return wanted }, nil)
 		holder.life = 0x3003 // drawn at random otherwise
 		require.False(t, holder.Renew(), "a grantor that has just started grants nothing")
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		require.True(t, holder.Renew())
 		wanted = false
 		require.False(t, holder.Renew(), "given back")
--- a/coord/lease/constants.go
+++ b/coord/lease/constants.go
@@ -7,3 +7,8 @@
 	leaseMargin = 120 * time.Millisecond // holder stops this much earlier: clock drift and late timers
 	leaseRenew  = 150 * time.Millisecond // three renewals fit into a span
 )
+
+const (
+	// Duration is how long a lease is granted. A grantor that restarted grants nothing for as long.
+	Duration = 500 * time.Millisecond
+)
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -10,7 +10,6 @@
 	"shaletrestle/coord/wait"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 type grant struct {
@@ -50,7 +49,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.born) < constants.LeaseSpan {
+	if now.Sub(g.born) < Duration {
 		return n.Reply(false)
 	}
 	held, known := g.given[n.Word]
@@ -64,7 +63,7 @@
 		}
 		return n.Reply(true)
 	}
-	until := now.Add(min(time.Duration(n.Span), constants.LeaseSpan))
+	until := now.Add(min(time.Duration(n.Span), Duration))
 	if runs {
 		held.renew(n.Ballot, n.Number, until)
 	} else {
@@ -154,7 +153,7 @@
 	number := h.nextRequest()
 	h.mu.Unlock()
 	start := time.Now()
-	if !h.round(uint64(constants.LeaseSpan), number) {
+	if !h.round(uint64(Duration), number) {
 		return false
 	}
 	h.mu.Lock()
@@ -165,7 +164,7 @@
 	if !start.Before(h.until) {
 		h.since = time.Now()
 	}
-	end := start.Add(constants.LeaseSpan - leaseMargin)
+	end := start.Add(Duration - leaseMargin)
 	if end.After(h.until) {
 		h.until = end
 	}
@@ -189,7 +188,7 @@
 				ch <- h.local.Handle(n).OK
 				return
 			}
-			a, err := h.ask.Call(s.Address, n, constants.CallWait)
+			a, err := h.ask.Call(s.Address, n, rpc.CallTimeout)
 			ch <- err == nil && a.OK
 		}()
 	}
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -13,7 +13,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -59,7 +58,7 @@
 		f := newFleet()
 		a, b := f.holder(1), f.holder(2)
 		require.False(t, a.Renew(), "grantors that just started are silent for one span")
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		require.True(t, a.Renew())
 		require.True(t, a.Held())
 		for range 20 {
@@ -69,7 +68,7 @@
 				break
 			}
 		}
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		require.False(t, a.Held(), "it stops by itself")
 		require.True(t, b.Renew())
 	})
@@ -78,7 +77,7 @@
 func TestMinorityGivesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		f.down[0], f.down[1] = true, true
 		a := f.holder(1)
 		require.False(t, a.Renew())
@@ -90,7 +89,7 @@
 func TestAFrozenHolderHasNothingWhenItWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
 		time.Sleep(5 * time.Second) // it stood still; the others went on
@@ -103,8 +102,8 @@
 func TestTheSpanCountsFromBeforeTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
-		f.lag = constants.LeaseSpan
+		time.Sleep(Duration)
+		f.lag = Duration
 		a := f.holder(1)
 		require.True(t, a.Renew())
 		require.False(t, a.Held(), "the answer came too late to be of use")
@@ -114,7 +113,7 @@
 func TestARestartedGrantorDoesNotGiveTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		f.down[2] = true
 		require.True(t, a.Renew())
@@ -128,7 +127,7 @@
 func ExampleHolder() {
 	f := newFleet()
 	for _, g := range f.g {
-		g.born = g.born.Add(-constants.LeaseSpan)
+		g.born = g.born.Add(-Duration)
 	}
 	h := f.holder(7)
 	if h.Renew() && h.Held() {
@@ -169,7 +168,7 @@
 	select {
 	case a := <-answer:
 		return a, nil
-	case <-time.After(constants.CallWait):
+	case <-time.After(rpc.CallTimeout):
 		return nil, errkind.New(errkind.Unready, "no answer")
 	}
 }
@@ -226,7 +225,7 @@
 func TestALateGiveBackTakesNothingThatWasGrantedSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 1}
 		require.True(t, a.Renew())
@@ -243,11 +242,11 @@
 func TestALateRenewalDoesNotMakeAnOlderGiveBackCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		a.requests = 2 // the first two are under way still
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 1, Span: uint64(constants.LeaseSpan)}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 1, Span: uint64(Duration)}
 		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 2}
 		for _, g := range f.g {
 			g.Handle(renewal)
@@ -262,10 +261,10 @@
 func TestAnEarlierLifeTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life + 1, Number: 8, Span: uint64(constants.LeaseSpan)}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life + 1, Number: 8, Span: uint64(Duration)}
 		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life + 1, Number: 9}
 		for _, g := range f.g {
 			g.Handle(renewal)
@@ -280,7 +279,7 @@
 func TestAGiveBackIsOlderThanARenewalThatBeginsAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		time.Sleep(constants.LeaseSpan)
+		time.Sleep(Duration)
 		a := f.holder(1)
 		require.True(t, a.Renew())
 		f.lag = 20 * time.Millisecond
--- a/coord/outlier/constants.go
+++ b/coord/outlier/constants.go
@@ -39,3 +39,8 @@
 	acquitPart       = 0.15                   // failures among them that are borne
 	statLeast        = 0.05                   // less than this is not shown, and forgotten
 )
+
+const (
+	// FirstEjection is the length of the first ejection after a failed connection.
+	FirstEjection = 700 * time.Millisecond
+)
--- a/coord/outlier/detector.go
+++ b/coord/outlier/detector.go
@@ -9,8 +9,6 @@
 	"time"
 
 	"go.uber.org/atomic"
-
-	"shaletrestle/internal/constants"
 )
 
 // Kind is what went wrong with a shot.
@@ -253,7 +251,7 @@
 			out++
 		}
 	}
-	d := constants.EjectFirst
+	d := FirstEjection
 	if out < room(g.s[r.pool].n) {
 		n := math.Floor(r.episodes.now(now, episodeHalf) + 0.5)
 		d = min(ejectMost, time.Duration(float64(d)*math.Exp2(min(n, 4))))
--- a/coord/outlier/detector_test.go
+++ b/coord/outlier/detector_test.go
@@ -6,8 +6,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/constants"
 )
 
 var t0 = time.Unix(1000, 0)
@@ -33,11 +31,11 @@
 		return
 	}
 	first, second, third := out(0), out(2), out(5)
-	require.Equal(t, constants.EjectFirst, first)
+	require.Equal(t, FirstEjection, first)
 	require.Greater(t, second, first)
 	require.Greater(t, third, second)
 	require.LessOrEqual(t, out(10), ejectMost)
-	require.Equal(t, constants.EjectFirst, out(200), "what was long ago is forgotten")
+	require.Equal(t, FirstEjection, out(200), "what was long ago is forgotten")
 }
 
 func TestAnEjectionEndsWithOneTrial(t *testing.T) {
@@ -102,7 +100,7 @@
 	}
 	back := 0
 	for i := range 6 {
-		if g.Fit(fmt.Sprintf("r%d", i), false, at(35.1).Add(constants.EjectFirst)) == Fit {
+		if g.Fit(fmt.Sprintf("r%d", i), false, at(35.1).Add(FirstEjection)) == Fit {
 			back++
 		}
 	}
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -6,7 +6,6 @@
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // pendingMost is how many messages to one address wait for its dial; further ones are dropped.
@@ -79,7 +78,7 @@
 		silent.Close()
 	}
 	channel, err := l.lines.Get(address)
-	if err == nil && channel.Quiet() >= constants.CallWait { // one from before that may be dead
+	if err == nil && channel.Quiet() >= rpc.CallTimeout { // one from before that may be dead
 		channel.Close()
 		channel, err = l.lines.Get(address)
 	}
@@ -121,7 +120,7 @@
 		k.sent = 0
 		return true
 	}
-	patience := constants.CallWait + time.Duration(k.sent)*time.Second/constants.LinkBytes
+	patience := rpc.CallTimeout + time.Duration(k.sent)*time.Second/rpc.LinkBytesPerSecond
 	if now.Sub(k.sentAt) < patience {
 		return true
 	}
--- a/coord/rpc/net.go
+++ b/coord/rpc/net.go
@@ -11,7 +11,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -107,7 +106,7 @@
 	w := make(chan struct{})
 	x.dialing = w
 	l.mu.Unlock()
-	c, err := l.net.Dial(addr, constants.DialWait)
+	c, err := l.net.Dial(addr, DialTimeout)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	x.dialing, x.err = nil, err
--- a/coord/slowness/constants.go
+++ b/coord/slowness/constants.go
@@ -17,3 +17,8 @@
 	levelHeard = 8                      // looks for which another node's word counts: three pings
 	levelShed  = 6                      // looks out of readiness before answers close: the platform has noticed by then
 )
+
+const (
+	// Interval is the time between two measurements; each costs a wake-up and some 10 us.
+	Interval = 500 * time.Millisecond
+)
--- a/coord/slowness/watch.go
+++ b/coord/slowness/watch.go
@@ -7,8 +7,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"shaletrestle/internal/constants"
 )
 
 // Watch steps a detector with what this process measures of itself.
@@ -80,7 +78,7 @@
 	if previous.IsZero() {
 		return 0
 	}
-	return now.Sub(previous) - constants.LevelEvery
+	return now.Sub(previous) - Interval
 }
 
 // Hear takes what another node reported of itself.
--- a/coord/slowness/watch_test.go
+++ b/coord/slowness/watch_test.go
@@ -8,8 +8,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/constants"
 )
 
 func TestAWatchSeesLateLooksAndSlowWork(t *testing.T) {
@@ -23,17 +21,17 @@
 				time.Sleep(every)
 			}
 		}
-		look(levelFirst+4, constants.LevelEvery)
+		look(levelFirst+4, Interval)
 		require.False(t, w.Slow())
-		look(levelBad+1, constants.LevelEvery+2*levelLate) // the first was on time
+		look(levelBad+1, Interval+2*levelLate) // the first was on time
 		require.True(t, w.Slow())
-		look(levelGood+1, constants.LevelEvery)
+		look(levelGood+1, Interval)
 		require.False(t, w.Slow())
 		work *= 5
-		look(levelBad+levelAfter+1, constants.LevelEvery)
+		look(levelBad+levelAfter+1, Interval)
 		require.True(t, w.Out())
 		require.False(t, w.Shed())
-		look(levelShed, constants.LevelEvery)
+		look(levelShed, Interval)
 		require.True(t, w.Shed())
 		require.InDelta(t, 10, w.State().UsualUs, 0.01)
 	})
--- a/internal/adminapi/constants.go
+++ b/internal/adminapi/constants.go
@@ -14,3 +14,8 @@
 const (
 	orderWait = 850 * time.Millisecond // from a call's arrival to its answer: callers move on after a second of silence
 )
+
+const (
+	// MaxConfigurationBytes is the size of the largest configuration accepted.
+	MaxConfigurationBytes = 16 << 20
+)
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -16,7 +16,6 @@
 
 	"github.com/labstack/echo/v4"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/state"
@@ -150,7 +149,7 @@
 }
 
 func (s *Server) config(c *call, kind string) {
-	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, constants.OrderBody))
+	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, MaxConfigurationBytes))
 	if err != nil {
 		httpreply.Fault(c.writer, errkind.New(errkind.BadInput, "body can't be read whole"))
 		return
--- a/internal/configcheck/fetch.go
+++ b/internal/configcheck/fetch.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"time"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
 )
@@ -27,7 +26,7 @@
 		return nil, errkind.Wrap(errkind.Unready, err, "the fleet could not be asked")
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, constants.AnswerMax))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unready, err, "the fleet could not be asked")
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"shaletrestle/coord/failuredetector"
+
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/durations"
 
@@ -22,7 +24,6 @@
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/adminapi"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/discovery"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/settings"
@@ -111,8 +112,8 @@
 }
 
 func newLender(env *settings.Settings) *fairshare.Lender {
-	pot := constants.BudgetMargin * constants.BudgetPot * env.Bounds.BudgetSlack
-	window := durations.FromSeconds(env.Bounds.BudgetWindowS) + constants.LumpSpan
+	pot := fairshare.BudgetMargin * fairshare.LentFraction * env.Bounds.BudgetSlack
+	window := durations.FromSeconds(env.Bounds.BudgetWindowS) + fairshare.LoanLifetime
 	return fairshare.NewLender(int64(pot), window)
 }
 
@@ -130,7 +131,7 @@
 		area = func(zone string) string { return env.Zones[zone] }
 	}
 	return replication.Config{
-		Address:   env.Port(constants.PortTally),
+		Address:   env.Port(settings.ControlPort),
 		Zone:      env.Zone,
 		Seeds:     env.SeedMembers(),
 		Losses:    losses,
@@ -147,7 +148,7 @@
 
 // Run serves until the context ends.
 func (c *Controller) Run() error {
-	members, err := c.net.Listen(c.settings.Port(constants.PortTally))
+	members, err := c.net.Listen(c.settings.Port(settings.ControlPort))
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "member port")
 	}
@@ -155,7 +156,7 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "control address")
 	}
-	pages, err := c.net.Listen(c.settings.Port(constants.PortTallyPage))
+	pages, err := c.net.Listen(c.settings.Port(settings.ControlStatePort))
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "state page")
 	}
@@ -173,7 +174,7 @@
 }
 
 func httpServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: constants.HeadWait, IdleTimeout: constants.IdleWait}
+	return &http.Server{Handler: h, ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
 }
 
 func (c *Controller) startDuties() {
@@ -181,8 +182,8 @@
 	go c.follower.Run()
 	go c.duty.Run()
 	go c.read()
-	go wait.Every(c.ctx, constants.FleetEvery, func() bool { c.count(); return true })
-	go wait.Every(c.ctx, constants.NewsBeat, func() bool { c.judge(); return true })
+	go wait.Every(c.ctx, failuredetector.ReportInterval, func() bool { c.count(); return true })
+	go wait.Every(c.ctx, distribution.HeartbeatInterval, func() bool { c.judge(); return true })
 	go c.addUp()
 }
 
@@ -190,7 +191,7 @@
 func (c *Controller) Leave() {
 	c.leaving.Store(true)
 	c.duty.Renew() // it is not wanted any more: given back
-	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - constants.GraceMargin
+	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - settings.GraceMargin
 	if !c.replica.Leave(time.Now().Add(grace)) {
 		c.log.Warn("left with roles that nobody else has taken", "part", "controller")
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -5,8 +5,9 @@
 	"sort"
 	"time"
 
+	"shaletrestle/coord/failuredetector"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
 
@@ -62,7 +63,7 @@
 	}
 	c.mu.Lock()
 	_, known := c.fleet[n.Word]
-	if known && len(c.fleet)-1 >= c.most-c.most/constants.SuspectPart {
+	if known && len(c.fleet)-1 >= c.most-c.most/failuredetector.SuspectDivisor {
 		delete(c.fleet, n.Word)
 		c.log.Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Word)
 	}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
+	"shaletrestle/coord/fairshare"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // lend gives further tries out of the common part of a service's budget. Only the holder of the list duty lends, of which there is one at a time; others ask it once.
@@ -17,7 +18,7 @@
 		if !ok || n.OK || s.ID == c.replica.Self().ID {
 			return n.Reply(false)
 		}
-		a, err := c.lines.Call(s.Address, &rpc.Message{Kind: rpc.Lend, OK: true, Word: n.Word, Number: n.Number}, constants.LumpWait)
+		a, err := c.lines.Call(s.Address, &rpc.Message{Kind: rpc.Lend, OK: true, Word: n.Word, Number: n.Number}, fairshare.LoanTimeout)
 		if err != nil {
 			return n.Reply(false)
 		}
@@ -27,7 +28,7 @@
 	if !held {
 		return n.Reply(false)
 	}
-	lent := c.lender.Lend(n.Word, int64(min(n.Number, constants.LumpTries)), since, time.Now())
+	lent := c.lender.Lend(n.Word, int64(min(n.Number, fairshare.LoanRetries)), since, time.Now())
 	if !c.duty.Held() { // this process may have stood still in between
 		return n.Reply(false)
 	}
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -2,7 +2,7 @@
 
 import (
 	"shaletrestle/coord/wait"
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/discovery"
 	"shaletrestle/internal/state"
 )
 
@@ -12,7 +12,7 @@
 		pause := leaseAgain
 		if c.Acting() && (c.duty.Held() || c.duty.Renew()) {
 			c.poll(false)
-			pause = constants.ListEvery
+			pause = discovery.ListInterval
 		}
 		if !wait.Sleep(c.ctx, pause) {
 			return
--- a/internal/controller/outliers.go
+++ b/internal/controller/outliers.go
@@ -4,8 +4,9 @@
 	"encoding/json"
 	"time"
 
+	"shaletrestle/coord/distribution"
+
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/state"
 )
 
@@ -48,7 +49,7 @@
 func (c *Controller) judge() {
 	now := time.Now()
 	c.mu.Lock()
-	due := now.Sub(c.judged) >= constants.NewsBeat
+	due := now.Sub(c.judged) >= distribution.HeartbeatInterval
 	if due {
 		c.judged = now
 	}
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -4,8 +4,9 @@
 	"net/http"
 	"time"
 
+	"shaletrestle/internal/version"
+
 	"shaletrestle/internal/calendar"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/metrics"
 )
@@ -42,7 +43,7 @@
 	v := c.news.View()
 	httpreply.JSON(w, http.StatusOK, map[string]any{
 		"maintenance": c.maintenance(),
-		"program":     "controller", "version": constants.Version, "node": c.settings.NodeName, "replication": c.replica.State(),
+		"program":     "controller", "version": version.Number, "node": c.settings.NodeName, "replication": c.replica.State(),
 		"news":           map[string]any{"epoch": ep, "number": num, "acked": c.feed.Acked(), "source": c.follower.Source(), "live": c.Acting()},
 		"setup_revision": c.state.View().Doc.Epoch, "evacuated": c.state.View().Evac, "replicas": len(v.Replicas), "fleet": v.Fleet,
 		"list_duty": c.duty.Held(), "suspects": c.jury.Told(), "list_calls": c.polls.Load(), "list_failures": c.fails.Load(),
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/coord/lease"
+
 	"shaletrestle/internal/state"
 )
 
@@ -74,7 +75,7 @@
 // span: its witnesses may be others than those that granted the lease of the primary before it.
 func (c *Controller) wantsDuty() bool {
 	inOffice := time.Duration(time.Now().UnixNano() - c.officeFrom.Load())
-	return c.Acting() && !c.leaving.Load() && inOffice >= constants.LeaseSpan
+	return c.Acting() && !c.leaving.Load() && inOffice >= lease.Duration
 }
 
 // Acting tells whether this process is primary and the source of the updates.
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -11,7 +11,6 @@
 	"net/url"
 	"time"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
 )
@@ -31,7 +30,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	if dial != nil {
 		transport.DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
-			return dial(address, constants.DialWait)
+			return dial(address, dialTimeout)
 		}
 	}
 	return &Reader{
@@ -85,7 +84,7 @@
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unready, err, "platform")
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, constants.AnswerMax))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	_ = response.Body.Close()
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unready, err, "platform")
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -7,7 +7,6 @@
 	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/routing"
@@ -80,7 +79,7 @@
 // lookUp looks prompts up as placement does: who holds them, and how much each.
 func lookUp(index *prefixindex.Index) int {
 	found := 0
-	var buffer [constants.HoldersMost]string
+	var buffer [prefixindex.MaxHolders]string
 	for i := range componentLookups {
 		chain := componentChain(i*7, i)
 		holders := index.Holders(chain, buffer[:0], func(string) bool { return true })
@@ -99,21 +98,21 @@
 		}
 	}
 	indexHeap, _ := cost(func() any {
-		index := prefixindex.SizedIndex(constants.IndexRuns)
-		enter(index, 0, constants.IndexRuns)
+		index := prefixindex.SizedIndex(prefixindex.MaxRuns)
+		enter(index, 0, prefixindex.MaxRuns)
 		return index
 	})
 	sharesHeap, _ := cost(func() any {
-		shares := fairshare.New(ample, constants.CalmPart)
+		shares := fairshare.New(ample, fairshare.CalmFraction)
 		for i := range routes {
 			shares.Add(componentRoute(i), 1)
 		}
 		return shares
 	})
-	full := prefixindex.SizedIndex(constants.IndexRuns / 4)
-	enter(full, 0, constants.IndexRuns)
+	full := prefixindex.SizedIndex(prefixindex.MaxRuns / 4)
+	enter(full, 0, prefixindex.MaxRuns)
 	_, enterTime := cost(func() any {
-		enter(full, constants.IndexRuns, constants.IndexRuns+componentLookups)
+		enter(full, prefixindex.MaxRuns, prefixindex.MaxRuns+componentLookups)
 		return nil
 	})
 	return values{
@@ -127,7 +126,7 @@
 // nothing but the sketch should remember them.
 func measureSessions(x float64) values {
 	heap, cpu := cost(func() any {
-		index := prefixindex.SizedIndex(constants.IndexRuns)
+		index := prefixindex.SizedIndex(prefixindex.MaxRuns)
 		for i := range int(x) {
 			parts := []prefixindex.Part{
 				{ID: 1 << 33, Tokens: 512},
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -9,9 +9,10 @@
 	"sync"
 	"time"
 
+	"shaletrestle/internal/settings"
+
 	"shaletrestle/internal/durations"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/replicamodel"
 	"shaletrestle/internal/state"
 )
@@ -105,7 +106,7 @@
 func (r *Replica) newServer(life int) *http.Server {
 	return &http.Server{
 		Handler:           r,
-		ReadHeaderTimeout: constants.HeadWait,
+		ReadHeaderTimeout: settings.HeaderTimeout,
 		IdleTimeout:       yardKeepIdle,
 		ConnState: func(connection net.Conn, state http.ConnState) {
 			r.countConnection(life, connection, state)
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -6,7 +6,8 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/settings"
+
 	"shaletrestle/internal/errkind"
 )
 
@@ -43,7 +44,7 @@
 }
 
 func (f *hollowFleet) page(controller *daemon) (*controllerPage, error) {
-	url := "http://" + f.addresses.address(controller.ip, constants.PortTallyPage)
+	url := "http://" + f.addresses.address(controller.ip, settings.ControlStatePort)
 	response, err := probes.Get(url)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unready, err, "page")
@@ -79,7 +80,7 @@
 		if i == primary {
 			continue
 		}
-		role := view.roleOf(f.addresses.address(controller.ip, constants.PortTally))
+		role := view.roleOf(f.addresses.address(controller.ip, settings.ControlPort))
 		if _, found := roles[role]; !found {
 			roles[role] = i
 		}
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -12,7 +12,8 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/version"
+
 	"shaletrestle/internal/errkind"
 )
 
@@ -153,7 +154,7 @@
 
 // buildDescription names the version and the machine.
 func buildDescription() string {
-	return fmt.Sprintf("%s %s, %s, %d cores", constants.Version, buildRevision(), runtime.Version(), runtime.NumCPU())
+	return fmt.Sprintf("%s %s, %s, %d cores", version.Number, buildRevision(), runtime.Version(), runtime.NumCPU())
 }
 
 // buildRevision is the revision of the sources that this program was built from.
--- a/internal/emulator/testbed.go
+++ b/internal/emulator/testbed.go
@@ -14,7 +14,6 @@
 
 	"gopkg.in/yaml.v3"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/settings"
@@ -144,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: b.platform, ReadHeaderTimeout: constants.HeadWait}
+	server := &http.Server{Handler: b.platform, ReadHeaderTimeout: settings.HeaderTimeout}
 	b.servers = append(b.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return nil
@@ -207,7 +206,7 @@
 			Readiness: b.addresses.address(d.ip, portReadiness),
 			Control:   b.addresses.address(d.ip, portControl),
 		},
-		Ports:     []int{firstPort, firstPort + constants.PortGatePage},
+		Ports:     []int{firstPort, firstPort + settings.RouterStatePort},
 		Seeds:     b.controlAddresses(seeds),
 		Bootstrap: bootstrap,
 		Quorum:    true,
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -10,12 +10,13 @@
 	"sync"
 	"time"
 
+	"shaletrestle/internal/settings"
+
 	"shaletrestle/coord/wait"
 
 	"github.com/labstack/echo/v4"
 	"go.uber.org/atomic"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
 )
 
@@ -94,13 +95,13 @@
 // Limit puts the limits of a setup in force for new connections.
 func (f *Front) Limit(l routing.Limits) {
 	if l.Head <= 0 {
-		l.Head = constants.HeadBytes
+		l.Head = settings.HeaderBytes
 	}
 	if l.HeadWait <= 0 {
-		l.HeadWait = constants.HeadWait
+		l.HeadWait = settings.HeaderTimeout
 	}
 	if l.IdleWait <= 0 {
-		l.IdleWait = constants.IdleWait
+		l.IdleWait = settings.IdleTimeout
 	}
 	f.idle.Store(l.IdleWait)
 	l.IdleWait = 0
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -9,7 +9,6 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 )
 
@@ -134,7 +133,7 @@
 // bunch is a few candidates, each replica once.
 type bunch struct {
 	n  int
-	at [defaultHomes + constants.HoldersMost + samples]candidate
+	at [defaultHomes + prefixindex.MaxHolders + samples]candidate
 }
 
 func (s *bunch) add(b *berth) *candidate {
@@ -222,7 +221,7 @@
 		}
 		return
 	}
-	var hits [constants.HoldersMost]string
+	var hits [prefixindex.MaxHolders]string
 	for _, id := range y.index.Holders(a.Chain, hits[:0], func(id string) bool { b := y.b[id]; return b != nil && b.r.Pool == a.Pool && y.warm(a, b, now) }) {
 		s.add(y.b[id])
 	}
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -10,7 +10,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
 )
@@ -234,7 +233,7 @@
 	y.Set(fleet(3), nil, 0)
 	c := chain(7, 100)
 	keep := func(id string) {
-		for range constants.SecondSight {
+		for range prefixindex.MinSightings {
 			x.Sent(id, 100000, c, "p")
 		}
 		require.NotZero(t, x.Matched(id, c))
@@ -267,7 +266,7 @@
 	y := NewYard(x)
 	y.Set(fleet(1), nil, 0)
 	c := chain(7, 100)
-	for range constants.SecondSight {
+	for range prefixindex.MinSightings {
 		_, _ = y.Place(ask(c))
 		x.Sent("r0", 4000, c, "p")
 	}
--- a/internal/placement/constants.go
+++ b/internal/placement/constants.go
@@ -44,3 +44,8 @@
 const (
 	deckSpan = 1000 * time.Millisecond // a sum fades to nothing over this time
 )
+
+const (
+	// InitialPrefillPerToken is the prefill time of a prompt token until it has been learned (source).
+	InitialPrefillPerToken = 35 * time.Microsecond
+)
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -12,7 +12,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 )
 
@@ -164,7 +163,7 @@
 	got, ok := y.Place(ask(c))
 	require.True(t, ok)
 	require.Equal(t, 2096, got.Matched)
-	require.Equal(t, firstBase+durations.FromSeconds(float64(c.Tokens()-2096)*constants.PrefillToken.Seconds()), got.Alone)
+	require.Equal(t, firstBase+durations.FromSeconds(float64(c.Tokens()-2096)*InitialPrefillPerToken.Seconds()), got.Alone)
 	b := y.b[got.Replica.ID]
 	require.Equal(t, float64(c.Tokens()-2096), b.tokens)
 	y.Done(&End{Replica: got.Replica.ID, Chain: c, Matched: got.Matched})
@@ -178,11 +177,11 @@
 	c := chain(7, 50)
 	home, _ := y.Place(ask(c))
 	first := prefixindex.NewChain(prefixindex.Root("m", 1), c.Parts[:1])
-	for range constants.SecondSight {
+	for range prefixindex.MinSightings {
 		x.Sent(home.Replica.ID, 100000, first, "p") // the preamble only
 	}
 	slow := func(c *prefixindex.Chain, matched int) {
-		for range constants.HintContra {
+		for range prefixindex.MaxContradictions {
 			y.Began(&End{Replica: home.Replica.ID, Chain: c, Matched: matched}, time.Minute, 0)
 		}
 	}
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -3,7 +3,8 @@
 import (
 	"math"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/prefixindex"
+
 	"shaletrestle/internal/errkind"
 )
 
@@ -22,7 +23,7 @@
 
 // Defaults are the options of a settings file that names none.
 func Defaults() Options {
-	return Options{Block: constants.BlockTokens, Credit: creditHeld, Reread: rereadWeight, PrefillScale: prefillScale, Active: true,
+	return Options{Block: prefixindex.BlockTokens, Credit: creditHeld, Reread: rereadWeight, PrefillScale: prefillScale, Active: true,
 		ActiveWeight: activeWeight, Decay: decayBlocks, Away: awayBlocks, Full: spill}
 }
 
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -11,7 +11,6 @@
 
 	"shaletrestle/coord/loadsum"
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
 )
@@ -85,7 +84,7 @@
 
 // NewYard makes an empty yard.
 func NewYard(x *prefixindex.Index) *Placer {
-	return &Placer{index: x, health: outlier.New(), b: map[string]*berth{}, pools: map[string]*pool{}, opts: Defaults(), evac: map[string]bool{}, prefill: constants.PrefillToken.Seconds()}
+	return &Placer{index: x, health: outlier.New(), b: map[string]*berth{}, pools: map[string]*pool{}, opts: Defaults(), evac: map[string]bool{}, prefill: InitialPrefillPerToken.Seconds()}
 }
 
 // Health is the judgement of replicas that placing heeds.
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -9,7 +9,6 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
 )
@@ -101,7 +100,7 @@
 		y.Health().Bad("r3", outlier.Silent, time.Now())
 		_, ok := y.Place(&Request{Pool: "p", ColdRate: func(string) float64 { return 0 }})
 		require.False(t, ok)
-		time.Sleep(constants.EjectFirst)
+		time.Sleep(outlier.FirstEjection)
 		_, ok = y.Place(&Request{Pool: "p", ColdRate: func(string) float64 { return 0 }})
 		require.True(t, ok, "after the ejection one trial, whatever else is still out there")
 		_, ok = y.Place(&Request{Pool: "p", ColdRate: func(string) float64 { return 0 }})
--- a/internal/prefixindex/constants.go
+++ b/internal/prefixindex/constants.go
@@ -13,3 +13,16 @@
 const (
 	holdersSeen = 24 // and entries looked at to find them
 )
+
+const (
+	// BlockTokens is the number of tokens in a block (source).
+	BlockTokens = 16
+	// MinSightings is how often a prefix is seen before an entry is made (source).
+	MinSightings = 2
+	// MaxRuns bounds the runs kept over all replicas.
+	MaxRuns = 20000
+	// MaxContradictions is the number of contradictions at which a hint is dropped.
+	MaxContradictions = 3
+	// MaxHolders is the number of replicas named by the index that become candidates.
+	MaxHolders = 6
+)
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -1,7 +1,5 @@
 package prefixindex
 
-import "shaletrestle/internal/constants"
-
 // evict removes one run from its replica's view.
 func (x *Index) evict(evicted *run) {
 	cache := evicted.cache
@@ -54,7 +52,7 @@
 			return
 		}
 		run.contradictions++
-		if run.contradictions >= constants.HintContra {
+		if run.contradictions >= MaxContradictions {
 			x.evict(run)
 		}
 	}
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -9,7 +9,6 @@
 	"sync"
 
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/constants"
 )
 
 // Index holds the hints of one process.
@@ -29,7 +28,7 @@
 }
 
 // NewIndex makes an empty index of the usual size.
-func NewIndex() *Index { return SizedIndex(constants.IndexRuns) }
+func NewIndex() *Index { return SizedIndex(MaxRuns) }
 
 // SizedIndex makes an empty index that holds at most so many runs. When it is
 // full, the owner that holds most gives way, so that a heavy owner can't push the
@@ -41,7 +40,7 @@
 		memory:  fairshare.New(int64(runs), 1),
 		owners:  map[string]*list.List{},
 		holders: map[Key][]*run{},
-		block:   constants.BlockTokens,
+		block:   BlockTokens,
 	}
 }
 
--- a/internal/prefixindex/index_bench_test.go
+++ b/internal/prefixindex/index_bench_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"testing"
-
-	"shaletrestle/internal/constants"
 )
 
 // filledIndex is an index in which some replicas keep prompts with shared parts.
@@ -24,7 +22,7 @@
 func BenchmarkHolders(b *testing.B) {
 	index := filledIndex()
 	prompt := benchmarkChain(17, 70)
-	var candidates [constants.HoldersMost]string
+	var candidates [MaxHolders]string
 	b.ReportAllocs()
 	for b.Loop() {
 		index.Holders(prompt, candidates[:0], anyone)
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -6,8 +6,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/constants"
 )
 
 func chain(ps ...Part) *Chain { return NewChain(Root("m", 1), ps) }
@@ -20,10 +18,10 @@
 	piece := ""
 	for _, p := range ps {
 		for at := 0; at < p.Tokens; {
-			n := min(constants.BlockTokens-fill, p.Tokens-at)
+			n := min(BlockTokens-fill, p.Tokens-at)
 			piece += fmt.Sprintf("%x/%d/%d+%d ", p.ID, p.Tokens, at, n)
 			at, fill = at+n, fill+n
-			if fill == constants.BlockTokens {
+			if fill == BlockTokens {
 				key += "|" + piece
 				out = append(out, key)
 				piece, fill = "", 0
@@ -50,7 +48,7 @@
 		}
 		for range 5 {
 			ps := some()
-			for range constants.SecondSight {
+			for range MinSightings {
 				x.Sent("r", 1<<30, chain(ps...), "own")
 			}
 			for _, b := range blocks(ps) {
@@ -64,7 +62,7 @@
 				if !lit[b] {
 					break
 				}
-				want += constants.BlockTokens
+				want += BlockTokens
 			}
 			got := x.Matched("r", chain(ps...))
 			require.Equal(t, want, got, "%v", ps)
@@ -107,13 +105,13 @@
 	c := chain(Part{1, 100}, Part{2, 100})
 	x.Sent("r", 1000, c, "own")
 	x.Sent("r", 1000, c, "own")
-	for range constants.HintContra - 1 {
+	for range MaxContradictions - 1 {
 		x.Contradicted("r", c)
 	}
 	x.Confirmed("r", c)
 	x.Contradicted("r", c)
 	require.NotZero(t, x.Matched("r", c))
-	for range constants.HintContra {
+	for range MaxContradictions {
 		x.Contradicted("r", c)
 	}
 	require.Zero(t, x.Matched("r", c))
@@ -159,12 +157,12 @@
 	x := SizedIndex(300)
 	light := func(i int) *Chain { return chain(Part{uint64(1000 + i), 64}, Part{uint64(5000 + i), 64}) }
 	for i := range 50 {
-		for range constants.SecondSight {
+		for range MinSightings {
 			x.Sent("r", 1<<30, light(i), "lookups")
 		}
 	}
 	for i := range 2000 {
-		for range constants.SecondSight {
+		for range MinSightings {
 			x.Sent("r", 1<<30, chain(Part{uint64(100000 + i), 64}), "ledgers")
 		}
 	}
--- a/internal/prefixindex/lookup_test.go
+++ b/internal/prefixindex/lookup_test.go
@@ -6,8 +6,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/constants"
 )
 
 func anyone(string) bool { return true }
@@ -66,7 +64,7 @@
 	x := NewIndex()
 	c := chain(Part{1, 160}, Part{2, 160})
 	for i := range 5 {
-		for range constants.SecondSight {
+		for range MinSightings {
 			x.Sent(fmt.Sprintf("r%d", i), 10000, c, "own")
 		}
 	}
@@ -80,7 +78,7 @@
 	x := NewIndex()
 	x.Cut(64)
 	c := chain(Part{1, 100}, Part{2, 100})
-	for range constants.SecondSight {
+	for range MinSightings {
 		x.Sent("r", 10000, c, "own")
 	}
 	require.Equal(t, 192, x.Matched("r", c))
@@ -90,7 +88,7 @@
 func TestEachIsMatchedForSeveral(t *testing.T) {
 	x := NewIndex()
 	c := chain(Part{1, 160})
-	for range constants.SecondSight {
+	for range MinSightings {
 		x.Sent("r1", 10000, c, "own")
 	}
 	ids, got := []string{"r0", "r1"}, make([]int, 2)
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -3,8 +3,6 @@
 import (
 	"container/heap"
 	"container/list"
-
-	"shaletrestle/internal/constants"
 )
 
 // drainPart is the part of the queue's bound at which the queue is emptied while
@@ -57,7 +55,7 @@
 // was seen often enough to be entered, and how often that part was seen. Parts
 // behind one that is seen for the first time are counted too.
 func (x *Index) sighted(cache *cacheView, chain *Chain) (upto, count int) {
-	needed := constants.SecondSight
+	needed := MinSightings
 	if cache.thrashes() {
 		needed++ // be more selective
 	}
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/coord/fairshare"
 )
 
 type lump struct {
@@ -84,7 +84,7 @@
 
 // left is what remains of the own shares.
 func (b *Budget) left(a *account, fleet int) float64 {
-	return b.margin*(b.ratio*float64(len(a.asked))+(1-constants.BudgetPot)*b.slack/float64(max(1, fleet))) - float64(len(a.extra))
+	return b.margin*(b.ratio*float64(len(a.asked))+(1-fairshare.LentFraction)*b.slack/float64(max(1, fleet))) - float64(len(a.extra))
 }
 
 // Take draws one further try, a borrowed one first: it runs out sooner.
--- a/internal/router/budget_test.go
+++ b/internal/router/budget_test.go
@@ -6,10 +6,11 @@
 	"testing/synctest"
 	"time"
 
+	"shaletrestle/coord/failuredetector"
+
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/constants"
 )
 
 func TestTheFleetsSharesStayInsideTheBudget(t *testing.T) {
@@ -57,11 +58,11 @@
 			slack := float64(40 + r.IntN(300))
 			var nodes []*Budget
 			for range fleet {
-				nodes = append(nodes, NewBudget(ratio, slack, window, constants.BudgetMargin))
+				nodes = append(nodes, NewBudget(ratio, slack, window, fairshare.BudgetMargin))
 			}
-			room := int64(constants.BudgetMargin * constants.BudgetPot * slack)
+			room := int64(fairshare.BudgetMargin * fairshare.LentFraction * slack)
 			newLender := func() (*fairshare.Lender, time.Time) {
-				return fairshare.NewLender(room, window+constants.LumpSpan), time.Now()
+				return fairshare.NewLender(room, window+fairshare.LoanLifetime), time.Now()
 			}
 			lender, since := newLender()
 			known := fleet // what nodes believe
@@ -72,10 +73,10 @@
 					lender, since = newLender() // another holds the duty, and knows of no loan
 				}
 				if r.IntN(50) == 0 { // a node dies, a new one takes its place with an empty account
-					nodes[r.IntN(fleet)] = NewBudget(ratio, slack, window, constants.BudgetMargin)
+					nodes[r.IntN(fleet)] = NewBudget(ratio, slack, window, fairshare.BudgetMargin)
 				}
 				if r.IntN(40) == 0 {
-					known = fleet - r.IntN(1+fleet/constants.SuspectPart)
+					known = fleet - r.IntN(1+fleet/failuredetector.SuspectDivisor)
 				}
 				for range r.IntN(30) {
 					b := nodes[r.IntN(fleet)]
@@ -87,9 +88,9 @@
 					for range r.IntN(4) {
 						if !b.Take("p", known) {
 							start := time.Now()
-							if n := lender.Lend("p", constants.LumpTries, since, time.Now()); n > 0 && r.IntN(4) > 0 { // else the answer is lost
+							if n := lender.Lend("p", fairshare.LoanRetries, since, time.Now()); n > 0 && r.IntN(4) > 0 { // else the answer is lost
 								lent++
-								b.Lent("p", n, start.Add(constants.LumpSpan))
+								b.Lent("p", n, start.Add(fairshare.LoanLifetime))
 							}
 							if !b.Take("p", known) {
 								break
@@ -118,10 +119,10 @@
 func TestALumpIsUsedFirstAndRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(0, 0, time.Second, 0.8)
-		b.Lent("p", 2, time.Now().Add(constants.LumpSpan))
+		b.Lent("p", 2, time.Now().Add(fairshare.LoanLifetime))
 		require.Equal(t, 2.0, b.Left("p", 88))
 		require.True(t, b.Take("p", 88))
-		time.Sleep(constants.LumpSpan)
+		time.Sleep(fairshare.LoanLifetime)
 		require.False(t, b.Take("p", 88))
 	})
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -3,9 +3,10 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
+	"shaletrestle/coord/slowness"
+
 	"shaletrestle/coord/wait"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/state"
 	"shaletrestle/internal/upstream"
@@ -74,7 +75,7 @@
 // keep looks at this process's own machine again and again, and through its idle connections now and then: one waking-up does for both.
 func (g *Router) keep() {
 	n := 0
-	wait.Every(g.ctx, constants.LevelEvery, func() bool {
+	wait.Every(g.ctx, slowness.Interval, func() bool {
 		g.level.Look()
 		if n++; n%sweepLooks == 0 {
 			g.sweep()
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -4,17 +4,18 @@
 	"encoding/json"
 	"time"
 
+	"shaletrestle/coord/distribution"
+
 	"github.com/cespare/xxhash/v2"
 
 	"shaletrestle/coord/outlier"
-	"shaletrestle/internal/constants"
 )
 
 // words are the failures seen here since the last time, for the acknowledgement that is about to go; nil mostly.
 func (g *Router) words() []byte {
 	now := time.Now()
 	g.mu.Lock()
-	due := now.Sub(g.toldAt) >= constants.NewsBeat/2
+	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval/2
 	if due {
 		g.toldAt = now
 	}
@@ -35,7 +36,7 @@
 	now := time.Now()
 	g.yard.Health().Bad(id, k, now)
 	g.mu.Lock()
-	due := now.Sub(g.toldAt) >= constants.NewsBeat
+	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval
 	g.mu.Unlock()
 	if due {
 		g.follower.Tell()
--- a/internal/router/longwork_messages.go
+++ b/internal/router/longwork_messages.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 
+	"shaletrestle/internal/settings"
+
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // inboxReserve is the room in a request's inbox that events leave free for the
@@ -61,7 +62,7 @@
 		Turn:   note.Base,
 		Ticket: handoff.Ticket{Life: note.Ballot, Number: note.To},
 		Number: note.Span,
-		Shots:  int(min(note.HeldBallot, constants.LongTakeMost)),
+		Shots:  int(min(note.HeldBallot, settings.MaxTakenJobs)),
 		Body:   note.Body,
 	}
 }
--- a/internal/router/longwork_neighbours.go
+++ b/internal/router/longwork_neighbours.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
+	"shaletrestle/coord/fairshare"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
 )
@@ -27,7 +28,7 @@
 	if time.Since(l.lastShortage.Load()) < longShort {
 		return true
 	}
-	return l.bodyMemoryUsed() > constants.CalmPart*bodyMemory*l.memory()
+	return l.bodyMemoryUsed() > fairshare.CalmFraction*bodyMemory*l.memory()
 }
 
 // bodyMemoryUsed is the memory that bodies hold, in bytes.
@@ -80,7 +81,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.neighbours[node] = neighbour{
-		room: int(min(answer.Span, constants.LongTakeMost)),
+		room: int(min(answer.Span, settings.MaxTakenJobs)),
 		zone: answer.From.Zone,
 		at:   time.Now(),
 	}
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -9,8 +9,9 @@
 	"strings"
 	"time"
 
+	"shaletrestle/internal/placement"
+
 	"shaletrestle/coord/handoff"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/upstream"
@@ -33,7 +34,7 @@
 		Stride:   engine.Stride,
 		In:       in,
 		Out:      out,
-		PerToken: constants.PrefillToken,
+		PerToken: placement.InitialPrefillPerToken,
 	})
 	return q.long
 }
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -3,7 +3,8 @@
 import (
 	"net/http"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/version"
+
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/metrics"
 )
@@ -17,7 +18,7 @@
 	v := g.book.View()
 	httpreply.JSON(w, http.StatusOK, map[string]any{
 		"program":       "router",
-		"version":       constants.Version,
+		"version":       version.Number,
 		"node":          g.env.Load().NodeName,
 		"ready":         g.ready.Load(),
 		"leaving":       g.leaving.Load(),
--- a/internal/router/readiness.go
+++ b/internal/router/readiness.go
@@ -4,7 +4,6 @@
 	"net/http"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/httpreply"
 )
@@ -22,7 +21,7 @@
 // pinger gives what asks another router whether it is there; both sides say whether they are slow.
 func (g *Router) pinger(lines *rpc.Lines, self string) func(node string) bool {
 	return func(node string) bool {
-		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Word: g.word()}, constants.CallWait)
+		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Word: g.word()}, rpc.CallTimeout)
 		if err != nil || !a.OK {
 			return false
 		}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -9,10 +9,12 @@
 	"strings"
 	"time"
 
+	"shaletrestle/internal/adminapi"
+	"shaletrestle/internal/settings"
+
 	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/frontend"
 	"shaletrestle/internal/httpreply"
@@ -75,7 +77,7 @@
 	}
 	q.path = q.table.Match(r.Host, r.RequestURI)
 	if q.path == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, constants.HeadBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, settings.HeaderBytes))
 		httpreply.Fault(w, errkind.New(errkind.NoPath, "no route"))
 		return
 	}
@@ -160,7 +162,7 @@
 func (q *request) takeBody() bool {
 	most := q.table.Limits.Body
 	if most <= 0 {
-		most = constants.OrderBody
+		most = adminapi.MaxConfigurationBytes
 	}
 	if q.r.ContentLength > most {
 		q.w.Header().Set("Connection", "close")
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
+	"shaletrestle/coord/fairshare"
+
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/constants"
 )
 
 // further draws one further try; when the own share is used up, it borrows a lump, which all who wait for that service share.
@@ -27,7 +28,7 @@
 	g.mu.Unlock()
 	select {
 	case <-w:
-	case <-time.After(min(within, constants.LumpWait)):
+	case <-time.After(min(within, fairshare.LoanTimeout)):
 	}
 	return g.budget.Take(pool, g.fleet())
 }
@@ -35,10 +36,10 @@
 // borrow asks the controller for further tries of a service and wakes who waits for them.
 func (g *Router) borrow(pool string, w chan struct{}) {
 	start := time.Now()
-	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Lend, Word: pool, Number: constants.LumpTries}, constants.LumpWait)
-	ok := err == nil && a.OK && a.Number > 0 && a.Number <= constants.LumpTries
+	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Lend, Word: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
+	ok := err == nil && a.OK && a.Number > 0 && a.Number <= fairshare.LoanRetries
 	if ok {
-		g.budget.Lent(pool, int64(a.Number), start.Add(constants.LumpSpan))
+		g.budget.Lent(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
 	}
 	g.mu.Lock()
 	if !ok {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,7 +20,6 @@
 	"shaletrestle/coord/outlier"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/coord/slowness"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/frontend"
 	"shaletrestle/internal/placement"
@@ -103,9 +102,9 @@
 	g.yard = placement.NewYard(g.index)
 	g.yard.Use(env.Placement)
 	bounds := env.Bounds
-	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), constants.BudgetMargin)
+	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), fairshare.BudgetMargin)
 	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemory)
-	g.bodies = fairshare.New(bodyBytes, constants.CalmPart)
+	g.bodies = fairshare.New(bodyBytes, fairshare.CalmFraction)
 	g.table.Store(routing.Compile(state.EmptyView().Doc))
 	g.weights.Store(newWeights(nil))
 	g.cold.Store(newColdShares(nil, self))
@@ -123,7 +122,7 @@
 
 // newWatcher makes the detector that asks other routers whether they are there and tells control of those that are not.
 func (g *Router) newWatcher(self string) *failuredetector.Watcher {
-	every := max(durations.FromMilliseconds(g.env.Load().BeatMs), constants.NewsBeat)
+	every := max(durations.FromMilliseconds(g.env.Load().BeatMs), distribution.HeartbeatInterval)
 	nodes := func() []string { return g.book.View().Nodes }
 	ping := g.pinger(rpc.NewLines(g.ctx, g.net, g.handle), self)
 	tell := func(node string, alive bool) {
@@ -143,7 +142,7 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "readiness address")
 	}
-	pl, err := g.net.Listen(e.Port(constants.PortGatePage))
+	pl, err := g.net.Listen(e.Port(settings.RouterStatePort))
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "state page")
 	}
@@ -154,8 +153,8 @@
 	go rpc.Serve(g.ctx, cl, g.handle)
 	g.front = frontend.New(g.ctx, g.log, fl, http.HandlerFunc(g.serve))
 	g.front.Limit(g.table.Load().Limits)
-	rs := &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: constants.HeadWait, IdleTimeout: constants.IdleWait}
-	ps := &http.Server{Handler: http.HandlerFunc(g.page), ReadHeaderTimeout: constants.HeadWait}
+	rs := &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
+	ps := &http.Server{Handler: http.HandlerFunc(g.page), ReadHeaderTimeout: settings.HeaderTimeout}
 	go func() { _ = rs.Serve(rl) }()
 	go func() { _ = ps.Serve(pl) }()
 	go g.follower.Run()
@@ -185,8 +184,8 @@
 	start := time.Now()
 	linger := min(lingerReady, grace/2)
 	wait.Sleep(g.ctx, linger)
-	g.front.Finish(grace - constants.GraceMargin - time.Since(start))
-	g.long.finish(grace - constants.GraceMargin - time.Since(start))
+	g.front.Finish(grace - settings.GraceMargin - time.Since(start))
+	g.long.finish(grace - settings.GraceMargin - time.Since(start))
 }
 
 // Reload takes new settings.
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/discovery"
+
 	"shaletrestle/internal/durations"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/state"
@@ -46,7 +47,7 @@
 
 // useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their answers.
 func (g *Router) useReplicas(v *state.View) {
-	back := durations.FromMilliseconds(g.env.Load().Cloud.MaxLagMs) + 2*constants.ListEvery
+	back := durations.FromMilliseconds(g.env.Load().Cloud.MaxLagMs) + 2*discovery.ListInterval
 	g.yard.Set(v.Replicas, v.Evac, back)
 	g.weights.Store(newWeights(v.Replicas))
 	g.mu.Lock()
--- a/internal/settings/addresses.go
+++ b/internal/settings/addresses.go
@@ -6,8 +6,6 @@
 	"time"
 
 	"shaletrestle/internal/durations"
-
-	"shaletrestle/internal/constants"
 )
 
 // Port gives the address of one of our own ports, by its offset in the range.
@@ -22,7 +20,7 @@
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(e.Ports[0]+constants.PortTally))
+	return net.JoinHostPort(host, strconv.Itoa(e.Ports[0]+ControlPort))
 }
 
 // ControlAddr turns an address for messages between own processes into the
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,7 +7,6 @@
 	"reflect"
 	"strconv"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -71,7 +70,7 @@
 		return false
 	}
 	first, last := ports[0], ports[1]
-	return first >= 1 && last <= maxPort && last-first >= constants.PortGatePage
+	return first >= 1 && last <= maxPort && last-first >= RouterStatePort
 }
 
 // checkControl checks what only a controller needs.
@@ -169,7 +168,7 @@
 	if l.Heavy == 0 {
 		l.Heavy = longHeavy
 	}
-	if l.Takes < 0 || l.Takes > constants.LongTakeMost {
+	if l.Takes < 0 || l.Takes > MaxTakenJobs {
 		return "takes"
 	}
 	if l.Takes == 0 {
--- a/internal/settings/constants.go
+++ b/internal/settings/constants.go
@@ -20,3 +20,24 @@
 	longHeavy   = 4.0 // aims; a request that runs this long is long work
 	longTakes   = 4   // jobs of others at once: each holds a body and a stream
 )
+
+const (
+	// FileVariable names the environment variable that holds the path of the settings file.
+	FileVariable = "SHALETRESTLE_NODE_FILE"
+	// ControlPort is where a controller takes messages of other processes, as an offset into internal_port_range.
+	ControlPort = 0
+	// ControlStatePort is the controller's state page, as an offset into internal_port_range.
+	ControlStatePort = 1
+	// RouterStatePort is the router's state page, as an offset into internal_port_range.
+	RouterStatePort = 3
+	// HeaderTimeout bounds the reading of a header on own ports.
+	HeaderTimeout = 3 * time.Second
+	// IdleTimeout ends an idle connection on own ports.
+	IdleTimeout = 15 * time.Second
+	// HeaderBytes bounds a header before a configuration sets its own limit.
+	HeaderBytes = 16 << 10
+	// GraceMargin is how long before the end of its grace a stopping process ends.
+	GraceMargin = 700 * time.Millisecond
+	// MaxTakenJobs bounds the jobs of others that a node runs at once; no setting may allow more.
+	MaxTakenJobs = 256
+)
--- a/internal/settings/main.go
+++ b/internal/settings/main.go
@@ -6,8 +6,6 @@
 	"log/slog"
 	"os"
 	"runtime/debug"
-
-	"shaletrestle/internal/constants"
 )
 
 // Exit codes of a program.
@@ -36,7 +34,7 @@
 		return exitUsage
 	}
 	if options.file == "" {
-		fmt.Fprintf(os.Stderr, "%s: %s is not set\n", name, constants.EnvVar)
+		fmt.Fprintf(os.Stderr, "%s: %s is not set\n", name, FileVariable)
 		return exitError
 	}
 	if !validLongWork(options.longWork) {
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"os"
 
-	"github.com/integrii/flaggy"
+	"shaletrestle/internal/version"
 
-	"shaletrestle/internal/constants"
+	"github.com/integrii/flaggy"
 )
 
 // Values of --long-work.
@@ -30,8 +30,8 @@
 func parseOptions(name, description string, need Need) (*options, error) {
 	parsed := &options{need: need}
 	parser := flaggy.NewParser(name)
-	parser.Description = description + " Settings are read from the file that " + constants.EnvVar + " names."
-	parser.Version = constants.Version
+	parser.Description = description + " Settings are read from the file that " + FileVariable + " names."
+	parser.Version = version.Number
 	parser.ShowHelpOnUnexpected = true
 	level := "info"
 	parser.String(&level, "l", "log-level", "debug, info, warn or error")
@@ -40,7 +40,7 @@
 	}
 	check := flaggy.NewSubcommand("check-env")
 	check.Description = "Check a settings file without starting."
-	check.AddPositionalValue(&parsed.file, "file", 1, false, "the file; that of "+constants.EnvVar+" if none is named")
+	check.AddPositionalValue(&parsed.file, "file", 1, false, "the file; that of "+FileVariable+" if none is named")
 	parser.AttachSubcommand(check, 1)
 	if err := parser.Parse(); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		return nil, errors.New("--log-level takes debug, info, warn or error")
 	}
 	if parsed.file == "" {
-		parsed.file = os.Getenv(constants.EnvVar)
+		parsed.file = os.Getenv(FileVariable)
 	}
 	parsed.checkOnly = check.Used
 	return parsed, nil
--- a/internal/sim/conn.go
+++ b/internal/sim/conn.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"shaletrestle/internal/constants"
+	"shaletrestle/internal/upstream"
 )
 
 type chunk struct {
@@ -102,8 +102,8 @@
 
 // given is when the kernel gives a lost connection up: by its probes, or sooner if bytes go unacknowledged.
 func (c *conn) given() time.Time {
-	end := c.lostAt.Add(constants.AliveIdle + constants.AliveCount*constants.AliveEvery)
-	if u := c.unacked.Add(constants.UnackedMost); !c.unacked.IsZero() && u.Before(end) {
+	end := c.lostAt.Add(upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval)
+	if u := c.unacked.Add(upstream.UnacknowledgedTimeout); !c.unacked.IsZero() && u.Before(end) {
 		end = u
 	}
 	return end
--- a/internal/upstream/constants.go
+++ b/internal/upstream/constants.go
@@ -20,3 +20,16 @@
 	keepDoubt   = 30 * time.Second       // so long after a loss, what may not be sent again takes young connections only
 	forgotIdle  = 50 * time.Millisecond  // a connection idle less than this was not forgotten, its reset is the replica's
 )
+
+const (
+	// MaxAnswerBytes bounds one complete answer held in memory.
+	MaxAnswerBytes = 32 << 20
+	// KeepAliveIdle is the idle time before the kernel's first keep-alive probe, by which a dark replica is noticed though nothing is being sent.
+	KeepAliveIdle = 1 * time.Second
+	// KeepAliveInterval is the time between keep-alive probes.
+	KeepAliveInterval = 1 * time.Second
+	// KeepAliveProbes is the number of unanswered probes that end a connection.
+	KeepAliveProbes = 2
+	// UnacknowledgedTimeout ends a connection on which a replica leaves sent bytes unacknowledged this long.
+	UnacknowledgedTimeout = 900 * time.Millisecond
+)
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -20,7 +20,7 @@
 		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "ARequestCut"},
 		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "WakesLate"},
 		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written whole", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyAnswer"},
-		{Name: "a cut body is whole", File: "reader.go", From: "err != nil || len(body) > constants.AnswerMax", To: "errors.Is(err, io.ErrShortWrite) || len(body) > constants.AnswerMax", Run: "AnAnswerCut"},
+		{Name: "a cut body is whole", File: "reader.go", From: "err != nil || len(body) > MaxAnswerBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxAnswerBytes", Run: "AnAnswerCut"},
 		{Name: "a cut event is an end", File: "reader.go", From: "return errEventCut", To: "return nil", Run: "AnAnswerCut"},
 		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "AnAnswerCut"},
 		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "AnAnswerCut"},
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,7 +11,6 @@
 	"golang.org/x/sys/unix"
 
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -27,9 +26,9 @@
 func (TCP) DialReplica(addr string, d time.Duration) (net.Conn, error) {
 	x := net.Dialer{Timeout: d, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(constants.UnackedMost.Milliseconds()))
+			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnacknowledgedTimeout.Milliseconds()))
 		})
-	}, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: constants.AliveIdle, Interval: constants.AliveEvery, Count: constants.AliveCount}}
+	}, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: KeepAliveIdle, Interval: KeepAliveInterval, Count: KeepAliveProbes}}
 	return x.DialContext(context.Background(), "tcp4", addr)
 }
 
@@ -63,7 +62,7 @@
 
 // NewPool makes a pool; most is this process's share of the replica's connections, keep what is known of how long the service's replicas keep idle ones.
 func NewPool(addr string, d Dialer, most int, keep *Keep, made *Made) *Pool {
-	return &Pool{addr: addr, d: d, most: most, keep: keep, made: made, pie: fairshare.New(int64(most), constants.CalmPart)}
+	return &Pool{addr: addr, d: d, most: most, keep: keep, made: made, pie: fairshare.New(int64(most), fairshare.CalmFraction)}
 }
 
 // Limit changes the share. Idle connections over a smaller one are closed; those in use end with their answers.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,9 +11,10 @@
 	"testing/synctest"
 	"time"
 
+	"shaletrestle/coord/fairshare"
+
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/constants"
 	"shaletrestle/internal/errkind"
 )
 
@@ -138,7 +139,7 @@
 		_, err := p.Get("o", time.Hour, false, nil)
 		require.Equal(t, errkind.Crowded, errkind.KindOf(err), "without a share it fails at once")
 		p.Limit(3)
-		ch, err := p.Get("o", constants.LumpWait, false, nil)
+		ch, err := p.Get("o", fairshare.LoanTimeout, false, nil)
 		require.NoError(t, err)
 		ch.Back()
 	})
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -15,7 +15,6 @@
 	"shaletrestle/internal/durations"
 
 	"shaletrestle/coord/attempt"
-	"shaletrestle/internal/constants"
 )
 
 const (
@@ -122,7 +121,7 @@
 		if skipped > surplusMost || response.Close || unbounded(response) {
 			return nil, false, errSurplus
 		}
-		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, constants.AnswerMax))
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, MaxAnswerBytes))
 		if err != nil {
 			return nil, false, errSurplus
 		}
@@ -159,8 +158,8 @@
 	if x.request.Events && response.StatusCode == http.StatusOK && stream {
 		return passEvents(response.Body, x)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, constants.AnswerMax+1))
-	if err != nil || len(body) > constants.AnswerMax {
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
+	if err != nil || len(body) > MaxAnswerBytes {
 		return errBodyCut
 	}
 	if !x.tell(Part{Kind: Body, Bytes: body}) {
