--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -143,7 +143,7 @@
 	case ctx.Err() != nil:
 		fmt.Fprintln(errs, "emulator: interrupted")
 		return interrupted
-	case k == errkind.BadEnv || k == errkind.Unready:
+	case k == errkind.InvalidSettings || k == errkind.Unavailable:
 		fmt.Fprintln(errs, "emulator:", err)
 		return badUse
 	}
--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -57,9 +57,9 @@
 	a, b := net.Pipe()
 	rpc.Open(l.ctx, slowConn{b, l}, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
-		case rpc.Follow:
+		case rpc.Subscribe:
 			l.feed.Follow(ch, n)
-		case rpc.Heard:
+		case rpc.UpdateAck:
 			l.feed.Ack(ch, n)
 		}
 		return nil
@@ -80,14 +80,14 @@
 	return nil
 }
 
-func (h *hashed) Fold(b []byte) error {
+func (h *hashed) Update(b []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sum = xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, h.sum), b...))
 	return nil
 }
 
-func (h *hashed) Checkpoint() []byte {
+func (h *hashed) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append(binary.LittleEndian.AppendUint64(nil, h.sum), make([]byte, 100<<10)...)
@@ -104,7 +104,7 @@
 			l := &link{ctx: ctx, feed: f, rate: 1 << 20}
 			got := &hashed{}
 			c := NewCursor(got)
-			require.NoError(t, c.Restore(Position{1, 0}, b.Checkpoint(), true))
+			require.NoError(t, c.Restore(Position{1, 0}, b.Snapshot(), true))
 			for i := range missed {
 				push(fmt.Sprintf("%06d;", i))
 			}
@@ -129,7 +129,7 @@
 			require.Less(t, at-have, uint64(2*newsWindow), "it stays near while changes go on")
 			stopPushing()
 			time.Sleep(5 * time.Second)
-			require.Equal(t, string(b.Checkpoint()), string(got.Checkpoint()))
+			require.Equal(t, string(b.Snapshot()), string(got.Snapshot()))
 			require.Equal(t, 1, l.dials, "one connection did it all")
 			require.LessOrEqual(t, len(f.kept), newsKeep, "what is kept is bounded")
 		})
--- a/coord/distribution/compatibility_test.go
+++ b/coord/distribution/compatibility_test.go
@@ -16,8 +16,8 @@
 	at := Position{Epoch: 0x2001, Number: 0x2002}
 	self := rpc.Member{ID: 0x2003, Address: "10.0.0.1:7720", Zone: "zone-1"}
 	listed := ackMessage(self, 0x2001, 0x2004, 0x2002)
-	listed.Word, listed.Body = seatsListed, []byte("carried")
-	listed.Seats = []rpc.Member{{ID: 0x2005, Address: "10.0.0.2:7720", Zone: "zone-2"}}
+	listed.Text, listed.Body = seatsListed, []byte("carried")
+	listed.Members = []rpc.Member{{ID: 0x2005, Address: "10.0.0.2:7720", Zone: "zone-2"}}
 	for name, message := range map[string]*rpc.Message{
 		"change":             changeMessage(at, []byte("change")),
 		"snapshot-current":   snapshotMessage(at, true, []byte("snapshot")),
@@ -71,5 +71,5 @@
 type recordedState struct{ text string }
 
 func (s *recordedState) Restore(snapshot []byte) error { s.text = string(snapshot); return nil }
-func (s *recordedState) Fold(change []byte) error      { s.text += string(change); return nil }
-func (s *recordedState) Checkpoint() []byte            { return []byte(s.text) }
+func (s *recordedState) Update(change []byte) error    { s.text += string(change); return nil }
+func (s *recordedState) Snapshot() []byte              { return []byte(s.text) }
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -41,7 +41,7 @@
 	case stepGap:
 		return false
 	case stepNext:
-		if c.board.Fold(body) != nil {
+		if c.board.Update(body) != nil {
 			c.progress.damaged = true
 			return false
 		}
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -25,12 +25,12 @@
 }
 
 func (w *words) Restore(b []byte) error { w.mu.Lock(); w.s = string(b); w.mu.Unlock(); return nil }
-func (w *words) Fold(b []byte) error    { w.mu.Lock(); w.s += string(b); w.mu.Unlock(); return nil }
-func (w *words) Checkpoint() []byte     { w.mu.Lock(); defer w.mu.Unlock(); return []byte(w.s) }
+func (w *words) Update(b []byte) error  { w.mu.Lock(); w.s += string(b); w.mu.Unlock(); return nil }
+func (w *words) Snapshot() []byte       { w.mu.Lock(); defer w.mu.Unlock(); return []byte(w.s) }
 
 // begin makes a feed the source of an epoch over the state that it has, and gives how to push changes.
 func begin(f *Feed, epoch uint64) func(string) uint64 {
-	source := f.Begin(epoch, f.board.Checkpoint)
+	source := f.Begin(epoch, f.board.Snapshot)
 	return func(change string) uint64 {
 		n, ok := source.Push([]byte(change))
 		if !ok {
@@ -61,11 +61,11 @@
 	p.last = b
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
-		case rpc.Follow:
+		case rpc.Subscribe:
 			p.feed.Follow(ch, n)
-		case rpc.Heard:
+		case rpc.UpdateAck:
 			p.heard.Add(1)
-			p.seats.Add(int64(len(n.Seats)))
+			p.seats.Add(int64(len(n.Members)))
 			p.feed.Ack(ch, n)
 		}
 		return nil
@@ -87,12 +87,12 @@
 		go NewFollower(ctx, p, c, rpc.Member{ID: 1, Address: "n1"}, false, func(string) string { return "x" }, nil).Run()
 		push := begin(f, 1)
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, "old", string(got.Checkpoint()))
+		require.Equal(t, "old", string(got.Snapshot()))
 		n := push("+a")
 		have, of := f.Wait(ctx, n, time.Second)
 		require.Equal(t, 1, have)
 		require.Equal(t, 1, of)
-		require.Equal(t, "old+a", string(got.Checkpoint()))
+		require.Equal(t, "old+a", string(got.Snapshot()))
 		p.mu.Lock()
 		_ = p.last.Close()
 		p.off = true
@@ -104,7 +104,7 @@
 		p.off = false
 		p.mu.Unlock()
 		time.Sleep(time.Second)
-		require.Equal(t, "old+a+b+c", string(got.Checkpoint()))
+		require.Equal(t, "old+a+b+c", string(got.Snapshot()))
 		push = begin(f, 2)
 		push("+d")
 		time.Sleep(100 * time.Millisecond)
@@ -114,7 +114,7 @@
 		require.Error(t, c.Restore(Position{1, 9}, []byte("stale"), true), "an older life is refused")
 		require.False(t, c.Take(Position{2, 7}, []byte("gap")))
 		require.True(t, c.Take(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
-		require.Equal(t, "old+a+b+c+d", string(got.Checkpoint()))
+		require.Equal(t, "old+a+b+c+d", string(got.Snapshot()))
 		require.Len(t, f.Reached(), 1)
 	})
 }
@@ -137,13 +137,13 @@
 	p.mu.Unlock()
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
-		case rpc.Follow:
+		case rpc.Subscribe:
 			f.Follow(ch, n)
-		case rpc.Heard:
+		case rpc.UpdateAck:
 			if at == "source" {
 				p.mu.Lock()
 				p.up++
-				if len(n.Seats) > 0 {
+				if len(n.Members) > 0 {
 					p.lists++
 				}
 				p.mu.Unlock()
@@ -289,7 +289,7 @@
 	made int
 }
 
-func (c *counted) Checkpoint() []byte { c.made++; return c.words.Checkpoint() }
+func (c *counted) Snapshot() []byte { c.made++; return c.words.Snapshot() }
 
 func TestASilentSourceIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -323,7 +323,7 @@
 		require.False(t, f.Take(Position{4, 6}, []byte("another life")))
 		require.True(t, f.Take(Position{3, 6}, []byte("+")))
 		require.True(t, f.Take(Position{3, 6}, []byte("again")))
-		require.Equal(t, "s+", string(b.Checkpoint()))
+		require.Equal(t, "s+", string(b.Snapshot()))
 		require.Error(t, f.Restore(Position{2, 9}, []byte("old"), true))
 		begin(f, 4)
 		require.False(t, f.Take(Position{4, 1}, []byte("x")), "a source takes nothing from others")
@@ -374,7 +374,7 @@
 	f := NewFeed(ctx, slog.New(slog.DiscardHandler), board, nil)
 	push := begin(f, 1)
 	push("sal ")
-	fmt.Println(push("pine"), string(board.Checkpoint()))
+	fmt.Println(push("pine"), string(board.Snapshot()))
 	// Output: 2 sal pine
 }
 
@@ -393,14 +393,14 @@
 			cs[i] = NewCursor(&words{})
 			fo := NewFollower(ctx, p, cs[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil)
 			fo.Others(func(n *rpc.Message) {
-				if n.Kind == rpc.Deck && string(n.Body) == "sum" {
+				if n.Kind == rpc.LoadSums && string(n.Body) == "sum" {
 					got.Add(1)
 				}
 			})
 			go fo.Run()
 		}
 		time.Sleep(HeartbeatInterval)
-		f.Spread(&rpc.Message{Kind: rpc.Deck, Body: []byte("sum")})
+		f.Spread(&rpc.Message{Kind: rpc.LoadSums, Body: []byte("sum")})
 		time.Sleep(HeartbeatInterval / 2)
 		require.Equal(t, int64(len(cs)), got.Load())
 		for _, c := range cs {
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -15,10 +15,10 @@
 
 // State is the view that changes are folded into. Its methods are never called at the same time.
 type State interface {
-	Restore(checkpoint []byte) error
-	// Fold takes a change in; one that can't be folded changes nothing.
-	Fold(change []byte) error
-	Checkpoint() []byte
+	Restore(snapshot []byte) error
+	// Update applies a change. It returns an error, and leaves the state as it is, if the change does not apply.
+	Update(change []byte) error
+	Snapshot() []byte
 }
 
 // change is one change as it is sent.
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.source != nil && at.Epoch <= f.source.epoch {
-		return errkind.New(errkind.Stale, "this process is the source of epoch %d", f.source.epoch)
+		return errkind.New(errkind.VersionConflict, "this process is the source of epoch %d", f.source.epoch)
 	}
 	if err := f.progress.mayRestore(at); err != nil {
 		return err
@@ -179,7 +179,7 @@
 }
 
 func (f *Feed) push(at Position, body []byte) error {
-	if err := f.board.Fold(body); err != nil {
+	if err := f.board.Update(body); err != nil {
 		return err
 	}
 	f.progress.at = at
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -91,7 +91,7 @@
 
 // receive takes one message of the source; a source that can't be followed on is left.
 func (f *Follower) receive(ch *rpc.Channel, n *rpc.Message) {
-	if n.Kind != rpc.News {
+	if n.Kind != rpc.Update {
 		if f.other != nil {
 			f.other(n)
 		}
@@ -146,7 +146,7 @@
 func (f *Follower) Call(n *rpc.Message, d time.Duration) (*rpc.Message, error) {
 	ch := f.ch.Load()
 	if ch == nil {
-		return nil, errkind.New(errkind.Unready, "nobody is followed")
+		return nil, errkind.New(errkind.Unavailable, "nobody is followed")
 	}
 	return ch.Call(n, d)
 }
@@ -185,13 +185,13 @@
 			return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Zone, b.Zone))
 		})
 		if was.ch != ch || !slices.Equal(was.seats, f.said.seats) {
-			n.Word, n.Seats = seatsListed, f.said.seats
+			n.Text, n.Members = seatsListed, f.said.seats
 		}
 	}
 	if f.carry != nil {
 		n.Body = f.carry()
 	}
-	if ifMoved && was.ch == ch && was.epoch == ep && was.number == num && n.Word == "" && len(n.Body) == 0 {
+	if ifMoved && was.ch == ch && was.epoch == ep && was.number == num && n.Text == "" && len(n.Body) == 0 {
 		return
 	}
 	ch.Send(n)
@@ -201,7 +201,7 @@
 func (f *Follower) take(n *rpc.Message) bool {
 	at := positionOf(n)
 	epoch, number := f.sink.At()
-	switch form(n.Word) {
+	switch form(n.Text) {
 	case formSnapshot:
 		return f.sink.Restore(at, n.Body, n.OK) == nil
 	case formWait:
--- a/coord/distribution/messages.go
+++ b/coord/distribution/messages.go
@@ -24,11 +24,11 @@
 const seatsListed = "seats"
 
 func changeMessage(at Position, body []byte) *rpc.Message {
-	return &rpc.Message{Kind: rpc.News, OK: true, Epoch: at.Epoch, Number: at.Number, Base: at.Number - 1, Body: body}
+	return &rpc.Message{Kind: rpc.Update, OK: true, Epoch: at.Epoch, Number: at.Number, Base: at.Number - 1, Body: body}
 }
 
 func stateMessage(f form, at Position, current bool) *rpc.Message {
-	return &rpc.Message{Kind: rpc.News, OK: current, Epoch: at.Epoch, Number: at.Number, Word: string(f)}
+	return &rpc.Message{Kind: rpc.Update, OK: current, Epoch: at.Epoch, Number: at.Number, Text: string(f)}
 }
 
 func snapshotMessage(at Position, current bool, body []byte) *rpc.Message {
@@ -38,12 +38,12 @@
 }
 
 func followMessage(self rpc.Member, at Position, r role) *rpc.Message {
-	return &rpc.Message{Kind: rpc.Follow, From: self, Epoch: at.Epoch, Number: at.Number, Word: string(r)}
+	return &rpc.Message{Kind: rpc.Subscribe, From: self, Epoch: at.Epoch, Number: at.Number, Text: string(r)}
 }
 
 // ackMessage says that its sender has taken all up to own, and all that follow it all up to below.
 func ackMessage(self rpc.Member, epoch, own, below uint64) *rpc.Message {
-	return &rpc.Message{Kind: rpc.Heard, From: self, Epoch: epoch, Number: below, Base: own}
+	return &rpc.Message{Kind: rpc.UpdateAck, From: self, Epoch: epoch, Number: below, Base: own}
 }
 
 func positionOf(n *rpc.Message) Position { return Position{n.Epoch, n.Number} }
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -31,7 +31,7 @@
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("five"), true))
 		require.Error(t, f.Restore(Position{3, 4}, []byte("four"), true))
-		require.Equal(t, "five", string(b.Checkpoint()))
+		require.Equal(t, "five", string(b.Snapshot()))
 	})
 }
 
@@ -48,14 +48,14 @@
 		require.NoError(t, f.Restore(Position{2, 7}, []byte("new"), true))
 		_, ok = source.Push([]byte("+late"))
 		require.False(t, ok, "another is the source")
-		require.Equal(t, "new", string(b.Checkpoint()))
-		require.Nil(t, f.Begin(1, b.Checkpoint), "a newer source is known")
+		require.Equal(t, "new", string(b.Snapshot()))
+		require.Nil(t, f.Begin(1, b.Snapshot), "a newer source is known")
 
-		source = f.Begin(3, b.Checkpoint)
+		source = f.Begin(3, b.Snapshot)
 		require.NoError(t, f.Restore(Position{4, 0}, []byte("newest"), true), "it hears of its follower before it steps down")
 		_, ok = source.Push([]byte("+late"))
 		require.False(t, ok)
-		require.Equal(t, "newest", string(b.Checkpoint()))
+		require.Equal(t, "newest", string(b.Snapshot()))
 	})
 }
 
@@ -80,11 +80,11 @@
 	bad string
 }
 
-func (r *refusing) Fold(b []byte) error {
+func (r *refusing) Update(b []byte) error {
 	if string(b) == r.bad {
 		return net.ErrClosed
 	}
-	return r.words.Fold(b)
+	return r.words.Update(b)
 }
 
 func TestAFollowerThatCannotFoldAChangeAsksForASnapshot(t *testing.T) {
@@ -101,7 +101,7 @@
 		push("+b")
 		push("+c")
 		time.Sleep(time.Second)
-		require.Equal(t, "x+a+b+c", string(got.Checkpoint()))
+		require.Equal(t, "x+a+b+c", string(got.Snapshot()))
 	})
 }
 
@@ -147,7 +147,7 @@
 			require.True(t, relay.Take(Position{2, n}, []byte(fmt.Sprint("+", n))))
 		}
 		time.Sleep(time.Second)
-		require.Equal(t, "5+6+7", string(got.Checkpoint()))
+		require.Equal(t, "5+6+7", string(got.Snapshot()))
 	})
 }
 
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func (l *labelled) Fold(b []byte) error {
+func (l *labelled) Update(b []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := unlabel(b)
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (l *labelled) Checkpoint() []byte {
+func (l *labelled) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return label(l.at)
@@ -361,9 +361,9 @@
 	w.conns[b] = [2]string{n.name, at}
 	rpc.Open(w.ctx, b, func(ch *rpc.Channel, m *rpc.Message) *rpc.Message {
 		switch m.Kind {
-		case rpc.Follow:
+		case rpc.Subscribe:
 			f.Follow(ch, m)
-		case rpc.Heard:
+		case rpc.UpdateAck:
 			f.Ack(ch, m)
 		}
 		return nil
--- a/coord/distribution/position.go
+++ b/coord/distribution/position.go
@@ -48,7 +48,7 @@
 // mayRestore refuses a snapshot that is older than what is held.
 func (p *progress) mayRestore(snapshot Position) error {
 	if snapshot.Before(p.at) {
-		return errkind.New(errkind.Stale, "snapshot at %d/%d, held is %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
+		return errkind.New(errkind.VersionConflict, "snapshot at %d/%d, held is %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
 	}
 	return nil
 }
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -34,7 +34,7 @@
 
 // Follow takes on a follower: what it lacks is sent, then every change.
 func (f *Feed) Follow(ch *rpc.Channel, n *rpc.Message) {
-	s := &subscriber{ch: ch, seat: n.From, relay: role(n.Word) == roleRelay}
+	s := &subscriber{ch: ch, seat: n.From, relay: role(n.Text) == roleRelay}
 	f.mu.Lock()
 	f.subscribers[ch] = s
 	f.start(s, positionOf(n))
@@ -133,10 +133,10 @@
 
 func (f *Feed) encodedSnapshot() []byte {
 	if !f.current() {
-		return snapshotMessage(f.progress.at, false, f.board.Checkpoint()).Encode()
+		return snapshotMessage(f.progress.at, false, f.board.Snapshot()).Encode()
 	}
 	if f.snapshot == nil {
-		f.snapshot = snapshotMessage(f.progress.at, true, f.board.Checkpoint()).Encode()
+		f.snapshot = snapshotMessage(f.progress.at, true, f.board.Snapshot()).Encode()
 	}
 	return f.snapshot
 }
@@ -218,8 +218,8 @@
 }
 
 func (f *Feed) acknowledge(s *subscriber, n *rpc.Message) {
-	if n.Word == seatsListed {
-		s.below = n.Seats
+	if n.Text == seatsListed {
+		s.below = n.Members
 	}
 	if n.Epoch != f.progress.at.Epoch || s.need == needQueued {
 		return
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -52,24 +52,24 @@
 	if now.Sub(g.born) < Duration {
 		return n.Reply(false)
 	}
-	held, known := g.given[n.Word]
+	held, known := g.given[n.Text]
 	runs := known && now.Before(held.until)
 	if runs && held.holder != n.From.ID {
 		return n.Reply(false)
 	}
-	if n.Span == 0 {
+	if n.Duration == 0 {
 		if runs && held.givenBackBy(n.Ballot, n.Number) {
-			delete(g.given, n.Word)
+			delete(g.given, n.Text)
 		}
 		return n.Reply(true)
 	}
-	until := now.Add(min(time.Duration(n.Span), Duration))
+	until := now.Add(min(time.Duration(n.Duration), Duration))
 	if runs {
 		held.renew(n.Ballot, n.Number, until)
 	} else {
 		held = grant{holder: n.From.ID, life: n.Ballot, number: n.Number, until: until}
 	}
-	g.given[n.Word] = held
+	g.given[n.Text] = held
 	return n.Reply(true)
 }
 
@@ -182,7 +182,7 @@
 	seats := h.from()
 	ch := make(chan bool, len(seats))
 	for _, s := range seats {
-		n := &rpc.Message{Kind: rpc.Lease, From: h.self, To: s.ID, Word: h.duty, Span: span, Ballot: h.life, Number: number}
+		n := &rpc.Message{Kind: rpc.Lease, From: h.self, To: s.ID, Text: h.duty, Duration: span, Ballot: h.life, Number: number}
 		go func() {
 			if s.ID == h.self.ID {
 				ch <- h.local.Handle(n).OK
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -29,7 +29,7 @@
 	_, _ = fmt.Sscan(addr, &i)
 	time.Sleep(f.lag)
 	if f.down[i] {
-		return nil, errkind.New(errkind.Unready, "down")
+		return nil, errkind.New(errkind.Unavailable, "down")
 	}
 	return f.g[i].Handle(n), nil
 }
@@ -169,7 +169,7 @@
 	case a := <-answer:
 		return a, nil
 	case <-time.After(rpc.CallTimeout):
-		return nil, errkind.New(errkind.Unready, "no answer")
+		return nil, errkind.New(errkind.Unavailable, "no answer")
 	}
 }
 
@@ -227,7 +227,7 @@
 		f := newFleet()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
-		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 1}
+		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 1}
 		require.True(t, a.Renew())
 		require.True(t, a.Renew())
 		for _, g := range f.g {
@@ -246,8 +246,8 @@
 		a, b := f.holder(1), f.holder(2)
 		a.requests = 2 // the first two are under way still
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 1, Span: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life, Number: 2}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 1, Duration: uint64(Duration)}
+		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 2}
 		for _, g := range f.g {
 			g.Handle(renewal)
 			g.Handle(giveBack)
@@ -264,8 +264,8 @@
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life + 1, Number: 8, Span: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Word: "list", Ballot: a.life + 1, Number: 9}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life + 1, Number: 8, Duration: uint64(Duration)}
+		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life + 1, Number: 9}
 		for _, g := range f.g {
 			g.Handle(renewal)
 			g.Handle(giveBack)
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -82,17 +82,17 @@
 	select {
 	case m.events <- event:
 	case <-timer.C:
-		return errkind.New(errkind.Unready, "not begun in time")
+		return errkind.New(errkind.Unavailable, "not begun in time")
 	case <-m.ctx.Done():
-		return errkind.New(errkind.Unready, "ending")
+		return errkind.New(errkind.Unavailable, "ending")
 	}
 	select {
 	case answer := <-waiting.answered:
 		return outcomeError(answer)
 	case <-timer.C:
-		return errkind.New(errkind.Unready, "not decided in time")
+		return errkind.New(errkind.Unavailable, "not decided in time")
 	case <-m.ctx.Done():
-		return errkind.New(errkind.Unready, "ending")
+		return errkind.New(errkind.Unavailable, "ending")
 	}
 }
 
@@ -104,12 +104,12 @@
 	case core.Rejected:
 		return answer.Err
 	case core.Deposed:
-		return errkind.New(errkind.NotHere, "not the primary")
+		return errkind.New(errkind.NotPrimary, "not the primary")
 	}
 	if answer.Err != nil {
-		return errkind.Wrap(errkind.Unready, answer.Err, "not decided")
+		return errkind.Wrap(errkind.Unavailable, answer.Err, "not decided")
 	}
-	return errkind.New(errkind.Unready, "not decided")
+	return errkind.New(errkind.Unavailable, "not decided")
 }
 
 // Leave gives up the roles of this member: by agreement, once a view is chosen in which others have them, or not complete as the deadline comes near. The member goes on until its scope ends.
--- a/coord/replication/catchup_test.go
+++ b/coord/replication/catchup_test.go
@@ -103,7 +103,7 @@
 				defer f.end()
 				f.orders(t, 2*settingsCount)
 				_, other, member := f.roles(t)
-				size := len(f.settings[other].Checkpoint())
+				size := len(f.settings[other].Snapshot())
 				f.watchParts(member, nil)
 				lost := time.Now()
 				f.stop(other)
@@ -137,7 +137,7 @@
 	}
 	leader, other, member := f.roles(t)
 	partSize := core.DefaultLimits().SnapshotChunkBytes
-	size := len(f.settings[leader].Checkpoint())
+	size := len(f.settings[leader].Snapshot())
 	left := cuts
 	cutOffset := int64(-1)
 	f.watchParts(member, func(to string, part core.SnapshotChunk) {
--- a/coord/replication/config.go
+++ b/coord/replication/config.go
@@ -11,8 +11,8 @@
 // StateMachine is the state that is kept. Its methods are called by the stepping goroutine only.
 type StateMachine interface {
 	Apply(entry []byte)
-	Checkpoint() []byte
-	Restore(checkpoint []byte) error // an empty checkpoint is the first state
+	Snapshot() []byte
+	Restore(snapshot []byte) error // an empty snapshot is the first state
 }
 
 // Store is a member's disk. What a method returned for without an error is synced, names of files included.
@@ -54,7 +54,7 @@
 type machineAdapter struct{ machine StateMachine }
 
 func (a machineAdapter) Apply(entry []byte)            { a.machine.Apply(entry) }
-func (a machineAdapter) Snapshot() []byte              { return a.machine.Checkpoint() }
+func (a machineAdapter) Snapshot() []byte              { return a.machine.Snapshot() }
 func (a machineAdapter) Restore(snapshot []byte) error { return a.machine.Restore(snapshot) }
 
 func seat(m core.Member) rpc.Member {
--- a/coord/replication/crowd_test.go
+++ b/coord/replication/crowd_test.go
@@ -23,7 +23,7 @@
 	dead atomic.Bool
 }
 
-var errDead = errkind.New(errkind.Unready, "this life is over")
+var errDead = errkind.New(errkind.Unavailable, "this life is over")
 
 func (l *life) write(f func() error) error {
 	l.wait()
@@ -31,7 +31,7 @@
 		return errDead
 	}
 	if l.full.Load() {
-		return errkind.New(errkind.Unready, "the disk is full")
+		return errkind.New(errkind.Unavailable, "the disk is full")
 	}
 	return f()
 }
@@ -184,7 +184,7 @@
 
 // read gives a member's text if it is confirmed to be current.
 func (t *crowd) read(i int) (text string, current bool) {
-	err := t.m[i].Read(time.Now().Add(patience), func() { text = string(t.l[i].Checkpoint()) })
+	err := t.m[i].Read(time.Now().Add(patience), func() { text = string(t.l[i].Snapshot()) })
 	return text, err == nil
 }
 
--- a/coord/replication/decode.go
+++ b/coord/replication/decode.go
@@ -20,16 +20,16 @@
 	defer func() {
 		if r := recover(); r != nil {
 			message = nil
-			err = errkind.New(errkind.BadInput, "replication message: %v", r)
+			err = errkind.New(errkind.InvalidInput, "replication message: %v", r)
 		}
 	}()
 	if len(data) < messageFewest {
-		return nil, errkind.New(errkind.BadInput, "replication message of %d bytes", len(data))
+		return nil, errkind.New(errkind.InvalidInput, "replication message of %d bytes", len(data))
 	}
 	table := fb.GetRootAsMessage(data, 0)
 	var body flatbuffers.Table
 	if !table.Body(&body) {
-		return nil, errkind.New(errkind.BadInput, "replication message without a body")
+		return nil, errkind.New(errkind.InvalidInput, "replication message without a body")
 	}
 	var d decoder
 	envelope := core.Envelope{
@@ -42,7 +42,7 @@
 		message = d.reply(table.BodyType(), body, envelope)
 	}
 	if message == nil || d.bad {
-		return nil, errkind.New(errkind.BadInput, "replication message of type %d can't be read", table.BodyType())
+		return nil, errkind.New(errkind.InvalidInput, "replication message of type %d can't be read", table.BodyType())
 	}
 	return message, nil
 }
--- a/coord/replication/hall_test.go
+++ b/coord/replication/hall_test.go
@@ -18,7 +18,7 @@
 }
 
 func (l *lines) Apply(e []byte)         { l.mu.Lock(); l.s += string(e) + ";"; l.mu.Unlock() }
-func (l *lines) Checkpoint() []byte     { l.mu.Lock(); defer l.mu.Unlock(); return []byte(l.s) }
+func (l *lines) Snapshot() []byte       { l.mu.Lock(); defer l.mu.Unlock(); return []byte(l.s) }
 func (l *lines) Restore(b []byte) error { l.mu.Lock(); l.s = string(b); l.mu.Unlock(); return nil }
 
 // memory is a store that fails only when it is full.
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -13,7 +13,7 @@
 
 // Links is the Transport over held channels. A message goes out on the channel on which the member was heard last, or on one that is dialled when it is needed.
 type Links struct {
-	lines *rpc.Lines
+	lines *rpc.Pool
 
 	mu    sync.Mutex
 	links map[string]*link
@@ -30,7 +30,7 @@
 }
 
 // NewLinks makes the transport of a member.
-func NewLinks(lines *rpc.Lines) *Links {
+func NewLinks(lines *rpc.Pool) *Links {
 	return &Links{lines: lines, links: map[string]*link{}}
 }
 
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -29,7 +29,7 @@
 	defer p.mu.Unlock()
 	p.dials++
 	if p.down {
-		return nil, errkind.New(errkind.Unready, "nobody is there")
+		return nil, errkind.New(errkind.Unavailable, "nobody is there")
 	}
 	near, far := net.Pipe()
 	rpc.Open(p.ctx, far, p.take)
@@ -52,7 +52,7 @@
 		}
 		return nil
 	}
-	links := NewLinks(rpc.NewLines(ctx, p, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil }))
+	links := NewLinks(rpc.NewPool(ctx, p, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil }))
 	return links, p, arrived
 }
 
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -102,13 +102,13 @@
 					tr.h.setOff(fmt.Sprint("m", p), false)
 				}
 				time.Sleep(5 * time.Millisecond)
-				for _, decision := range []error{nil, errkind.New(errkind.Stale, "version 1 is current")} {
+				for _, decision := range []error{nil, errkind.New(errkind.VersionConflict, "version 1 is current")} {
 					go func() {
 						other := tr.otherPrimary(p)
 						err := tr.m[p].Propose(time.Now().Add(patience), func() ([]byte, error) { return nil, decision })
 						if other {
 							followed.Add(1)
-							require.NotEqual(t, errkind.Stale, errkind.KindOf(err))
+							require.NotEqual(t, errkind.VersionConflict, errkind.KindOf(err))
 							require.Error(t, err)
 						}
 					}()
@@ -134,7 +134,7 @@
 			tr.start(p)
 			time.Sleep(3 * time.Second)
 		}
-		require.Equal(t, want, string(tr.l[tr.primary()].Checkpoint()))
+		require.Equal(t, want, string(tr.l[tr.primary()].Snapshot()))
 	})
 }
 
@@ -180,7 +180,7 @@
 				time.Sleep(2 * time.Second)
 				_, on := tr.m[p].Active()
 				require.False(t, on)
-				require.Equal(t, errkind.Unready, errkind.KindOf(<-answered), "it may have been done")
+				require.Equal(t, errkind.Unavailable, errkind.KindOf(<-answered), "it may have been done")
 			})
 		})
 	}
@@ -254,7 +254,7 @@
 		for i := range tr.m {
 			if i != p {
 				err := tr.m[i].Read(time.Now().Add(patience), func() { t.Error("a backup's state is looked at") })
-				require.Equal(t, errkind.NotHere, errkind.KindOf(err))
+				require.Equal(t, errkind.NotPrimary, errkind.KindOf(err))
 			}
 		}
 	})
@@ -274,7 +274,7 @@
 			t.Error("it began too late")
 			return nil, nil
 		})
-		require.Equal(t, errkind.Unready, errkind.KindOf(err))
+		require.Equal(t, errkind.Unavailable, errkind.KindOf(err))
 		time.Sleep(50 * time.Millisecond)
 		resume()
 		require.NoError(t, <-first)
@@ -354,7 +354,7 @@
 	fmt.Println("primary of epoch", <-ready)
 	deadline := time.Now().Add(time.Minute)
 	fmt.Println(m.Propose(deadline, func() ([]byte, error) { return []byte("sal, 40 planks"), nil }))
-	fmt.Println(string(text.Checkpoint()))
+	fmt.Println(string(text.Snapshot()))
 	// Output:
 	// primary of epoch 1
 	// <nil>
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -91,7 +91,7 @@
 		}
 		c.h.setDrop(nil)
 		time.Sleep(4 * time.Second)
-		got := string(c.l[c.primary()].Checkpoint()) // no clear answer: it may be in force or not
+		got := string(c.l[c.primary()].Snapshot()) // no clear answer: it may be in force or not
 		require.Contains(t, []string{"first;", "first;second;"}, got)
 	})
 }
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -36,4 +36,4 @@
 // Append keeps nothing and says so.
 func (s *NoDisk) Append(core.Entry) error { return errNoDisk() }
 
-func errNoDisk() error { return errkind.New(errkind.Unready, "no disk is here") }
+func errNoDisk() error { return errkind.New(errkind.Unavailable, "no disk is here") }
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -180,7 +180,7 @@
 		return false
 	}
 	var text string
-	if m.Read(time.Now().Add(patience), func() { text = string(l.Checkpoint()) }) != nil {
+	if m.Read(time.Now().Add(patience), func() { text = string(l.Snapshot()) }) != nil {
 		return false
 	}
 	require.Empty(s.t, s.missing(text, n), "acknowledged, and not read")
--- a/coord/replication/settings_test.go
+++ b/coord/replication/settings_test.go
@@ -45,7 +45,7 @@
 	s.values[number%uint64(len(s.values))] = change
 }
 
-func (s *settings) Checkpoint() []byte {
+func (s *settings) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := binary.LittleEndian.AppendUint64(make([]byte, 0, 8+len(s.values)*(changeBytes+4)), s.last)
@@ -267,11 +267,11 @@
 	time.Sleep(100 * time.Millisecond)
 	p := f.newest()
 	require.GreaterOrEqual(t, p, 0)
-	want := f.settings[p].Checkpoint()
+	want := f.settings[p].Snapshot()
 	require.Equal(t, f.change, f.settings[p].lastChange())
 	for _, member := range f.m[p].View().Replicas() {
 		i := f.at(member)
-		require.True(t, slices.Equal(want, f.settings[i].Checkpoint()), "copy m%d differs", i)
+		require.True(t, slices.Equal(want, f.settings[i].Snapshot()), "copy m%d differs", i)
 		require.NoError(t, f.settings[i].err)
 	}
 }
--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -94,7 +94,7 @@
 	}
 	n := binary.LittleEndian.Uint32(l[:])
 	if n > frameMax {
-		return nil, errkind.New(errkind.BadInput, "frame of %d bytes", n)
+		return nil, errkind.New(errkind.InvalidInput, "frame of %d bytes", n)
 	}
 	var b []byte
 	for uint32(len(b)) < n {
@@ -195,7 +195,7 @@
 	m := *n
 	m.Call = number
 	if !ch.queue(outgoing{m.Encode(), until}) {
-		return nil, errkind.New(errkind.Unready, "channel closed")
+		return nil, errkind.New(errkind.Unavailable, "channel closed")
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -203,9 +203,9 @@
 	case a := <-call.answer:
 		return a, nil
 	case <-ch.ctx.Done():
-		return nil, errkind.New(errkind.Unready, "channel closed")
+		return nil, errkind.New(errkind.Unavailable, "channel closed")
 	case <-timer.C:
-		return nil, errkind.New(errkind.Unready, "no answer from %s", ch.c.RemoteAddr())
+		return nil, errkind.New(errkind.Unavailable, "no answer from %s", ch.c.RemoteAddr())
 	}
 }
 
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -88,7 +88,7 @@
 				a.Body = append([]byte("answer to "), q.Body...)
 				return a
 			}
-			l := NewLines(ctx, n, nil)
+			l := NewPool(ctx, n, nil)
 			var all sync.WaitGroup
 			var wrong []string
 			got := 0
@@ -194,7 +194,7 @@
 			forged := (&Message{Kind: Lease, Call: 1, Answer: true, OK: true}).Encode()
 			_, _ = b.Write(frame(forged))
 		}()
-		_, err := ch.Call(&Message{Kind: Lend}, time.Second)
+		_, err := ch.Call(&Message{Kind: Loan}, time.Second)
 		require.Error(t, err)
 		require.True(t, ch.ctx.Err() != nil)
 	})
@@ -207,7 +207,7 @@
 		a, b := net.Pipe()
 		var got []byte
 		ch := Open(ctx, a, func(_ *Channel, n *Message) *Message { got = n.Body; return nil })
-		whole := frame((&Message{Kind: News, Body: bytes.Repeat([]byte("x"), 1000)}).Encode())
+		whole := frame((&Message{Kind: Update, Body: bytes.Repeat([]byte("x"), 1000)}).Encode())
 		for len(whole) > 0 {
 			k := min(100, len(whole))
 			_, _ = b.Write(whole[:k])
--- a/coord/rpc/compatibility_test.go
+++ b/coord/rpc/compatibility_test.go
@@ -24,11 +24,11 @@
 		Ballot:     0x1005,
 		Number:     0x1006,
 		Base:       0x1007,
-		Span:       0x1008,
+		Duration:   0x1008,
 		HeldBallot: 0x1009,
-		Word:       "word",
+		Text:       "word",
 		Body:       []byte{0, 1, 2, 0xff},
-		Seats: []Member{
+		Members: []Member{
 			{ID: 0x100a, Address: "10.0.0.2:7720", Zone: "zone-2"},
 			{ID: 0x100b, Address: "10.0.0.3:7720", Zone: "zone-3"},
 		},
@@ -43,17 +43,17 @@
 		"hello":       fullMessage(Hello),
 		"replication": fullMessage(Replication),
 		"lease":       fullMessage(Lease),
-		"follow":      fullMessage(Follow),
-		"news":        fullMessage(News),
-		"heard":       fullMessage(Heard),
+		"follow":      fullMessage(Subscribe),
+		"news":        fullMessage(Update),
+		"heard":       fullMessage(UpdateAck),
 		"suspect":     fullMessage(Suspect),
-		"deck":        fullMessage(Deck),
-		"lend":        fullMessage(Lend),
+		"deck":        fullMessage(LoadSums),
+		"lend":        fullMessage(Loan),
 		"job":         fullMessage(Job),
 		"unknown":     fullMessage(Kind(0x7788)),
 		"empty":       {},
-		"reply":       fullMessage(Lend).Reply(true),
-		"empty-body":  {Kind: News, Body: []byte{}},
+		"reply":       fullMessage(Loan).Reply(true),
+		"empty-body":  {Kind: Update, Body: []byte{}},
 	}
 	for name, message := range messages {
 		got, err := Decode(recording.Same(name, message.Encode()))
@@ -67,7 +67,7 @@
 	var framed bytes.Buffer
 	w := bufio.NewWriter(&framed)
 	for i := range 2 {
-		message := &Message{Kind: News, Word: fmt.Sprint("frame ", i)}
+		message := &Message{Kind: Update, Text: fmt.Sprint("frame ", i)}
 		require.NoError(t, writeFrame(w, outgoing{encoded: message.Encode()}))
 	}
 	require.NoError(t, w.Flush())
@@ -77,7 +77,7 @@
 		require.NoError(t, err)
 		message, err := Decode(frame)
 		require.NoError(t, err)
-		require.Equal(t, fmt.Sprint("frame ", i), message.Word)
+		require.Equal(t, fmt.Sprint("frame ", i), message.Text)
 	}
 	require.Zero(t, r.Len())
 }
--- a/coord/rpc/message.go
+++ b/coord/rpc/message.go
@@ -16,12 +16,12 @@
 	Hello       Kind = iota + 1 // who are you and what do you know
 	Replication                 // a message of package replication, in the body
 	Lease                       // ask a witness for a duty
-	Follow                      // subscribe to news
-	News                        // one numbered change or a checkpoint
-	Heard                       // news acknowledged up to a number
+	Subscribe                   // subscribe to news
+	Update                      // one numbered change or a checkpoint
+	UpdateAck                   // news acknowledged up to a number
 	Suspect                     // a router suspects another
-	Deck                        // what waits at the replicas, as the sender knows it
-	Lend                        // a router asks for further tries out of the common part of a service's budget
+	LoadSums                    // what waits at the replicas, as the sender knows it
+	Loan                        // a router asks for further tries out of the common part of a service's budget
 	Job                         // long work between routers
 )
 
@@ -44,26 +44,26 @@
 	Ballot     uint64
 	Number     uint64
 	Base       uint64
-	Span       uint64
+	Duration   uint64
 	HeldBallot uint64
-	Word       string
+	Text       string
 	Body       []byte
-	Seats      []Member
+	Members    []Member
 }
 
-func putSeat(b *flatbuffers.Builder, s Member) flatbuffers.UOffsetT {
+func putMember(b *flatbuffers.Builder, s Member) flatbuffers.UOffsetT {
 	a, l := b.CreateString(s.Address), b.CreateString(s.Zone)
-	rpcfb.SeatStart(b)
-	rpcfb.SeatAddId(b, s.ID)
-	rpcfb.SeatAddAddr(b, a)
-	rpcfb.SeatAddLocality(b, l)
-	return rpcfb.SeatEnd(b)
+	rpcfb.MemberStart(b)
+	rpcfb.MemberAddId(b, s.ID)
+	rpcfb.MemberAddAddress(b, a)
+	rpcfb.MemberAddZone(b, l)
+	return rpcfb.MemberEnd(b)
 }
 
-func putSeats(b *flatbuffers.Builder, ss []Member, start func(*flatbuffers.Builder, int) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
+func putMembers(b *flatbuffers.Builder, ss []Member, start func(*flatbuffers.Builder, int) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	os := make([]flatbuffers.UOffsetT, len(ss))
 	for i, s := range ss {
-		os[i] = putSeat(b, s)
+		os[i] = putMember(b, s)
 	}
 	start(b, len(os))
 	for i := len(os) - 1; i >= 0; i-- {
@@ -73,78 +73,78 @@
 }
 
 // Encode puts a note into bytes.
-func (n *Message) Encode() []byte {
-	b := flatbuffers.NewBuilder(256 + len(n.Body))
-	from := putSeat(b, n.From)
+func (m *Message) Encode() []byte {
+	b := flatbuffers.NewBuilder(256 + len(m.Body))
+	from := putMember(b, m.From)
 	var wd, bd, st flatbuffers.UOffsetT
-	if n.Word != "" {
-		wd = b.CreateString(n.Word)
+	if m.Text != "" {
+		wd = b.CreateString(m.Text)
 	}
-	if n.Body != nil {
-		bd = b.CreateByteVector(n.Body)
+	if m.Body != nil {
+		bd = b.CreateByteVector(m.Body)
 	}
-	if len(n.Seats) > 0 {
-		st = putSeats(b, n.Seats, rpcfb.NoteStartSeatsVector)
+	if len(m.Members) > 0 {
+		st = putMembers(b, m.Members, rpcfb.MessageStartMembersVector)
 	}
-	rpcfb.NoteStart(b)
-	rpcfb.NoteAddKind(b, uint16(n.Kind))
-	rpcfb.NoteAddCall(b, n.Call)
-	rpcfb.NoteAddAnswer(b, n.Answer)
-	rpcfb.NoteAddOk(b, n.OK)
-	rpcfb.NoteAddFrom(b, from)
-	rpcfb.NoteAddTo(b, n.To)
-	rpcfb.NoteAddEpoch(b, n.Epoch)
-	rpcfb.NoteAddBallot(b, n.Ballot)
-	rpcfb.NoteAddNumber(b, n.Number)
-	rpcfb.NoteAddBase(b, n.Base)
-	rpcfb.NoteAddSpan(b, n.Span)
-	rpcfb.NoteAddHeldBallot(b, n.HeldBallot)
+	rpcfb.MessageStart(b)
+	rpcfb.MessageAddKind(b, uint16(m.Kind))
+	rpcfb.MessageAddCall(b, m.Call)
+	rpcfb.MessageAddAnswer(b, m.Answer)
+	rpcfb.MessageAddOk(b, m.OK)
+	rpcfb.MessageAddFrom(b, from)
+	rpcfb.MessageAddTo(b, m.To)
+	rpcfb.MessageAddEpoch(b, m.Epoch)
+	rpcfb.MessageAddBallot(b, m.Ballot)
+	rpcfb.MessageAddNumber(b, m.Number)
+	rpcfb.MessageAddBase(b, m.Base)
+	rpcfb.MessageAddDuration(b, m.Duration)
+	rpcfb.MessageAddHeldBallot(b, m.HeldBallot)
 	for _, x := range []struct {
 		o   flatbuffers.UOffsetT
 		add func(*flatbuffers.Builder, flatbuffers.UOffsetT)
-	}{{wd, rpcfb.NoteAddWord}, {bd, rpcfb.NoteAddBody}, {st, rpcfb.NoteAddSeats}} {
+	}{{wd, rpcfb.MessageAddText}, {bd, rpcfb.MessageAddBody}, {st, rpcfb.MessageAddMembers}} {
 		if x.o != 0 {
 			x.add(b, x.o)
 		}
 	}
-	b.Finish(rpcfb.NoteEnd(b))
+	b.Finish(rpcfb.MessageEnd(b))
 	return b.FinishedBytes()
 }
 
-func getSeat(s *rpcfb.Seat) Member {
+func getMember(s *rpcfb.Member) Member {
 	if s == nil {
 		return Member{}
 	}
-	return Member{s.Id(), string(s.Addr()), string(s.Locality())}
+	return Member{s.Id(), string(s.Address()), string(s.Zone())}
 }
 
 // Decode reads a note; bytes that are none give an error, never a panic.
 func Decode(b []byte) (n *Message, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			n, err = nil, errkind.New(errkind.BadInput, "note: %v", r)
+			n, err = nil, errkind.New(errkind.InvalidInput, "note: %v", r)
 		}
 	}()
 	if len(b) < 8 {
-		return nil, errkind.New(errkind.BadInput, "note of %d bytes", len(b))
+		return nil, errkind.New(errkind.InvalidInput, "note of %d bytes", len(b))
 	}
-	f := rpcfb.GetRootAsNote(b, 0)
+	f := rpcfb.GetRootAsMessage(b, 0)
 	n = &Message{
-		Kind: Kind(f.Kind()), Call: f.Call(), Answer: f.Answer(), OK: f.Ok(), From: getSeat(f.From(nil)), To: f.To(),
-		Epoch: f.Epoch(), Ballot: f.Ballot(), Number: f.Number(), Base: f.Base(), Span: f.Span(),
+		Kind: Kind(f.Kind()), Call: f.Call(), Answer: f.Answer(), OK: f.Ok(), From: getMember(f.From(nil)), To: f.To(),
+		Epoch: f.Epoch(), Ballot: f.Ballot(), Number: f.Number(), Base: f.Base(), Duration: f.Duration(),
 		HeldBallot: f.HeldBallot(),
-		Word:       string(f.Word()), Body: f.BodyBytes(),
+		Text:       string(f.Text()), Body: f.BodyBytes(),
 	}
-	for i := range f.SeatsLength() {
-		var s rpcfb.Seat
-		if f.Seats(&s, i) {
-			n.Seats = append(n.Seats, getSeat(&s))
+	for i := range f.MembersLength() {
+		var s rpcfb.Member
+		if f.Members(&s, i) {
+			n.Members = append(n.Members, getMember(&s))
 		}
 	}
 	return n, nil
 }
 
 // Reply starts the answer to a note.
-func (n *Message) Reply(ok bool) *Message {
-	return &Message{Kind: n.Kind, Call: n.Call, Answer: true, OK: ok}
+func (m *Message) Reply(ok bool) *Message {
+	return &Message{Kind: m.Kind, Call: m.Call, Answer: true, OK: ok}
 }
--- a/coord/rpc/message_test.go
+++ b/coord/rpc/message_test.go
@@ -10,11 +10,11 @@
 
 func sample() *Message {
 	s := func(i uint64) Member { return Member{i, "10.0.0.1:7000", "north"} }
-	return &Message{Kind: Replication, Call: 7, Answer: true, OK: true, From: s(5), To: 6, Epoch: 4, Ballot: 9, Number: 3, Base: 2, Span: 8, HeldBallot: 1, Word: "w", Body: []byte{0, 1}, Seats: []Member{s(8)}}
+	return &Message{Kind: Replication, Call: 7, Answer: true, OK: true, From: s(5), To: 6, Epoch: 4, Ballot: 9, Number: 3, Base: 2, Duration: 8, HeldBallot: 1, Text: "w", Body: []byte{0, 1}, Members: []Member{s(8)}}
 }
 
 func TestNotesComeBackAsTheyWere(t *testing.T) {
-	for _, n := range []*Message{sample(), {}, {Kind: News, Body: []byte("x")}} {
+	for _, n := range []*Message{sample(), {}, {Kind: Update, Body: []byte("x")}} {
 		m, err := Decode(n.Encode())
 		require.NoError(t, err)
 		require.Equal(t, n, m)
--- a/coord/rpc/net.go
+++ b/coord/rpc/net.go
@@ -62,7 +62,7 @@
 }
 
 // Lines holds one channel per address and dials when it is needed.
-type Lines struct {
+type Pool struct {
 	ctx context.Context
 	net Net
 	h   Handler
@@ -77,12 +77,12 @@
 }
 
 // NewLines makes the set of channels of a process.
-func NewLines(ctx context.Context, n Net, h Handler) *Lines {
-	return &Lines{ctx: ctx, net: n, h: h, m: map[string]*line{}}
+func NewPool(ctx context.Context, n Net, h Handler) *Pool {
+	return &Pool{ctx: ctx, net: n, h: h, m: map[string]*line{}}
 }
 
 // Get gives the channel to an address. Whoever comes while it is being dialled shares that dial's result: a silent address never makes a queue.
-func (l *Lines) Get(addr string) (*Channel, error) {
+func (l *Pool) Get(addr string) (*Channel, error) {
 	l.mu.Lock()
 	x := l.m[addr]
 	if x == nil {
@@ -99,7 +99,7 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if x.err != nil || x.ch == nil {
-			return nil, errkind.New(errkind.Unready, "dial of %s failed", addr)
+			return nil, errkind.New(errkind.Unavailable, "dial of %s failed", addr)
 		}
 		return x.ch, nil
 	}
@@ -112,16 +112,16 @@
 	x.dialing, x.err = nil, err
 	close(w)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "dial")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "dial")
 	}
 	x.ch = Open(l.ctx, c, l.h)
 	return x.ch, nil
 }
 
 // Call asks one address. A channel on which nothing came during a failed call is closed, so that the next call dials anew.
-func (l *Lines) Call(addr string, n *Message, d time.Duration) (*Message, error) {
+func (l *Pool) Call(addr string, n *Message, d time.Duration) (*Message, error) {
 	if addr == "" {
-		return nil, errkind.New(errkind.Unready, "no address")
+		return nil, errkind.New(errkind.Unavailable, "no address")
 	}
 	ch, err := l.Get(addr)
 	if err != nil {
--- a/coord/rpc/net_test.go
+++ b/coord/rpc/net_test.go
@@ -27,12 +27,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		n := &silent{}
-		l := NewLines(ctx, n, nil)
+		l := NewPool(ctx, n, nil)
 		took := make(chan time.Duration, 20)
 		for range cap(took) {
 			go func() {
 				at := time.Now()
-				_, err := l.Call("10.0.0.1:1", &Message{Kind: Lend}, time.Second)
+				_, err := l.Call("10.0.0.1:1", &Message{Kind: Loan}, time.Second)
 				require.Error(t, err)
 				took <- time.Since(at)
 			}()
--- a/coord/rpc/rpcfb/Seat.go
+++ b/coord/rpc/rpcfb/Member.go
@@ -6,34 +6,34 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Seat struct {
+type Member struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsSeat(buf []byte, offset flatbuffers.UOffsetT) *Seat {
+func GetRootAsMember(buf []byte, offset flatbuffers.UOffsetT) *Member {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Seat{}
+	x := &Member{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsSeat(buf []byte, offset flatbuffers.UOffsetT) *Seat {
+func GetSizePrefixedRootAsMember(buf []byte, offset flatbuffers.UOffsetT) *Member {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Seat{}
+	x := &Member{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Seat) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Member) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Seat) Table() flatbuffers.Table {
+func (rcv *Member) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Seat) Id() uint64 {
+func (rcv *Member) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -41,11 +41,11 @@
 	return 0
 }
 
-func (rcv *Seat) MutateId(n uint64) bool {
+func (rcv *Member) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Seat) Addr() []byte {
+func (rcv *Member) Address() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (rcv *Seat) Locality() []byte {
+func (rcv *Member) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -61,18 +61,18 @@
 	return nil
 }
 
-func SeatStart(builder *flatbuffers.Builder) {
+func MemberStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func SeatAddId(builder *flatbuffers.Builder, id uint64) {
+func MemberAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func SeatAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
+func MemberAddAddress(builder *flatbuffers.Builder, address flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(address), 0)
 }
-func SeatAddLocality(builder *flatbuffers.Builder, locality flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(locality), 0)
+func MemberAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(zone), 0)
 }
-func SeatEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MemberEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/coord/rpc/rpcfb/Note.go
+++ b/coord/rpc/rpcfb/Message.go
@@ -6,34 +6,34 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Note struct {
+type Message struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNote(buf []byte, offset flatbuffers.UOffsetT) *Note {
+func GetRootAsMessage(buf []byte, offset flatbuffers.UOffsetT) *Message {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Note{}
+	x := &Message{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNote(buf []byte, offset flatbuffers.UOffsetT) *Note {
+func GetSizePrefixedRootAsMessage(buf []byte, offset flatbuffers.UOffsetT) *Message {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Note{}
+	x := &Message{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Note) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Message) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Note) Table() flatbuffers.Table {
+func (rcv *Message) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Note) Kind() uint16 {
+func (rcv *Message) Kind() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -41,11 +41,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateKind(n uint16) bool {
+func (rcv *Message) MutateKind(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(4, n)
 }
 
-func (rcv *Note) Call() uint64 {
+func (rcv *Message) Call() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -53,11 +53,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateCall(n uint64) bool {
+func (rcv *Message) MutateCall(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Note) Answer() bool {
+func (rcv *Message) Answer() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -65,11 +65,11 @@
 	return false
 }
 
-func (rcv *Note) MutateAnswer(n bool) bool {
+func (rcv *Message) MutateAnswer(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *Note) Ok() bool {
+func (rcv *Message) Ok() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -77,16 +77,16 @@
 	return false
 }
 
-func (rcv *Note) MutateOk(n bool) bool {
+func (rcv *Message) MutateOk(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *Note) From(obj *Seat) *Seat {
+func (rcv *Message) From(obj *Member) *Member {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Seat)
+			obj = new(Member)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (rcv *Note) To() uint64 {
+func (rcv *Message) To() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -102,11 +102,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateTo(n uint64) bool {
+func (rcv *Message) MutateTo(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *Note) Epoch() uint64 {
+func (rcv *Message) Epoch() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -114,11 +114,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateEpoch(n uint64) bool {
+func (rcv *Message) MutateEpoch(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func (rcv *Note) Ballot() uint64 {
+func (rcv *Message) Ballot() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -126,11 +126,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateBallot(n uint64) bool {
+func (rcv *Message) MutateBallot(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(18, n)
 }
 
-func (rcv *Note) Number() uint64 {
+func (rcv *Message) Number() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -138,11 +138,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateNumber(n uint64) bool {
+func (rcv *Message) MutateNumber(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(20, n)
 }
 
-func (rcv *Note) Base() uint64 {
+func (rcv *Message) Base() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -150,11 +150,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateBase(n uint64) bool {
+func (rcv *Message) MutateBase(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(22, n)
 }
 
-func (rcv *Note) Span() uint64 {
+func (rcv *Message) Duration() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -162,11 +162,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateSpan(n uint64) bool {
+func (rcv *Message) MutateDuration(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(24, n)
 }
 
-func (rcv *Note) HeldBallot() uint64 {
+func (rcv *Message) HeldBallot() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -174,11 +174,11 @@
 	return 0
 }
 
-func (rcv *Note) MutateHeldBallot(n uint64) bool {
+func (rcv *Message) MutateHeldBallot(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(26, n)
 }
 
-func (rcv *Note) Word() []byte {
+func (rcv *Message) Text() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func (rcv *Note) Body(j int) byte {
+func (rcv *Message) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -195,7 +195,7 @@
 	return 0
 }
 
-func (rcv *Note) BodyLength() int {
+func (rcv *Message) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -203,7 +203,7 @@
 	return 0
 }
 
-func (rcv *Note) BodyBytes() []byte {
+func (rcv *Message) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func (rcv *Note) MutateBody(j int, n byte) bool {
+func (rcv *Message) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -220,7 +220,7 @@
 	return false
 }
 
-func (rcv *Note) Seats(obj *Seat, j int) bool {
+func (rcv *Message) Members(obj *Member, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -232,7 +232,7 @@
 	return false
 }
 
-func (rcv *Note) SeatsLength() int {
+func (rcv *Message) MembersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -240,60 +240,60 @@
 	return 0
 }
 
-func NoteStart(builder *flatbuffers.Builder) {
+func MessageStart(builder *flatbuffers.Builder) {
 	builder.StartObject(15)
 }
-func NoteAddKind(builder *flatbuffers.Builder, kind uint16) {
+func MessageAddKind(builder *flatbuffers.Builder, kind uint16) {
 	builder.PrependUint16Slot(0, kind, 0)
 }
-func NoteAddCall(builder *flatbuffers.Builder, call uint64) {
+func MessageAddCall(builder *flatbuffers.Builder, call uint64) {
 	builder.PrependUint64Slot(1, call, 0)
 }
-func NoteAddAnswer(builder *flatbuffers.Builder, answer bool) {
+func MessageAddAnswer(builder *flatbuffers.Builder, answer bool) {
 	builder.PrependBoolSlot(2, answer, false)
 }
-func NoteAddOk(builder *flatbuffers.Builder, ok bool) {
+func MessageAddOk(builder *flatbuffers.Builder, ok bool) {
 	builder.PrependBoolSlot(3, ok, false)
 }
-func NoteAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
+func MessageAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(from), 0)
 }
-func NoteAddTo(builder *flatbuffers.Builder, to uint64) {
+func MessageAddTo(builder *flatbuffers.Builder, to uint64) {
 	builder.PrependUint64Slot(5, to, 0)
 }
-func NoteAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func MessageAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(6, epoch, 0)
 }
-func NoteAddBallot(builder *flatbuffers.Builder, ballot uint64) {
+func MessageAddBallot(builder *flatbuffers.Builder, ballot uint64) {
 	builder.PrependUint64Slot(7, ballot, 0)
 }
-func NoteAddNumber(builder *flatbuffers.Builder, number uint64) {
+func MessageAddNumber(builder *flatbuffers.Builder, number uint64) {
 	builder.PrependUint64Slot(8, number, 0)
 }
-func NoteAddBase(builder *flatbuffers.Builder, base uint64) {
+func MessageAddBase(builder *flatbuffers.Builder, base uint64) {
 	builder.PrependUint64Slot(9, base, 0)
 }
-func NoteAddSpan(builder *flatbuffers.Builder, span uint64) {
-	builder.PrependUint64Slot(10, span, 0)
+func MessageAddDuration(builder *flatbuffers.Builder, duration uint64) {
+	builder.PrependUint64Slot(10, duration, 0)
 }
-func NoteAddHeldBallot(builder *flatbuffers.Builder, heldBallot uint64) {
+func MessageAddHeldBallot(builder *flatbuffers.Builder, heldBallot uint64) {
 	builder.PrependUint64Slot(11, heldBallot, 0)
 }
-func NoteAddWord(builder *flatbuffers.Builder, word flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(word), 0)
+func MessageAddText(builder *flatbuffers.Builder, text flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(text), 0)
 }
-func NoteAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
+func MessageAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(body), 0)
 }
-func NoteStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MessageStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func NoteAddSeats(builder *flatbuffers.Builder, seats flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(seats), 0)
+func MessageAddMembers(builder *flatbuffers.Builder, members flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(members), 0)
 }
-func NoteStartSeatsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MessageStartMembersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func NoteEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MessageEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -68,7 +68,7 @@
 	case len(path) == 3 && name == "DELETE v1/evacuation":
 		s.route(c, func(c *call) { s.evacuate(c, path[2], state.Return) })
 	default:
-		httpreply.Fault(w, errkind.New(errkind.NoPath, "no such call"))
+		httpreply.Error(w, errkind.New(errkind.NoRoute, "no such call"))
 	}
 }
 
@@ -89,7 +89,7 @@
 			return
 		}
 		if !s.worthWaiting(c) || !wait.Sleep(s.ctx, takeoverLook) {
-			httpreply.Fault(c.writer, errkind.New(errkind.Unready, "no primary is known"))
+			httpreply.Error(c.writer, errkind.New(errkind.Unavailable, "no primary is known"))
 			return
 		}
 	}
@@ -118,18 +118,18 @@
 
 func redirect(c *call, address string) {
 	c.writer.Header().Set("Location", "http://"+address+c.request.URL.RequestURI())
-	httpreply.JSON(c.writer, errkind.NotHere.Status(), map[string]string{"error": errkind.NotHere.Word()})
+	httpreply.JSON(c.writer, errkind.NotPrimary.Status(), map[string]string{"error": errkind.NotPrimary.Text()})
 }
 
 // fault answers an error. A member that is no longer primary points to the new one, if it knows it.
 func (s *Server) fault(c *call, err error) {
-	if errkind.KindOf(err) != errkind.NotHere {
-		httpreply.Fault(c.writer, err)
+	if errkind.KindOf(err) != errkind.NotPrimary {
+		httpreply.Error(c.writer, err)
 		return
 	}
 	address, mine := s.orders.Primary()
 	if mine || address == "" {
-		httpreply.Fault(c.writer, errkind.New(errkind.Unready, "no primary is known"))
+		httpreply.Error(c.writer, errkind.New(errkind.Unavailable, "no primary is known"))
 		return
 	}
 	redirect(c, address)
@@ -140,18 +140,18 @@
 	switch {
 	case err != nil:
 		s.fault(c, err)
-	case v.Doc.Epoch == 0:
-		httpreply.Fault(c.writer, errkind.New(errkind.NoPath, "no configuration yet"))
+	case v.Config.Revision == 0:
+		httpreply.Error(c.writer, errkind.New(errkind.NoRoute, "no configuration yet"))
 	default:
-		c.writer.Header().Set("ETag", strconv.Quote(strconv.FormatInt(v.Doc.Epoch, 10)))
-		httpreply.Bytes(c.writer, http.StatusOK, v.Doc.JSON())
+		c.writer.Header().Set("ETag", strconv.Quote(strconv.FormatInt(v.Config.Revision, 10)))
+		httpreply.Bytes(c.writer, http.StatusOK, v.Config.JSON())
 	}
 }
 
 func (s *Server) config(c *call, kind string) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, MaxConfigurationBytes))
 	if err != nil {
-		httpreply.Fault(c.writer, errkind.New(errkind.BadInput, "body can't be read whole"))
+		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "body can't be read whole"))
 		return
 	}
 	if after := time.Now().Add(afterLargeBody); len(body) > largeBody && c.deadline.Before(after) {
@@ -159,7 +159,7 @@
 	}
 	base, err := builtOn(c.request.Header.Get("If-Match"))
 	if err != nil {
-		httpreply.Fault(c.writer, err)
+		httpreply.Error(c.writer, err)
 		return
 	}
 	s.take(c, &Order{Kind: kind, Base: base, Body: body})
@@ -170,7 +170,7 @@
 	tag := strings.TrimPrefix(strings.TrimSpace(ifMatch), "W/")
 	base, err := strconv.ParseInt(strings.Trim(tag, `"`), 10, 64)
 	if err != nil || base < 0 {
-		return 0, errkind.New(errkind.BadInput, "If-Match must name the version built on")
+		return 0, errkind.New(errkind.InvalidInput, "If-Match must name the version built on")
 	}
 	return base, nil
 }
@@ -178,7 +178,7 @@
 func (s *Server) evacuate(c *call, segment, kind string) {
 	zone, err := url.PathUnescape(segment)
 	if err != nil || zone == "" {
-		httpreply.Fault(c.writer, errkind.New(errkind.BadInput, "no zone"))
+		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "no zone"))
 		return
 	}
 	s.take(c, &Order{Kind: kind, Zone: zone})
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -93,14 +93,14 @@
 }
 
 func TestFaultsHaveTheirAnswers(t *testing.T) {
-	for k, want := range map[errkind.Kind]int{errkind.Stale: 412, errkind.BadInput: 400, errkind.Unready: 503} {
+	for k, want := range map[errkind.Kind]int{errkind.VersionConflict: 412, errkind.InvalidInput: 400, errkind.Unavailable: 503} {
 		require.Equal(t, want, ask(&desk{here: true, fail: errkind.New(k, "x")}, "PUT", "/v1/config", "1", "{}").Code)
 	}
 	require.Equal(t, 404, ask(&desk{here: true}, "GET", "/v1/config", "", "").Code, "before the first configuration")
 }
 
 func TestAMemberThatIsNoLongerPrimaryPointsToTheNewOneOrSaysNothing(t *testing.T) {
-	d := &desk{here: true, fail: errkind.New(errkind.NotHere, "deposed")}
+	d := &desk{here: true, fail: errkind.New(errkind.NotPrimary, "deposed")}
 	d.after = func() { d.here, d.primary = false, "10.0.0.5:80" }
 	w := ask(d, "PUT", "/v1/config", "1", "{}")
 	require.Equal(t, http.StatusTemporaryRedirect, w.Code)
@@ -110,7 +110,7 @@
 		func(d *desk) { d.here, d.primary = false, "" },
 		func(d *desk) { d.primary = "10.0.0.4:80" }, // itself: nobody is to be sent round
 	} {
-		d := &desk{here: true, fail: errkind.New(errkind.NotHere, "deposed")}
+		d := &desk{here: true, fail: errkind.New(errkind.NotPrimary, "deposed")}
 		d.after = func() { after(d) }
 		w := ask(d, "PUT", "/v1/config", "1", "{}")
 		require.Equal(t, 503, w.Code, "a 307 must name somebody else")
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -23,22 +23,22 @@
 func Read(file string, localities map[string]string) ([]Window, error) {
 	f, err := os.Open(file)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.BadEnv, err, "calendar")
+		return nil, errkind.Wrap(errkind.InvalidSettings, err, "calendar")
 	}
 	defer f.Close()
 	c, err := ics.ParseCalendar(f)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.BadInput, err, "calendar")
+		return nil, errkind.Wrap(errkind.InvalidInput, err, "calendar")
 	}
 	var out []Window
 	for _, e := range c.Events() {
 		from, err := e.GetStartAt()
 		if err != nil {
-			return nil, errkind.Wrap(errkind.BadInput, err, "calendar: start of an event")
+			return nil, errkind.Wrap(errkind.InvalidInput, err, "calendar: start of an event")
 		}
 		to, err := e.GetEndAt()
 		if err != nil {
-			return nil, errkind.Wrap(errkind.BadInput, err, "calendar: end of an event")
+			return nil, errkind.Wrap(errkind.InvalidInput, err, "calendar: end of an event")
 		}
 		text := func(p ics.ComponentProperty) string {
 			if x := e.GetProperty(p); x != nil {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -32,19 +32,19 @@
 }
 
 // Doc is one whole configuration. It is never changed after it was made.
-type Doc struct {
-	Epoch int64
-	top   map[string]json.RawMessage
-	lists map[string]list
-	Pb    *configpb.Setup
+type Document struct {
+	Revision int64
+	top      map[string]json.RawMessage
+	lists    map[string]list
+	Pb       *configpb.Configuration
 }
 
 // Empty is the configuration before the first.
-func Empty() *Doc {
-	return &Doc{top: map[string]json.RawMessage{}, lists: map[string]list{fieldPaths: {items: map[string]json.RawMessage{}}, fieldPools: {items: map[string]json.RawMessage{}}}, Pb: &configpb.Setup{}}
+func Empty() *Document {
+	return &Document{top: map[string]json.RawMessage{}, lists: map[string]list{fieldPaths: {items: map[string]json.RawMessage{}}, fieldPools: {items: map[string]json.RawMessage{}}}, Pb: &configpb.Configuration{}}
 }
 
-func bad(format string, a ...any) error { return errkind.New(errkind.BadInput, format, a...) }
+func bad(format string, a ...any) error { return errkind.New(errkind.InvalidInput, format, a...) }
 
 // object reads one whole JSON object in which no name stands twice.
 func object(b []byte) (map[string]json.RawMessage, error) {
@@ -139,17 +139,17 @@
 }
 
 // begin reads what an order holds and starts the configuration that it makes.
-func begin(b []byte) (n *Doc, m map[string]json.RawMessage, err error) {
+func begin(b []byte) (n *Document, m map[string]json.RawMessage, err error) {
 	if m, err = object(b); err != nil {
 		return nil, nil, err
 	}
-	n = &Doc{top: map[string]json.RawMessage{}, lists: map[string]list{}}
-	n.Epoch, err = epochOf(m)
+	n = &Document{top: map[string]json.RawMessage{}, lists: map[string]list{}}
+	n.Revision, err = epochOf(m)
 	return n, m, err
 }
 
 // Put makes the configuration that a whole one sent on top of d gives.
-func (d *Doc) Put(b []byte) (*Doc, error) {
+func (d *Document) Put(b []byte) (*Document, error) {
 	n, m, err := begin(b)
 	if err != nil {
 		return nil, err
@@ -174,7 +174,7 @@
 }
 
 // Patch makes the configuration that named changes on top of d give.
-func (d *Doc) Patch(b []byte) (*Doc, error) {
+func (d *Document) Patch(b []byte) (*Document, error) {
 	n, m, err := begin(b)
 	if err != nil {
 		return nil, err
@@ -198,7 +198,7 @@
 	return n, n.check(d)
 }
 
-func (d *Doc) remove(b json.RawMessage) error {
+func (d *Document) remove(b json.RawMessage) error {
 	if b == nil {
 		return nil
 	}
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func (d *Doc) upsert(b json.RawMessage) error {
+func (d *Document) upsert(b json.RawMessage) error {
 	if b == nil {
 		return nil
 	}
@@ -256,9 +256,9 @@
 }
 
 // JSON gives the whole configuration as it was sent, item by item.
-func (d *Doc) JSON() []byte {
+func (d *Document) JSON() []byte {
 	var o bytes.Buffer
-	o.WriteString(`{"` + fieldEpoch + `":` + strconv.FormatInt(d.Epoch, 10))
+	o.WriteString(`{"` + fieldEpoch + `":` + strconv.FormatInt(d.Revision, 10))
 	for _, k := range []string{fieldPaths, fieldPools} {
 		o.WriteString(`,"` + k + `":[`)
 		for i, n := range d.lists[k].order {
@@ -286,11 +286,11 @@
 }
 
 // check holds the merged whole against the rules of validity; before is what it builds on.
-func (d *Doc) check(before *Doc) error {
-	if before != nil && d.Epoch <= before.Epoch {
-		return bad("%s %d is not above %d", fieldEpoch, d.Epoch, before.Epoch)
+func (d *Document) check(before *Document) error {
+	if before != nil && d.Revision <= before.Revision {
+		return bad("%s %d is not above %d", fieldEpoch, d.Revision, before.Revision)
 	}
-	p := &configpb.Setup{}
+	p := &configpb.Configuration{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(d.JSON(), p); err != nil {
 		return bad("can't be read: %v", err)
 	}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	n, err := d.Patch([]byte(`{"revision":8,"upsert":{"route_table":[{"name":"c","hostname":"h","path_prefix":"/c/","timeout_ms":1,"backend_pool":"s"},{"name":"a","hostname":"h","path_prefix":"/z/","timeout_ms":1,"backend_pool":"s"}]},"remove":{"route_table":["b","never"]}}`))
 	require.NoError(t, err)
-	require.Equal(t, int64(8), n.Epoch)
+	require.Equal(t, int64(8), n.Revision)
 	require.Len(t, n.Pb.RouteTable, 2)
 	require.Equal(t, "/z/", n.Pb.RouteTable[0].PathPrefix)
 	require.Equal(t, "c", n.Pb.RouteTable[1].Name)
@@ -51,7 +51,7 @@
 		require.NotEqual(t, up, b, x.old)
 		_, err := d.Put([]byte(b))
 		require.Error(t, err, x.now)
-		require.Equal(t, errkind.BadInput, errkind.KindOf(err), x.now)
+		require.Equal(t, errkind.InvalidInput, errkind.KindOf(err), x.now)
 	}
 	for _, p := range []string{`{"revision":6,"remove":{"backend_pools":["s"]}}`, `{"revision":6,"remove":{"nothing":["s"]}}`, `{"revision":6,"upsert":{"route_table":{}}}`, `{"revision":6,"upsert":7}`} {
 		_, err := d.Patch([]byte(p))
@@ -84,7 +84,7 @@
 		}
 		n, err := Empty().Put(d.JSON())
 		require.NoError(t, err, "what was taken can be read again")
-		require.Equal(t, d.Epoch, n.Epoch)
+		require.Equal(t, d.Revision, n.Revision)
 	})
 }
 
--- a/internal/configcheck/check.go
+++ b/internal/configcheck/check.go
@@ -14,10 +14,10 @@
 	if view == nil {
 		view = state.EmptyView()
 	}
-	report.Current = view.Doc.Epoch
-	doc, err := view.Doc.Put(body)
+	report.Current = view.Config.Revision
+	doc, err := view.Config.Put(body)
 	if doc != nil {
-		report.Revision = doc.Epoch
+		report.Revision = doc.Revision
 	}
 	if err != nil {
 		report.add(gradeError, "configuration", "%s", err)
--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -20,9 +20,9 @@
 	t.Helper()
 	v := state.EmptyView()
 	var err error
-	v.Doc, err = v.Doc.Put([]byte(strings.Replace(strings.Replace(conf, `"revision":9`, `"revision":5`, 1), `"backend_pool":"u"`, `"backend_pool":"s"`, 1)))
+	v.Config, err = v.Config.Put([]byte(strings.Replace(strings.Replace(conf, `"revision":9`, `"revision":5`, 1), `"backend_pool":"u"`, `"backend_pool":"s"`, 1)))
 	require.NoError(t, err)
-	v.Fleet, v.Listed = 4, true
+	v.FleetSize, v.Listed = 4, true
 	v.Replicas["1"] = &state.Replica{ID: "1", Pool: "s", State: "ready", Zone: "n", Slots: 8}
 	v.Replicas["2"] = &state.Replica{ID: "2", Pool: "u", State: "ready", Zone: "z", Slots: 8}
 	return v
@@ -40,7 +40,7 @@
 	require.True(t, r.Bad())
 	require.Contains(t, texts(r), "route b: changes service from [s] to [u]")
 	require.Contains(t, texts(r), "max_connections 2 is below the 4 nodes")
-	v.Evac["z"] = true
+	v.Evacuated["z"] = true
 	require.Contains(t, texts(Check([]byte(conf), v, nil)), "service u: has ready replicas in evacuated localities only")
 	v.Replicas["2"].State = "draining"
 	require.Contains(t, texts(Check([]byte(conf), v, nil)), "service u: has no ready replica")
@@ -51,7 +51,7 @@
 
 func TestFineOnesHaveNotesAtMost(t *testing.T) {
 	v := view(t)
-	same := string(v.Doc.JSON())
+	same := string(v.Config.JSON())
 	r := Check([]byte(strings.Replace(same, `"revision":5`, `"revision":6`, 1)), v, []calendar.Window{{Locality: "n", What: "racks"}})
 	require.False(t, r.Bad(), texts(r))
 	require.Contains(t, texts(r), "maintenance")
@@ -77,7 +77,7 @@
 	body := string(v.Encode())
 	got, err := Fetch("x:1", time.Minute, one("HTTP/1.1 200 OK\r\n\r\n"+body))
 	require.NoError(t, err)
-	require.Equal(t, v.Doc.Epoch, got.Doc.Epoch)
+	require.Equal(t, v.Config.Revision, got.Config.Revision)
 	require.Len(t, got.Replicas, 2)
 	_, err = Fetch("x:1", time.Minute, one("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"))
 	require.ErrorContains(t, err, "answer 503")
--- a/internal/configcheck/fetch.go
+++ b/internal/configcheck/fetch.go
@@ -23,15 +23,15 @@
 	client := &http.Client{Timeout: timeout, Transport: transport}
 	response, err := client.Get("http://" + page + "/fleet")
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "the fleet could not be asked")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "the fleet could not be asked")
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "the fleet could not be asked")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "the fleet could not be asked")
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errkind.New(errkind.Unready, "the fleet could not be asked: answer %d", response.StatusCode)
+		return nil, errkind.New(errkind.Unavailable, "the fleet could not be asked: answer %d", response.StatusCode)
 	}
 	return state.DecodeView(body)
 }
--- a/internal/configcheck/fleet.go
+++ b/internal/configcheck/fleet.go
@@ -10,8 +10,8 @@
 )
 
 // checkFleet adds the findings about a configuration that come from the fleet.
-func checkFleet(report *Report, doc *config.Doc, view *state.View) {
-	compareRoutes(report, view.Doc.Pb.RouteTable, doc.Pb.RouteTable)
+func checkFleet(report *Report, doc *config.Document, view *state.View) {
+	compareRoutes(report, view.Config.Pb.RouteTable, doc.Pb.RouteTable)
 	pools := map[string]*configpb.Service{}
 	for _, pool := range doc.Pb.BackendPools {
 		pools[pool.Name] = pool
@@ -19,17 +19,17 @@
 	for _, name := range usedServices(doc.Pb.RouteTable) {
 		capacity := capacityOf(name, view)
 		checkReady(report, name, capacity)
-		checkConnections(report, pools[name], capacity, view.Fleet)
+		checkConnections(report, pools[name], capacity, view.FleetSize)
 	}
-	for _, zone := range sortedKeys(view.Evac) {
+	for _, zone := range sortedKeys(view.Evacuated) {
 		report.add(gradeNote, "locality "+zone, "is evacuated")
 	}
 	report.sortBySubject()
 }
 
 // compareRoutes reports what a new table of routes changes.
-func compareRoutes(report *Report, current, proposed []*configpb.Path) {
-	removed := map[string]*configpb.Path{}
+func compareRoutes(report *Report, current, proposed []*configpb.Route) {
+	removed := map[string]*configpb.Route{}
 	for _, route := range current {
 		removed[route.Name] = route
 	}
@@ -43,7 +43,7 @@
 }
 
 // compareRoute reports how a route differs from its current form, nil if it is new.
-func compareRoute(report *Report, current, proposed *configpb.Path) {
+func compareRoute(report *Report, current, proposed *configpb.Route) {
 	about := "route " + proposed.Name
 	if current == nil {
 		report.add(gradeNote, about, "is new")
@@ -60,7 +60,7 @@
 }
 
 // servicesOf is the set of services that a route sends requests to.
-func servicesOf(route *configpb.Path) map[string]bool {
+func servicesOf(route *configpb.Route) map[string]bool {
 	services := map[string]bool{}
 	for _, backend := range route.WeightedBackends {
 		if backend.Weight > 0 {
@@ -74,7 +74,7 @@
 }
 
 // usedServices lists, in order, the services that any route uses.
-func usedServices(routes []*configpb.Path) []string {
+func usedServices(routes []*configpb.Route) []string {
 	used := map[string]bool{}
 	for _, route := range routes {
 		for name := range servicesOf(route) {
@@ -98,7 +98,7 @@
 			continue
 		}
 		capacity.ready++
-		if !view.Evac[replica.Zone] {
+		if !view.Evacuated[replica.Zone] {
 			capacity.open++
 			capacity.slots += replica.Slots
 		}
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -62,7 +62,7 @@
 		{"whole", 3, 12}, {"torn", 3, 12}, {"interrupted", 3, 12}, {"witness", 7, 0}, {"joined", 5, 9}, {"fresh", 0, 0},
 	} {
 		c := openRecorded(t, x.folder)
-		recording.Same(x.folder, c.state.Checkpoint())
+		recording.Same(x.folder, c.state.Snapshot())
 		require.Equal(t, x.index, core.Index(c.replica.State().Index), x.folder)
 		if x.view == 0 {
 			require.Nil(t, c.View(), x.folder)
@@ -84,7 +84,7 @@
 	require.Nil(t, c.handle(nil, read))
 	require.ElementsMatch(t, loads, c.deck.Total(time.Now()))
 
-	lend := &rpc.Message{Kind: rpc.Lend, Call: 0x8005, Word: "service-1", Number: 3}
+	lend := &rpc.Message{Kind: rpc.Loan, Call: 0x8005, Text: "service-1", Number: 3}
 	read, err = rpc.Decode(recording.Same("lend", lend.Encode()))
 	require.NoError(t, err)
 	recording.Same("lend-refused", c.handle(nil, read).Encode())
@@ -104,10 +104,10 @@
 	opened, err := store.Open(store.OSFiles{}, dir, false)
 	require.NoError(t, err)
 	defer opened.Close()
-	b := state.NewOrderBook()
+	b := state.NewOrderStore()
 	require.NoError(t, b.Restore(opened.Load().Snapshot.Data))
 	for _, entry := range opened.Load().Entries {
-		require.NoError(t, b.Fold(entry.Data))
+		require.NoError(t, b.Update(entry.Data))
 	}
-	recording.Same("whole", b.Checkpoint())
+	recording.Same("whole", b.Snapshot())
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -43,10 +43,10 @@
 	log      *slog.Logger
 	settings *settings.Settings
 	net      rpc.Net
-	lines    *rpc.Lines
+	lines    *rpc.Pool
 
-	state    *state.Book // the replicated state: configuration, evacuations, orders taken
-	news     *state.Book // what followers are told: that and the replica list, the fleet, the members
+	state    *state.Store // the replicated state: configuration, evacuations, orders taken
+	news     *state.Store // what followers are told: that and the replica list, the fleet, the members
 	replica  replica
 	feed     *distribution.Feed
 	follower *distribution.Follower
@@ -82,8 +82,8 @@
 		log:      log,
 		settings: p.Env,
 		net:      p.Net,
-		state:    state.NewOrderBook(),
-		news:     state.NewBook(false),
+		state:    state.NewOrderStore(),
+		news:     state.NewStore(false),
 		grantor:  lease.NewGrantor(),
 		reader:   discovery.NewReader(p.Env.Cloud.Address, p.Net.Dial),
 		differ:   discovery.NewDiffer(),
@@ -92,7 +92,7 @@
 		deck:     loadsum.NewSum(),
 		fleet:    map[string]time.Time{},
 	}
-	c.lines = rpc.NewLines(ctx, p.Net, c.handle)
+	c.lines = rpc.NewPool(ctx, p.Net, c.handle)
 	c.feed = distribution.NewFeed(ctx, log, c.news, func(uint64, uint64) {
 		if c.follower != nil {
 			c.follower.Tell()
@@ -107,7 +107,7 @@
 	c.follower.Carry(c.carry)
 	c.follower.Others(c.spread)
 	c.duty = lease.NewHolder(ctx, "list", member.Self(), c.lines, c.witnesses, c.wantsDuty, c.grantor)
-	c.state.Watch(c.committed)
+	c.state.OnChange(c.committed)
 	return c, nil
 }
 
@@ -205,16 +205,16 @@
 	switch n.Kind {
 	case rpc.Lease:
 		return c.grantor.Handle(n)
-	case rpc.Follow:
+	case rpc.Subscribe:
 		c.feed.Follow(ch, n)
-	case rpc.Heard:
+	case rpc.UpdateAck:
 		c.hear(n.Body)
 		c.feed.Ack(ch, n)
 	case rpc.Suspect:
 		c.suspect(n)
-	case rpc.Lend:
+	case rpc.Loan:
 		return c.lend(n)
-	case rpc.Deck:
+	case rpc.LoadSums:
 		c.deck.Put(n.From.ID, loadsum.Decode(n.Body), time.Now())
 	}
 	return nil
--- a/internal/controller/figures.go
+++ b/internal/controller/figures.go
@@ -24,9 +24,9 @@
 		gauge("news_epoch", "Life of the news.", float64(ep)),
 		gauge("news_number", "Newest change of this life.", float64(num)),
 		gauge("news_acked_number", "Newest change that every follower has taken.", float64(c.feed.Acked())),
-		gauge("setup_revision", "Revision of the configuration held.", float64(c.state.View().Doc.Epoch)),
-		gauge("evacuated_zones", "Zones that take nothing more.", float64(len(c.state.View().Evac))),
+		gauge("setup_revision", "Revision of the configuration held.", float64(c.state.View().Config.Revision)),
+		gauge("evacuated_zones", "Zones that take nothing more.", float64(len(c.state.View().Evacuated))),
 		gauge("replicas", "Replicas on the list.", float64(len(v.Replicas))),
-		gauge("fleet_nodes", "Routers that share the budgets.", float64(v.Fleet)),
+		gauge("fleet_nodes", "Routers that share the budgets.", float64(v.FleetSize)),
 	}
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -40,10 +40,10 @@
 	}
 	var hs []state.Controller
 	for _, s := range c.replica.Members() {
-		hs = append(hs, state.Controller{Addr: s.Address, Zone: s.Zone})
+		hs = append(hs, state.Controller{Address: s.Address, Zone: s.Zone})
 	}
-	if !slices.Equal(hs, v.Houses) {
-		c.publish(&state.Event{Kind: state.Houses, Houses: hs})
+	if !slices.Equal(hs, v.Controllers) {
+		c.publish(&state.Event{Kind: state.Controllers, Controllers: hs})
 	}
 }
 
@@ -57,15 +57,15 @@
 		return
 	}
 	for _, s := range c.feed.Reached() {
-		if s.Address == n.Word {
+		if s.Address == n.Text {
 			return
 		}
 	}
 	c.mu.Lock()
-	_, known := c.fleet[n.Word]
+	_, known := c.fleet[n.Text]
 	if known && len(c.fleet)-1 >= c.most-c.most/failuredetector.SuspectDivisor {
-		delete(c.fleet, n.Word)
-		c.log.Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Word)
+		delete(c.fleet, n.Text)
+		c.log.Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Text)
 	}
 	c.mu.Unlock()
 }
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -18,7 +18,7 @@
 		if !ok || n.OK || s.ID == c.replica.Self().ID {
 			return n.Reply(false)
 		}
-		a, err := c.lines.Call(s.Address, &rpc.Message{Kind: rpc.Lend, OK: true, Word: n.Word, Number: n.Number}, fairshare.LoanTimeout)
+		a, err := c.lines.Call(s.Address, &rpc.Message{Kind: rpc.Loan, OK: true, Text: n.Text, Number: n.Number}, fairshare.LoanTimeout)
 		if err != nil {
 			return n.Reply(false)
 		}
@@ -28,7 +28,7 @@
 	if !held {
 		return n.Reply(false)
 	}
-	lent := c.lender.Lend(n.Word, int64(min(n.Number, fairshare.LoanRetries)), since, time.Now())
+	lent := c.lender.Lend(n.Text, int64(min(n.Number, fairshare.LoanRetries)), since, time.Now())
 	if !c.duty.Held() { // this process may have stood still in between
 		return n.Reply(false)
 	}
--- a/internal/controller/loadsum.go
+++ b/internal/controller/loadsum.go
@@ -35,7 +35,7 @@
 }
 
 func (c *Controller) deckNote(ps []loadsum.Load) *rpc.Message {
-	return &rpc.Message{Kind: rpc.Deck, From: c.replica.Self(), Body: loadsum.Encode(ps)}
+	return &rpc.Message{Kind: rpc.LoadSums, From: c.replica.Self(), Body: loadsum.Encode(ps)}
 }
 
 func services(v *state.View) *loadsum.Services {
@@ -49,7 +49,7 @@
 
 // spread passes the primary's word on to this relay's followers.
 func (c *Controller) spread(n *rpc.Message) {
-	if n.Kind == rpc.Deck {
+	if n.Kind == rpc.LoadSums {
 		c.feed.Spread(n)
 	}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -27,7 +27,7 @@
 	event := eventOf(order)
 	decide := func() ([]byte, error) {
 		if order.Over(time.Now()) {
-			return nil, errkind.New(errkind.Unready, "nobody waits for the answer any more")
+			return nil, errkind.New(errkind.Unavailable, "nobody waits for the answer any more")
 		}
 		return decideOn(c.state.View(), event)
 	}
@@ -35,7 +35,7 @@
 		return err
 	}
 	if anotherWon(c.state.View(), event) {
-		return errkind.New(errkind.Unready, "another order on this version is in force")
+		return errkind.New(errkind.Unavailable, "another order on this version is in force")
 	}
 	c.awaitFollowers(ctx, order.Deadline)
 	return nil
@@ -58,10 +58,10 @@
 	case state.Taken:
 		return nil, nil
 	case state.Forgotten:
-		return nil, errkind.New(errkind.Unready, "whether an order on version %d was taken is no longer known", event.Base)
+		return nil, errkind.New(errkind.Unavailable, "whether an order on version %d was taken is no longer known", event.Base)
 	}
-	if event.Base != view.Doc.Epoch {
-		return nil, errkind.New(errkind.Stale, "version %d is current", view.Doc.Epoch)
+	if event.Base != view.Config.Revision {
+		return nil, errkind.New(errkind.VersionConflict, "version %d is current", view.Config.Revision)
 	}
 	if _, err := view.Next(event); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 }
 
 func decideEvacuation(view *state.View, event *state.Event) ([]byte, error) {
-	if view.Evac[event.Zone] == (event.Kind == state.Evacuate) {
+	if view.Evacuated[event.Zone] == (event.Kind == state.Evacuate) {
 		return nil, nil
 	}
 	return event.Encode(), nil
@@ -81,7 +81,7 @@
 	if event.Kind != state.Put && event.Kind != state.Patch {
 		return false
 	}
-	return event.Base < view.Doc.Epoch && view.Verdict(event) == state.NotTaken
+	return event.Base < view.Config.Revision && view.Verdict(event) == state.NotTaken
 }
 
 // awaitFollowers waits a little until the connected followers have what was pushed up to now.
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -23,12 +23,12 @@
 // taken gives the view after orders that are all taken.
 func taken(t *testing.T, orders ...*adminapi.Order) *state.View {
 	t.Helper()
-	b := state.NewOrderBook()
+	b := state.NewOrderStore()
 	for _, o := range orders {
 		entry, err := decideOn(b.View(), eventOf(o))
 		require.NoError(t, err)
 		require.NotNil(t, entry)
-		require.NoError(t, b.Fold(entry))
+		require.NoError(t, b.Update(entry))
 	}
 	return b.View()
 }
@@ -44,10 +44,10 @@
 		{"the next", changeTo(7, 8, "c"), errkind.None, true},
 		{"the newest again", changeTo(5, 7, "b"), errkind.None, false},
 		{"an older one again", changeTo(0, 5, "a"), errkind.None, false},
-		{"one that lost", changeTo(5, 7, "other"), errkind.Stale, false},
-		{"on a version that never was", changeTo(6, 8, "c"), errkind.Stale, false},
-		{"on a version to come", changeTo(9, 10, "c"), errkind.Stale, false},
-		{"with a number that is not above", changeTo(7, 7, "c"), errkind.BadInput, false},
+		{"one that lost", changeTo(5, 7, "other"), errkind.VersionConflict, false},
+		{"on a version that never was", changeTo(6, 8, "c"), errkind.VersionConflict, false},
+		{"on a version to come", changeTo(9, 10, "c"), errkind.VersionConflict, false},
+		{"with a number that is not above", changeTo(7, 7, "c"), errkind.InvalidInput, false},
 	} {
 		entry, err := decideOn(view, eventOf(x.order))
 		require.Equal(t, x.kind, errkind.KindOf(err), x.name)
@@ -56,25 +56,25 @@
 }
 
 func TestAnOrderOlderThanTheMemoryIsUnclear(t *testing.T) {
-	b := state.NewBook(false) // it keeps no memory, as a checkpoint of an older version
-	require.NoError(t, b.Fold(eventOf(changeTo(0, 5, "a")).Encode()))
-	newer := state.NewOrderBook()
-	require.NoError(t, newer.Restore(b.Checkpoint()))
+	b := state.NewStore(false) // it keeps no memory, as a checkpoint of an older version
+	require.NoError(t, b.Update(eventOf(changeTo(0, 5, "a")).Encode()))
+	newer := state.NewOrderStore()
+	require.NoError(t, newer.Restore(b.Snapshot()))
 	for _, o := range []*adminapi.Order{changeTo(0, 5, "a"), changeTo(0, 5, "lost")} {
 		_, err := decideOn(newer.View(), eventOf(o))
-		require.Equal(t, errkind.Unready, errkind.KindOf(err))
+		require.Equal(t, errkind.Unavailable, errkind.KindOf(err))
 	}
 }
 
 func TestTwoEntriesForOneVersionAcknowledgeOneOrder(t *testing.T) {
 	first, second := eventOf(changeTo(0, 5, "a")), eventOf(changeTo(0, 6, "b"))
-	b := state.NewOrderBook()
+	b := state.NewOrderStore()
 	for _, e := range []*state.Event{first, second} {
-		entry, err := decideOn(state.NewOrderBook().View(), e) // both were decided on the same state
+		entry, err := decideOn(state.NewOrderStore().View(), e) // both were decided on the same state
 		require.NoError(t, err)
 		b.Apply(entry)
 	}
-	require.Equal(t, int64(5), b.View().Doc.Epoch)
+	require.Equal(t, int64(5), b.View().Config.Revision)
 	require.False(t, anotherWon(b.View(), first))
 	require.True(t, anotherWon(b.View(), second))
 }
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -33,7 +33,7 @@
 		v := *c.news.View()
 		if _, primary := c.replica.Active(); primary {
 			o := c.state.View()
-			v.Doc, v.Evac = o.Doc, o.Evac
+			v.Config, v.Evacuated = o.Config, o.Evacuated
 		}
 		v.Orders = nil
 		httpreply.Bytes(w, http.StatusOK, v.Encode())
@@ -45,7 +45,7 @@
 		"maintenance": c.maintenance(),
 		"program":     "controller", "version": version.Number, "node": c.settings.NodeName, "replication": c.replica.State(),
 		"news":           map[string]any{"epoch": ep, "number": num, "acked": c.feed.Acked(), "source": c.follower.Source(), "live": c.Acting()},
-		"setup_revision": c.state.View().Doc.Epoch, "evacuated": c.state.View().Evac, "replicas": len(v.Replicas), "fleet": v.Fleet,
+		"setup_revision": c.state.View().Config.Revision, "evacuated": c.state.View().Evacuated, "replicas": len(v.Replicas), "fleet": v.FleetSize,
 		"list_duty": c.duty.Held(), "suspects": c.jury.Told(), "list_calls": c.polls.Load(), "list_failures": c.fails.Load(),
 	})
 }
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -30,9 +30,9 @@
 	view.Orders = nil // followers decide on no orders
 	view.Replicas = heard.Replicas
 	view.Listed = heard.Listed
-	view.Fleet = heard.Fleet
+	view.FleetSize = heard.FleetSize
 	view.Nodes = heard.Nodes
-	view.Houses = heard.Houses
+	view.Controllers = heard.Controllers
 	return view.Encode()
 }
 
--- a/internal/discovery/differ.go
+++ b/internal/discovery/differ.go
@@ -24,7 +24,7 @@
 	seen := make(map[string]bool, len(listed))
 	for _, replica := range listed {
 		seen[replica.ID] = true
-		if !replica.Same(known[replica.ID]) {
+		if !replica.Equal(known[replica.ID]) {
 			event.Replicas = append(event.Replicas, replica)
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -89,10 +89,10 @@
 	e = d.Diff(known, true, []*state.Replica{a})
 	require.Equal(t, []string{"b"}, e.Gone)
 	warm := *a
-	warm.ColdMs = 900
+	warm.WarmupLeftMs = 900
 	require.Len(t, d.Diff(known, true, []*state.Replica{&warm, b}).Replicas, 1)
 	cooler := warm
-	cooler.ColdMs = 100
+	cooler.WarmupLeftMs = 100
 	known["a"] = &warm
 	require.Nil(t, d.Diff(known, true, []*state.Replica{&cooler, b}), "still cold is no news")
 }
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -67,7 +67,7 @@
 		}
 		token = *page.Next
 	}
-	return nil, errkind.New(errkind.BadInput, "platform: the list has no end")
+	return nil, errkind.New(errkind.InvalidInput, "platform: the list has no end")
 }
 
 // fetch gets the page with a token, the first one if it is empty.
@@ -82,15 +82,15 @@
 	}
 	response, err := r.client.Do(request)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "platform")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "platform")
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	_ = response.Body.Close()
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "platform")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "platform")
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errkind.New(errkind.Unready, "platform answered %d", response.StatusCode)
+		return nil, errkind.New(errkind.Unavailable, "platform answered %d", response.StatusCode)
 	}
 	return body, nil
 }
@@ -99,11 +99,11 @@
 func parsePage(body []byte) (*page, error) {
 	parsed := &page{}
 	if err := json.Unmarshal(body, parsed); err != nil || parsed.Replicas == nil {
-		return nil, errkind.New(errkind.BadInput, "platform: page can't be read")
+		return nil, errkind.New(errkind.InvalidInput, "platform: page can't be read")
 	}
 	for _, replica := range *parsed.Replicas {
-		if replica == nil || replica.ID == "" || replica.Addr == "" || replica.Pool == "" {
-			return nil, errkind.New(errkind.BadInput, "platform: entry without id, address or service")
+		if replica == nil || replica.ID == "" || replica.Address == "" || replica.Pool == "" {
+			return nil, errkind.New(errkind.InvalidInput, "platform: entry without id, address or service")
 		}
 	}
 	return parsed, nil
--- a/internal/emulator/addresses.go
+++ b/internal/emulator/addresses.go
@@ -50,7 +50,7 @@
 			return nil, err
 		}
 	}
-	return nil, errkind.New(errkind.BadEnv, "experiment: no free loopback address was found")
+	return nil, errkind.New(errkind.InvalidSettings, "experiment: no free loopback address was found")
 }
 
 // firstAddress is the given address, or a random one of 127.16.0.1 to
@@ -86,7 +86,7 @@
 // machine gives the address of a new machine in a zone.
 func (p *addressPool) machine(zone string) (string, error) {
 	if p.used >= yardHosts {
-		return "", errkind.New(errkind.BadEnv, "experiment: too many machines")
+		return "", errkind.New(errkind.InvalidSettings, "experiment: too many machines")
 	}
 	ip := p.ip(p.used)
 	p.used++
@@ -106,7 +106,7 @@
 func listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, errkind.New(errkind.BadEnv, "address %s is taken or can't be used: %v", address, err)
+		return nil, errkind.New(errkind.InvalidSettings, "address %s is taken or can't be used: %v", address, err)
 	}
 	return listener, nil
 }
--- a/internal/emulator/await.go
+++ b/internal/emulator/await.go
@@ -14,7 +14,7 @@
 
 const readinessPath = "/v1/readiness"
 
-var errInterrupted = errkind.New(errkind.Unready, "interrupted")
+var errInterrupted = errkind.New(errkind.Unavailable, "interrupted")
 
 // probes is the client for what is asked of the emulated machines beside the
 // traffic.
@@ -40,7 +40,7 @@
 	end := time.Now().Add(timeout)
 	for !met() {
 		if time.Now().After(end) {
-			return errkind.New(errkind.Unready, "%s within %s", complaint, timeout)
+			return errkind.New(errkind.Unavailable, "%s within %s", complaint, timeout)
 		}
 		if !wait.Sleep(ctx, yardLook) {
 			return errInterrupted
@@ -85,7 +85,7 @@
 	select {
 	case err := <-d.done:
 		d.done <- err
-		return true, errkind.Wrap(errkind.BadEnv, err, d.name+" ended")
+		return true, errkind.Wrap(errkind.InvalidSettings, err, d.name+" ended")
 	default:
 		return false, nil
 	}
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -168,13 +168,13 @@
 	for i := range count {
 		id := componentReplica(i)
 		replicas[id] = &state.Replica{
-			ID:     id,
-			Pool:   "p",
-			Addr:   "10.0.0.1:1",
-			Zone:   fmt.Sprint(i % 3),
-			Slots:  replicaSlots,
-			State:  string(replicaReady),
-			Models: []state.Model{{Name: "m", Revision: firstRevision}},
+			ID:      id,
+			Pool:    "p",
+			Address: "10.0.0.1:1",
+			Zone:    fmt.Sprint(i % 3),
+			Slots:   replicaSlots,
+			State:   string(replicaReady),
+			Models:  []state.Model{{Name: "m", Revision: firstRevision}},
 		}
 	}
 	return replicas
@@ -211,17 +211,17 @@
 func measureFolding(x float64) values {
 	size := targetSize
 	size.Routes = int(x)
-	book := state.NewBook(true)
-	book.Watch(func(old, now *state.View, _ *state.Event) {
-		if old.Doc != now.Doc {
-			routing.Compile(now.Doc)
+	book := state.NewStore(true)
+	book.OnChange(func(old, now *state.View, _ *state.Event) {
+		if old.Config != now.Config {
+			routing.Compile(now.Config)
 		}
 	})
 	first := size.configuration()
 	first.Revision = 1
 	body, _ := json.Marshal(first)
 	heap, _ := cost(func() any {
-		book.Fold((&state.Event{Kind: state.Put, Body: body}).Encode())
+		book.Update((&state.Event{Kind: state.Put, Body: body}).Encode())
 		return book
 	})
 	changeBytes := 0
@@ -229,16 +229,16 @@
 		for i := range componentChanges {
 			event := patchEvent(size.route(i%size.Routes, 11000+i), i+1)
 			changeBytes = len(event)
-			book.Fold(event)
+			book.Update(event)
 		}
 		return nil
 	})
 	return values{
 		"fold_ms":       cpu / componentChanges * millisec,
 		"heap_kb":       heap / kilobyte,
-		"checkpoint_kb": float64(len(book.Checkpoint())) / kilobyte,
+		"checkpoint_kb": float64(len(book.Snapshot())) / kilobyte,
 		"change_bytes":  float64(changeBytes),
-		"revision":      float64(book.View().Doc.Epoch),
+		"revision":      float64(book.View().Config.Revision),
 	}
 }
 
@@ -253,23 +253,23 @@
 // measureListing folds a list of more and more replicas, then changes of one of them;
 // the replicas known to placement are brought up to date with each.
 func measureListing(x float64) values {
-	book := state.NewBook(true)
+	book := state.NewStore(true)
 	placer := placement.NewYard(prefixindex.NewIndex())
-	book.Watch(func(_, now *state.View, _ *state.Event) { placer.Set(now.Replicas, now.Evac, 0) })
+	book.OnChange(func(_, now *state.View, _ *state.Event) { placer.Set(now.Replicas, now.Evacuated, 0) })
 	replicas := madeUpReplicas(int(x), targetSize.Models, targetSize.Controllers)
 	first := listEvent(replicas...)
 	heap, wholeTime := cost(func() any {
-		book.Fold(first)
+		book.Update(first)
 		return []any{book, placer}
 	})
 	changeBytes := 0
 	_, changeTime := cost(func() any {
 		for i := range componentChanges {
 			changed := *replicas[i%len(replicas)]
-			changed.ColdMs = float64(i + 1)
+			changed.WarmupLeftMs = float64(i + 1)
 			event := listEvent(&changed)
 			changeBytes = len(event)
-			book.Fold(event)
+			book.Update(event)
 		}
 		return nil
 	})
@@ -277,7 +277,7 @@
 		"whole_ms":      wholeTime * millisec,
 		"change_ms":     changeTime / componentChanges * millisec,
 		"heap_kb":       heap / kilobyte,
-		"checkpoint_kb": float64(len(book.Checkpoint())) / kilobyte,
+		"checkpoint_kb": float64(len(book.Snapshot())) / kilobyte,
 		"change_bytes":  float64(changeBytes),
 	}
 }
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -121,7 +121,7 @@
 func Load(file string) (*Experiment, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.BadEnv, err, "experiment")
+		return nil, errkind.Wrap(errkind.InvalidSettings, err, "experiment")
 	}
 	return Parse(content)
 }
@@ -146,7 +146,7 @@
 	if errors.As(err, &typeError) {
 		return badField("file:", typeError.Errors[0])
 	}
-	return errkind.Wrap(errkind.BadEnv, err, "experiment")
+	return errkind.Wrap(errkind.InvalidSettings, err, "experiment")
 }
 
 func millis(duration time.Duration) float64 {
--- a/internal/emulator/experiment_check.go
+++ b/internal/emulator/experiment_check.go
@@ -23,7 +23,7 @@
 )
 
 func badField(field, why string) error {
-	return errkind.New(errkind.BadEnv, "experiment: %s %s", field, why)
+	return errkind.New(errkind.InvalidSettings, "experiment: %s %s", field, why)
 }
 
 // number is a field that must lie from 0 to an upper bound.
@@ -38,7 +38,7 @@
 		return badField(n.field, "must be 0 or more")
 	}
 	if n.most > 0 && n.value > n.most {
-		return errkind.New(errkind.BadEnv, "experiment: %s must be at most %v", n.field, n.most)
+		return errkind.New(errkind.InvalidSettings, "experiment: %s must be at most %v", n.field, n.most)
 	}
 	return nil
 }
--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -53,7 +53,7 @@
 		_, err := Parse([]byte(strings.Replace(good, c.old, c.now, 1)))
 		require.Error(t, err, c.want)
 		require.Contains(t, err.Error(), c.want)
-		require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
+		require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 		require.NotContains(t, err.Error(), "\n", "one clear line")
 	}
 }
--- a/internal/emulator/hollowfleet.go
+++ b/internal/emulator/hollowfleet.go
@@ -101,15 +101,15 @@
 	for i := range count {
 		model := modelName(i % models)
 		replicas = append(replicas, &state.Replica{
-			ID:       fmt.Sprintf("i-%08x", i*2654435761), // spreads the ids
-			Pool:     model,
-			Addr:     fmt.Sprintf("10.%d.%d.%d:8080", i/40000, i/200%200, i%200+1),
-			Zone:     zoneName(i % zones),
-			Software: softwareVersion,
-			Slots:    replicaSlots,
-			State:    string(replicaReady),
-			Stage:    stageDual,
-			Models:   []state.Model{{Name: model, Revision: firstRevision}},
+			ID:               fmt.Sprintf("i-%08x", i*2654435761), // spreads the ids
+			Pool:             model,
+			Address:          fmt.Sprintf("10.%d.%d.%d:8080", i/40000, i/200%200, i%200+1),
+			Zone:             zoneName(i % zones),
+			SoftwareRevision: softwareVersion,
+			Slots:            replicaSlots,
+			State:            string(replicaReady),
+			Stage:            stageDual,
+			Models:           []state.Model{{Name: model, Revision: firstRevision}},
 		})
 	}
 	return replicas
@@ -128,10 +128,10 @@
 	defer f.mu.Unlock()
 	i := rand.IntN(len(f.list))
 	changed := *f.list[i]
-	if changed.ColdMs > 0 {
-		changed.ColdMs = 0
+	if changed.WarmupLeftMs > 0 {
+		changed.WarmupLeftMs = 0
 	} else {
-		changed.ColdMs = coldMs
+		changed.WarmupLeftMs = coldMs
 	}
 	f.list[i] = &changed
 }
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -72,7 +72,7 @@
 			return 0, errInterrupted
 		}
 	}
-	return 0, errkind.New(errkind.Unready, "the configuration was not taken: %s", last)
+	return 0, errkind.New(errkind.Unavailable, "the configuration was not taken: %s", last)
 }
 
 func (o *operator) request(ctx context.Context, method, controller string, body []byte) (*http.Request, error) {
--- a/internal/emulator/plots.go
+++ b/internal/emulator/plots.go
@@ -23,7 +23,7 @@
 // plot draws latency by quantile and the outcomes of each second, as SVG and PNG.
 func (r *report) plot(experiment *Experiment, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errkind.Wrap(errkind.BadEnv, err, "plots")
+		return errkind.Wrap(errkind.InvalidSettings, err, "plots")
 	}
 	latency, err := r.latencyPlot(experiment)
 	if err != nil {
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -185,14 +185,14 @@
 		return nil
 	}
 	entry := &state.Replica{
-		ID:       r.id(),
-		Pool:     r.service.Name,
-		Addr:     r.address,
-		Zone:     r.zone,
-		Software: softwareVersion,
-		Slots:    r.service.Slots,
-		State:    string(replicaReady),
-		ColdMs:   max(0, millis(time.Until(r.warmFrom))),
+		ID:               r.id(),
+		Pool:             r.service.Name,
+		Address:          r.address,
+		Zone:             r.zone,
+		SoftwareRevision: softwareVersion,
+		Slots:            r.service.Slots,
+		State:            string(replicaReady),
+		WarmupLeftMs:     max(0, millis(time.Until(r.warmFrom))),
 	}
 	if r.state == replicaDraining {
 		entry.State = string(replicaDraining)
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -47,15 +47,15 @@
 	url := "http://" + f.addresses.address(controller.ip, settings.ControlStatePort)
 	response, err := probes.Get(url)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "page")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "page")
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unready, err, "page")
+		return nil, errkind.Wrap(errkind.Unavailable, err, "page")
 	}
 	page := &controllerPage{}
-	return page, errkind.Wrap(errkind.Unready, json.Unmarshal(body, page), "page")
+	return page, errkind.Wrap(errkind.Unavailable, json.Unmarshal(body, page), "page")
 }
 
 // controllerRoles gives one controller, by its index, of each role.
@@ -70,7 +70,7 @@
 		}
 		return f.rolesIn(page.Replication.View, primary), page, nil
 	}
-	return nil, nil, errkind.New(errkind.Unready, "no primary")
+	return nil, nil, errkind.New(errkind.Unavailable, "no primary")
 }
 
 // rolesIn finds the first controller of each role in a view.
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -140,7 +140,7 @@
 	x.Address, x.Port = g.ip(0), g.port
 	_, err = Run(t.Context(), quiet(), x, Output{})
 	require.ErrorContains(t, err, g.address(g.ip(1), portReplica)+" is taken")
-	require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
+	require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 
 	x, err = Parse([]byte(good))
 	require.NoError(t, err)
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -51,11 +51,11 @@
 func Slopes(ctx context.Context, log *slog.Logger, names []string, dir string, output Output) error {
 	for _, name := range names {
 		if !slices.Contains(SeriesNames(), name) {
-			return errkind.New(errkind.BadEnv, "there is no series %q; there are %v", name, SeriesNames())
+			return errkind.New(errkind.InvalidSettings, "there is no series %q; there are %v", name, SeriesNames())
 		}
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errkind.Wrap(errkind.BadEnv, err, "slopes")
+		return errkind.Wrap(errkind.InvalidSettings, err, "slopes")
 	}
 	for _, spec := range allSeries {
 		if len(names) > 0 && !slices.Contains(names, spec.name) {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "slopes")
 	}
-	return errkind.Wrap(errkind.BadEnv, os.WriteFile(path, append(encoded, '\n'), 0o644), "slopes")
+	return errkind.Wrap(errkind.InvalidSettings, os.WriteFile(path, append(encoded, '\n'), 0o644), "slopes")
 }
 
 // measure measures a series; an interrupted one is an error.
--- a/internal/emulator/series_test.go
+++ b/internal/emulator/series_test.go
@@ -42,7 +42,7 @@
 func TestSeriesNeedAKnownName(t *testing.T) {
 	dir := t.TempDir()
 	err := Slopes(t.Context(), quiet(), []string{"nodes", "nodess"}, dir, Output{})
-	require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
+	require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 	require.ErrorContains(t, err, `"nodess"`)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -12,20 +12,20 @@
 
 // The kinds.
 const (
-	None      Kind = iota
-	BadInput       // what was sent can't be read or is invalid
-	NoPath         // no path for this host and target
-	TooLarge       // body over the limit
-	HeadLarge      // head over the limit
-	Slow           // client too slow
-	Stale          // another version is current
-	NotHere        // another member answers this
-	Unready        // nobody can answer this now; nothing was run
-	Crowded        // refused early; nothing was run
-	Broken         // a replica failed and may have run
-	Late           // the time ran out and a replica may have run
-	Internal       // our own failure
-	BadEnv         // settings are missing or wrong
+	None             Kind = iota
+	InvalidInput          // what was sent can't be read or is invalid
+	NoRoute               // no path for this host and target
+	BodyTooLarge          // body over the limit
+	HeaderTooLarge        // head over the limit
+	ClientTimeout         // client too slow
+	VersionConflict       // another version is current
+	NotPrimary            // another member answers this
+	Unavailable           // nobody can answer this now; nothing was run
+	Overloaded            // refused early; nothing was run
+	UpstreamFailure       // a replica failed and may have run
+	DeadlineExceeded      // the time ran out and a replica may have run
+	Internal              // our own failure
+	InvalidSettings       // settings are missing or wrong
 )
 
 type row struct {
@@ -34,19 +34,19 @@
 }
 
 var table = map[Kind]row{
-	BadInput:  {http.StatusBadRequest, "bad input"},
-	NoPath:    {http.StatusNotFound, "no such path"},
-	TooLarge:  {http.StatusRequestEntityTooLarge, "body too large"},
-	HeadLarge: {http.StatusRequestHeaderFieldsTooLarge, "head too large"},
-	Slow:      {http.StatusRequestTimeout, "too slow"},
-	Stale:     {http.StatusPreconditionFailed, "another version is current"},
-	NotHere:   {http.StatusTemporaryRedirect, "ask the primary"},
-	Unready:   {http.StatusServiceUnavailable, "not ready"},
-	Crowded:   {http.StatusServiceUnavailable, "crowded"},
-	Broken:    {http.StatusBadGateway, "replica failed"},
-	Late:      {http.StatusGatewayTimeout, "time ran out"},
-	Internal:  {http.StatusInternalServerError, "internal"},
-	BadEnv:    {http.StatusInternalServerError, "bad settings"},
+	InvalidInput:     {http.StatusBadRequest, "bad input"},
+	NoRoute:          {http.StatusNotFound, "no such path"},
+	BodyTooLarge:     {http.StatusRequestEntityTooLarge, "body too large"},
+	HeaderTooLarge:   {http.StatusRequestHeaderFieldsTooLarge, "head too large"},
+	ClientTimeout:    {http.StatusRequestTimeout, "too slow"},
+	VersionConflict:  {http.StatusPreconditionFailed, "another version is current"},
+	NotPrimary:       {http.StatusTemporaryRedirect, "ask the primary"},
+	Unavailable:      {http.StatusServiceUnavailable, "not ready"},
+	Overloaded:       {http.StatusServiceUnavailable, "crowded"},
+	UpstreamFailure:  {http.StatusBadGateway, "replica failed"},
+	DeadlineExceeded: {http.StatusGatewayTimeout, "time ran out"},
+	Internal:         {http.StatusInternalServerError, "internal"},
+	InvalidSettings:  {http.StatusInternalServerError, "bad settings"},
 }
 
 type kinded struct {
@@ -91,7 +91,7 @@
 }
 
 // Word is the short text that belongs to a kind.
-func (k Kind) Word() string {
+func (k Kind) Text() string {
 	if r, ok := table[k]; ok {
 		return r.word
 	}
--- a/internal/httpreply/httpreply.go
+++ b/internal/httpreply/httpreply.go
@@ -13,15 +13,15 @@
 type Writer = http.ResponseWriter
 
 // Fault answers an error by its kind.
-func Fault(w Writer, err error) {
+func Error(w Writer, err error) {
 	k := errkind.KindOf(err)
 	JSON(w, k.Status(), map[string]string{"error": err.Error()})
 }
 
 // Refuse answers with a promise that nothing was run and when to come back.
-func Refuse(w Writer, k errkind.Kind, after float64) {
+func Reject(w Writer, k errkind.Kind, after float64) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(after, 'f', -1, 64))
-	JSON(w, k.Status(), map[string]string{"error": k.Word()})
+	JSON(w, k.Status(), map[string]string{"error": k.Text()})
 }
 
 // JSON answers with a value.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -47,12 +47,12 @@
 func Serve(w http.ResponseWriter, fs []Figure) {
 	r := prometheus.NewRegistry()
 	if err := r.Register(figures(fs)); err != nil {
-		httpreply.Fault(w, errkind.Wrap(errkind.Internal, err, "metrics"))
+		httpreply.Error(w, errkind.Wrap(errkind.Internal, err, "metrics"))
 		return
 	}
 	all, err := r.Gather()
 	if err != nil {
-		httpreply.Fault(w, errkind.Wrap(errkind.Internal, err, "metrics"))
+		httpreply.Error(w, errkind.Wrap(errkind.Internal, err, "metrics"))
 		return
 	}
 	form := expfmt.NewFormat(expfmt.TypeTextPlain)
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -183,7 +183,7 @@
 	rs := fleet(300)
 	for id, r := range rs {
 		if id != "r123" {
-			r.ColdMs = 1000
+			r.WarmupLeftMs = 1000
 		}
 	}
 	y.Set(rs, nil, 0)
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -35,11 +35,11 @@
 	}{{"overlap_credit", o.Credit}, {"reread_weight", o.Reread}, {"prefill_load_scale", o.PrefillScale}, {"active_weight", o.ActiveWeight},
 		{"credit_decay_blocks", o.Decay}, {"other_zone_blocks", o.Away}, {"full_mark", o.Full}} {
 		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
-			return errkind.New(errkind.BadEnv, "settings: placement.%s must be a number of 0 or more", x.f)
+			return errkind.New(errkind.InvalidSettings, "settings: placement.%s must be a number of 0 or more", x.f)
 		}
 	}
 	if o.Block < 1 {
-		return errkind.New(errkind.BadEnv, "settings: placement.block_tokens must be 1 or more")
+		return errkind.New(errkind.InvalidSettings, "settings: placement.block_tokens must be 1 or more")
 	}
 	return nil
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -154,7 +154,7 @@
 }
 
 func (y *Placer) cold(b *berth, now time.Time) bool {
-	return b.r.ColdMs > 0 || now.Before(b.coldTill)
+	return b.r.WarmupLeftMs > 0 || now.Before(b.coldTill)
 }
 
 // Place chooses a replica and counts the inquiry as sent there; Done must follow. ok is false if none may be used now.
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -115,7 +115,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		y := NewYard(prefixindex.NewIndex())
 		rs := fleet(1)
-		rs["r0"].ColdMs = 3000
+		rs["r0"].WarmupLeftMs = 3000
 		y.Set(rs, nil, 0)
 		n := 0
 		for range 100 {
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -16,10 +16,10 @@
 func (q *request) refuse(k errkind.Kind) {
 	q.g.count.refused.Inc()
 	after := retryAfter
-	if k == errkind.Unready {
+	if k == errkind.Unavailable {
 		after = retryUnready
 	}
-	httpreply.Refuse(q.w, k, after)
+	httpreply.Reject(q.w, k, after)
 }
 
 // giveUp ends a request with what may truly be said of it.
@@ -29,10 +29,10 @@
 		q.g.count.failed.Inc()
 		panic(http.ErrAbortHandler) // the client must see that it is incomplete
 	case !q.try.MayHaveRun():
-		q.refuse(errkind.Crowded)
+		q.refuse(errkind.Overloaded)
 	default:
 		q.g.count.failed.Inc()
-		httpreply.Fault(q.w, errkind.New(k, "%s", why))
+		httpreply.Error(q.w, errkind.New(k, "%s", why))
 	}
 }
 
@@ -149,7 +149,7 @@
 	case failed && q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts):
 		return true
 	case promise(p.Status):
-		q.giveUp(errkind.Broken, "the replica refused after it may have run")
+		q.giveUp(errkind.UpstreamFailure, "the replica refused after it may have run")
 		return false
 	}
 	q.answer(p)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -22,11 +22,11 @@
 	for {
 		left := time.Until(q.deadline)
 		if left <= budgetReserve {
-			q.giveUp(errkind.Late, "time ran out")
+			q.giveUp(errkind.DeadlineExceeded, "time ran out")
 			return
 		}
 		if !q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts) {
-			q.giveUp(errkind.Broken, "replicas failed")
+			q.giveUp(errkind.UpstreamFailure, "replicas failed")
 			return
 		}
 		choice, ok := q.g.yard.Place(q.ask)
@@ -38,7 +38,7 @@
 		}
 		if q.try.Sent() == 0 && !letIn(choice, left) {
 			q.g.yard.Done(q.placed(choice))
-			q.refuse(errkind.Crowded)
+			q.refuse(errkind.Overloaded)
 			return
 		}
 		if !q.attempt(choice) {
@@ -55,7 +55,7 @@
 // awaitPlace waits a little while no replica can be used; false if the request was answered.
 func (q *request) awaitPlace() bool {
 	if !q.try.MayHaveRun() && time.Until(q.refuseAt()) <= 0 {
-		q.refuse(errkind.Crowded)
+		q.refuse(errkind.Overloaded)
 		return false
 	}
 	clear(q.ask.Not)
@@ -121,7 +121,7 @@
 	}
 	if err != nil {
 		q.ask.Not[id] = true
-		if errkind.KindOf(err) == errkind.Broken {
+		if errkind.KindOf(err) == errkind.UpstreamFailure {
 			q.blame(id, outlier.Refused)
 		} else {
 			q.g.long.short()
@@ -131,7 +131,7 @@
 	if q.try.Sent() > 0 {
 		if !q.g.further(q.pool.Name, left) {
 			connection.Back()
-			q.giveUp(errkind.Broken, "no further try is left")
+			q.giveUp(errkind.UpstreamFailure, "no further try is left")
 			return nil, false
 		}
 		if q.r.Context().Err() != nil {
@@ -230,7 +230,7 @@
 	if resumable && q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts) {
 		return true
 	}
-	q.giveUp(errkind.Broken, why)
+	q.giveUp(errkind.UpstreamFailure, why)
 	return false
 }
 
@@ -301,7 +301,7 @@
 // silent ends an attempt of which nothing was heard for too long.
 func (l *listener) silent() bool {
 	if time.Until(l.q.deadline) <= 0 {
-		l.q.giveUp(errkind.Late, "time ran out")
+		l.q.giveUp(errkind.DeadlineExceeded, "time ran out")
 		return false
 	}
 	l.q.ended(l.choice.Replica.ID, l.connection, outlier.Silent, false)
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -67,7 +67,7 @@
 		w.g.env.Store(&env)
 		const node = "10.0.0.9:7722"
 		for name, word := range map[string]string{"well": "", "slow": slowWord} {
-			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Word: word}
+			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Text: word}
 			read, err := rpc.Decode(recording.Same(name, ping.Encode()))
 			require.NoError(t, err)
 			require.Equal(t, ping, read)
@@ -107,7 +107,7 @@
 		received := map[rpc.Kind][]byte{}
 		network := recordingNet{controller: "10.0.0.5:9000", ctx: ctx, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
 			received[message.Kind] = message.Encode()
-			if message.Kind != rpc.Lend {
+			if message.Kind != rpc.Loan {
 				return nil
 			}
 			answer := message.Reply(true)
@@ -121,7 +121,7 @@
 		}
 		r := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: network})
 		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
-		require.NoError(t, r.book.Fold((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
+		require.NoError(t, r.book.Update((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
 		go r.follower.Run()
 		synctest.Wait()
 		for r.budget.Take("service-1", r.fleet()) { // the own share is used up first
@@ -132,7 +132,7 @@
 		cancel()
 		synctest.Wait()
 		for kind, name := range map[rpc.Kind]string{
-			rpc.Follow: "follow", rpc.Lend: "lend", 0: "lend-answer", rpc.Suspect: "suspect",
+			rpc.Subscribe: "follow", rpc.Loan: "lend", 0: "lend-answer", rpc.Suspect: "suspect",
 		} {
 			require.NotEmpty(t, received[kind], name)
 			recording.Same(name, received[kind])
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -55,7 +55,7 @@
 			k = &upstream.Keep{}
 			g.keeps[r.Pool] = k
 		}
-		p = upstream.NewPool(r.Addr, g.dialer, g.channels(t.Pools[r.Pool], r.ID), k, &g.made)
+		p = upstream.NewPool(r.Address, g.dialer, g.channels(t.Pools[r.Pool], r.ID), k, &g.made)
 		g.pools[r.ID] = p
 	}
 	return p
--- a/internal/router/loadsum.go
+++ b/internal/router/loadsum.go
@@ -20,14 +20,14 @@
 			return true
 		}
 		last, at = ps, now
-		g.follower.Send(&rpc.Message{Kind: rpc.Deck, From: g.follower.Self(), Body: loadsum.Encode(ps)})
+		g.follower.Send(&rpc.Message{Kind: rpc.LoadSums, From: g.follower.Self(), Body: loadsum.Encode(ps)})
 		return true
 	})
 }
 
 // hearDeck takes the fleet's sum.
 func (g *Router) hearDeck(n *rpc.Message) {
-	if n.Kind == rpc.Deck {
+	if n.Kind == rpc.LoadSums {
 		g.yard.Hear(loadsum.Decode(n.Body))
 	}
 }
--- a/internal/router/longwork.go
+++ b/internal/router/longwork.go
@@ -23,7 +23,7 @@
 	ctx          context.Context
 	log          *slog.Logger
 	self         string // own address for messages between routers
-	lines        *rpc.Lines
+	lines        *rpc.Pool
 	start        time.Time
 	timerLag     atomic.Duration // how late this process's timers fire
 	lastShortage atomic.Time     // when a connection to a replica could not be had
@@ -78,7 +78,7 @@
 		queues:     map[string]*longQueue{},
 		open:       map[*request]struct{}{},
 	}
-	work.lines = rpc.NewLines(work.ctx, gate.net, gate.handle)
+	work.lines = rpc.NewPool(work.ctx, gate.net, gate.handle)
 	return work
 }
 
--- a/internal/router/longwork_messages.go
+++ b/internal/router/longwork_messages.go
@@ -55,13 +55,13 @@
 // messageOf reads the wire form of a message.
 func messageOf(note *rpc.Message) handoff.Message {
 	return handoff.Message{
-		Kind:   handoff.KindOf(note.Word),
+		Kind:   handoff.KindOf(note.Text),
 		Peer:   note.From.Address,
 		Owner:  note.Epoch,
 		Job:    note.Number,
 		Turn:   note.Base,
 		Ticket: handoff.Ticket{Life: note.Ballot, Number: note.To},
-		Number: note.Span,
+		Number: note.Duration,
 		Shots:  int(min(note.HeldBallot, settings.MaxTakenJobs)),
 		Body:   note.Body,
 	}
@@ -72,13 +72,13 @@
 	return &rpc.Message{
 		Kind:       rpc.Job,
 		From:       rpc.Member{Address: self},
-		Word:       message.Kind.String(),
+		Text:       message.Kind.String(),
 		Epoch:      message.Owner,
 		Number:     message.Job,
 		Base:       message.Turn,
 		Ballot:     message.Ticket.Life,
 		To:         message.Ticket.Number,
-		Span:       message.Number,
+		Duration:   message.Number,
 		HeldBallot: uint64(max(0, message.Shots)),
 		Body:       message.Body,
 	}
--- a/internal/router/longwork_neighbours.go
+++ b/internal/router/longwork_neighbours.go
@@ -68,7 +68,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	accepted, running := l.taker.Jobs()
-	answer.Span = uint64(max(0, l.room()-accepted-running))
+	answer.Duration = uint64(max(0, l.room()-accepted-running))
 	answer.From.Zone = l.gate.env.Load().Zone
 	return answer
 }
@@ -81,7 +81,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.neighbours[node] = neighbour{
-		room: int(min(answer.Span, settings.MaxTakenJobs)),
+		room: int(min(answer.Duration, settings.MaxTakenJobs)),
 		zone: answer.From.Zone,
 		at:   time.Now(),
 	}
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -202,7 +202,7 @@
 // broken gives the request up: its answer can't be used, and it has run.
 func (j *offeredJob) broken(why string) jobState {
 	j.request.try.Elsewhere(0, true)
-	j.request.giveUp(errkind.Broken, why)
+	j.request.giveUp(errkind.UpstreamFailure, why)
 	return jobAnswered
 }
 
@@ -233,13 +233,13 @@
 	case handoff.Whole:
 		return j.completed()
 	case handoff.Refused:
-		q.giveUp(errkind.Crowded, "no time for long work")
+		q.giveUp(errkind.Overloaded, "no time for long work")
 	case handoff.Late:
-		q.giveUp(errkind.Late, "time ran out")
+		q.giveUp(errkind.DeadlineExceeded, "time ran out")
 	default:
 		j.countBroken()
 		j.work.log.Warn("a neighbour was lost with a job that may have begun", "node", j.node, "request", q.id)
-		q.giveUp(errkind.Broken, "the neighbour was lost")
+		q.giveUp(errkind.UpstreamFailure, "the neighbour was lost")
 	}
 	return jobAnswered
 }
@@ -249,7 +249,7 @@
 	q := j.request
 	j.countElsewhere()
 	if j.head == nil || j.head.Events != q.began {
-		q.giveUp(errkind.Broken, "no whole answer")
+		q.giveUp(errkind.UpstreamFailure, "no whole answer")
 		return jobAnswered
 	}
 	if j.head.Events {
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -118,7 +118,7 @@
 	}
 	q.countEntry(admitted)
 	if !admitted {
-		q.giveUp(errkind.Crowded, "no place for long work")
+		q.giveUp(errkind.Overloaded, "no place for long work")
 	}
 	return admitted
 }
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -208,7 +208,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, worldBudget, stepOK)
 		defer w.end()
-		w.dial = func(net.Conn) (net.Conn, error) { return nil, errkind.New(errkind.Broken, "refused") }
+		w.dial = func(net.Conn) (net.Conn, error) { return nil, errkind.New(errkind.UpstreamFailure, "refused") }
 		c := w.client()
 		time.AfterFunc(leaves/10, func() { _ = c.Close() })
 		w.ask(c, bufio.NewReader(c), "once", "first")
--- a/internal/router/readiness.go
+++ b/internal/router/readiness.go
@@ -19,13 +19,13 @@
 }
 
 // pinger gives what asks another router whether it is there; both sides say whether they are slow.
-func (g *Router) pinger(lines *rpc.Lines, self string) func(node string) bool {
+func (g *Router) pinger(lines *rpc.Pool, self string) func(node string) bool {
 	return func(node string) bool {
-		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Word: g.word()}, rpc.CallTimeout)
+		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Text: g.word()}, rpc.CallTimeout)
 		if err != nil || !a.OK {
 			return false
 		}
-		g.level.Hear(node, a.Word == slowWord)
+		g.level.Hear(node, a.Text == slowWord)
 		g.long.roomOf(node, a)
 		return true
 	}
@@ -41,10 +41,10 @@
 		return nil
 	}
 	if n.From.Address != "" {
-		g.level.Hear(n.From.Address, n.Word == slowWord)
+		g.level.Hear(n.From.Address, n.Text == slowWord)
 	}
 	a := n.Reply(true)
-	a.Word = g.word()
+	a.Text = g.word()
 	return g.long.tellRoom(a)
 }
 
@@ -63,5 +63,5 @@
 		}
 		return
 	}
-	httpreply.Fault(w, errkind.New(errkind.NoPath, "no such call"))
+	httpreply.Error(w, errkind.New(errkind.NoRoute, "no such call"))
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -78,7 +78,7 @@
 	q.path = q.table.Match(r.Host, r.RequestURI)
 	if q.path == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, settings.HeaderBytes))
-		httpreply.Fault(w, errkind.New(errkind.NoPath, "no route"))
+		httpreply.Error(w, errkind.New(errkind.NoRoute, "no route"))
 		return
 	}
 	q.follow()
@@ -95,7 +95,7 @@
 		q.table = q.g.table.Load()
 		return true
 	case <-time.After(unreadyHold):
-		q.refuse(errkind.Unready)
+		q.refuse(errkind.Unavailable)
 	case <-q.r.Context().Done():
 		q.abandon()
 	}
@@ -106,17 +106,17 @@
 func (q *request) proper() bool {
 	if frontend.Doubtful(q.r) {
 		q.w.Header().Set("Connection", "close")
-		httpreply.Fault(q.w, errkind.New(errkind.BadInput, "both a length and chunks"))
+		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "both a length and chunks"))
 		return false
 	}
 	if limit := q.table.Limits.Head; limit > 0 && headSize(q.r) > limit {
 		q.w.Header().Set("Connection", "close")
-		httpreply.Fault(q.w, errkind.New(errkind.HeadLarge, "head over the limit"))
+		httpreply.Error(q.w, errkind.New(errkind.HeaderTooLarge, "head over the limit"))
 		return false
 	}
 	if !upstream.Passable(q.r.RequestURI) {
 		q.w.Header().Set("Connection", "close")
-		httpreply.Fault(q.w, errkind.New(errkind.BadInput, "a target that can't be passed on as it is"))
+		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "a target that can't be passed on as it is"))
 		return false
 	}
 	return true
@@ -166,7 +166,7 @@
 	}
 	if q.r.ContentLength > most {
 		q.w.Header().Set("Connection", "close")
-		httpreply.Fault(q.w, errkind.New(errkind.TooLarge, "body over the limit"))
+		httpreply.Error(q.w, errkind.New(errkind.BodyTooLarge, "body over the limit"))
 		return false
 	}
 	if n := max(q.r.ContentLength, 0); !q.hold(n) {
@@ -194,11 +194,11 @@
 	q.w.Header().Set("Connection", "close")
 	switch {
 	case strings.Contains(err.Error(), "too large"):
-		httpreply.Fault(q.w, errkind.New(errkind.TooLarge, "body over the limit"))
+		httpreply.Error(q.w, errkind.New(errkind.BodyTooLarge, "body over the limit"))
 	case strings.Contains(err.Error(), "timeout"):
-		httpreply.Fault(q.w, errkind.New(errkind.Slow, "body too slow"))
+		httpreply.Error(q.w, errkind.New(errkind.ClientTimeout, "body too slow"))
 	default:
-		httpreply.Fault(q.w, errkind.New(errkind.BadInput, "body can't be read"))
+		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "body can't be read"))
 	}
 }
 
@@ -207,7 +207,7 @@
 func (q *request) hold(n int64) bool {
 	if !q.g.bodies.Take(q.path.Name, n) {
 		q.w.Header().Set("Connection", "close")
-		q.refuse(errkind.Crowded)
+		q.refuse(errkind.Overloaded)
 		return false
 	}
 	q.held += n
@@ -248,7 +248,7 @@
 	name := q.path.Choose(key)
 	q.pool = q.table.Pools[name]
 	if q.pool == nil {
-		q.refuse(errkind.Unready)
+		q.refuse(errkind.Unavailable)
 		return false
 	}
 	q.head = passOn(q.r.Header)
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -36,7 +36,7 @@
 // borrow asks the controller for further tries of a service and wakes who waits for them.
 func (g *Router) borrow(pool string, w chan struct{}) {
 	start := time.Now()
-	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Lend, Word: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
+	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Loan, Text: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
 	ok := err == nil && a.OK && a.Number > 0 && a.Number <= fairshare.LoanRetries
 	if ok {
 		g.budget.Lent(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -45,7 +45,7 @@
 	env       atomic.Pointer[settings.Settings]
 	net       rpc.Net
 	dialer    upstream.Dialer
-	book      *state.Book
+	book      *state.Store
 	cursor    *distribution.Cursor
 	follower  *distribution.Follower
 	front     *frontend.Front
@@ -89,7 +89,7 @@
 		log:       log,
 		net:       p.Net,
 		dialer:    p.Dialer,
-		book:      state.NewBook(true),
+		book:      state.NewStore(true),
 		index:     prefixindex.NewIndex(),
 		pools:     map[string]*upstream.Pool{},
 		keeps:     map[string]*upstream.Keep{},
@@ -105,7 +105,7 @@
 	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), fairshare.BudgetMargin)
 	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemory)
 	g.bodies = fairshare.New(bodyBytes, fairshare.CalmFraction)
-	g.table.Store(routing.Compile(state.EmptyView().Doc))
+	g.table.Store(routing.Compile(state.EmptyView().Config))
 	g.weights.Store(newWeights(nil))
 	g.cold.Store(newColdShares(nil, self))
 	g.cursor = distribution.NewCursor(g.book)
@@ -116,7 +116,7 @@
 	g.watcher = g.newWatcher(self)
 	g.follower.Carry(g.words)
 	g.follower.Others(g.hearDeck)
-	g.book.Watch(g.changed)
+	g.book.OnChange(g.changed)
 	return g
 }
 
@@ -124,9 +124,9 @@
 func (g *Router) newWatcher(self string) *failuredetector.Watcher {
 	every := max(durations.FromMilliseconds(g.env.Load().BeatMs), distribution.HeartbeatInterval)
 	nodes := func() []string { return g.book.View().Nodes }
-	ping := g.pinger(rpc.NewLines(g.ctx, g.net, g.handle), self)
+	ping := g.pinger(rpc.NewPool(g.ctx, g.net, g.handle), self)
 	tell := func(node string, alive bool) {
-		g.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Word: node})
+		g.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Text: node})
 	}
 	return failuredetector.New(g.ctx, g.log, self, every, nodes, ping, tell)
 }
@@ -201,7 +201,7 @@
 // Holds tells which configuration and which evacuations are in force here.
 func (g *Router) Holds() (revision int64, evacuated map[string]bool) {
 	v := g.book.View()
-	return v.Doc.Epoch, v.Evac
+	return v.Config.Revision, v.Evacuated
 }
 
 // Health tells what is held against replicas here.
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -70,7 +70,7 @@
 	g := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
 	require.Equal(t, 20*coldMargin/fleetGuess, g.cold.Load().rate(20, "r"))
 	self := e.Port(portGate)
-	fold := func(e *state.Event) { g.book.Fold(e.Encode()) }
+	fold := func(e *state.Event) { g.book.Update(e.Encode()) }
 	fold(&state.Event{Kind: state.Fleet, Size: 2, Nodes: []string{self, "10.0.0.2:702"}})
 	require.Equal(t, 20*coldMargin/2, g.cold.Load().rate(20, "r"))
 	fold(&state.Event{Kind: state.List, Replicas: []*state.Replica{{ID: "r", Pool: "p", State: "ready", Models: []state.Model{{Name: "m", Revision: 4}}}}})
--- a/internal/router/source.go
+++ b/internal/router/source.go
@@ -20,15 +20,15 @@
 	g.dropped = ""
 	var near, far, all []string
 	seen := map[string]bool{}
-	for _, h := range g.book.View().Houses {
-		seen[h.Addr] = true
-		all = append(all, h.Addr)
+	for _, h := range g.book.View().Controllers {
+		seen[h.Address] = true
+		all = append(all, h.Address)
 		switch {
-		case now.Sub(g.bad[h.Addr]) < e.Contact():
+		case now.Sub(g.bad[h.Address]) < e.Contact():
 		case h.Zone == e.Zone:
-			near = append(near, h.Addr)
+			near = append(near, h.Address)
 		default:
-			far = append(far, h.Addr)
+			far = append(far, h.Address)
 		}
 	}
 	for _, a := range e.SeedMembers() {
@@ -55,15 +55,15 @@
 		return
 	}
 	e := g.env.Load()
-	for _, h := range v.Houses {
-		if h.Addr == src && h.Zone == e.Zone {
+	for _, h := range v.Controllers {
+		if h.Address == src && h.Zone == e.Zone {
 			return
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, h := range v.Houses {
-		if h.Zone == e.Zone && time.Since(g.bad[h.Addr]) >= 2*e.Contact() {
+	for _, h := range v.Controllers {
+		if h.Zone == e.Zone && time.Since(g.bad[h.Address]) >= 2*e.Contact() {
 			g.dropped = src
 			go g.follower.Drop()
 			return
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -16,29 +16,29 @@
 		g.yard.Health().Suspected(e.Suspects, time.Now())
 		return
 	}
-	if old.Doc != v.Doc {
+	if old.Config != v.Config {
 		g.useConfiguration(v)
 	}
-	if e.Places() {
+	if e.ChangesPlacement() {
 		g.useReplicas(v)
 	}
 	if e == nil || e.Kind == state.Fleet {
 		g.cold.Store(newColdShares(v.Nodes, g.env.Load().Port(portGate)))
 	}
-	if old.Fleet != v.Fleet || old.Doc != v.Doc || e == nil {
+	if old.FleetSize != v.FleetSize || old.Config != v.Config || e == nil {
 		g.share(v, g.table.Load())
 	}
-	if v.Doc.Epoch > 0 && v.Listed {
+	if v.Config.Revision > 0 && v.Listed {
 		g.becomeReady(v)
 	}
-	if e == nil || e.Kind == state.Houses {
+	if e == nil || e.Kind == state.Controllers {
 		g.nearer(v)
 	}
 }
 
 // useConfiguration compiles a new configuration and puts its limits in force.
 func (g *Router) useConfiguration(v *state.View) {
-	table := routing.Compile(v.Doc)
+	table := routing.Compile(v.Config)
 	g.table.Store(table)
 	if g.front != nil {
 		g.front.Limit(table.Limits)
@@ -48,7 +48,7 @@
 // useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their answers.
 func (g *Router) useReplicas(v *state.View) {
 	back := durations.FromMilliseconds(g.env.Load().Cloud.MaxLagMs) + 2*discovery.ListInterval
-	g.yard.Set(v.Replicas, v.Evac, back)
+	g.yard.Set(v.Replicas, v.Evacuated, back)
 	g.weights.Store(newWeights(v.Replicas))
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,12 +66,12 @@
 		return
 	}
 	close(g.isReady)
-	g.log.Info("ready", "part", "router", "revision", v.Doc.Epoch, "replicas", len(v.Replicas))
+	g.log.Info("ready", "part", "router", "revision", v.Config.Revision, "replicas", len(v.Replicas))
 }
 
 // fleet is the number of routers that share the budgets; a guess until control has told it.
 func (g *Router) fleet() int {
-	if n := g.book.View().Fleet; n > 0 {
+	if n := g.book.View().FleetSize; n > 0 {
 		return n
 	}
 	return fleetGuess
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -92,14 +92,14 @@
 	put := fmt.Sprintf(`{"revision":1,"route_table":[%s],"backend_pools":[{"name":"p","max_connections":4}]}`, strings.Join(routes, ","))
 	var replicas []*state.Replica
 	for i := range 3 {
-		replicas = append(replicas, &state.Replica{ID: fmt.Sprint("r", i+1), Pool: "p", Addr: fmt.Sprint("r", i+1), Zone: "a", State: "ready", Slots: 8})
+		replicas = append(replicas, &state.Replica{ID: fmt.Sprint("r", i+1), Pool: "p", Address: fmt.Sprint("r", i+1), Zone: "a", State: "ready", Slots: 8})
 	}
 	for _, e := range []*state.Event{
 		{Kind: state.Fleet, Size: 1, Nodes: []string{env.Port(portGate)}},
 		{Kind: state.Put, Body: json.RawMessage(put)},
 		{Kind: state.List, Replicas: replicas},
 	} {
-		w.g.book.Fold(e.Encode())
+		w.g.book.Update(e.Encode())
 	}
 	require.True(t, w.g.ready.Load())
 	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
--- a/internal/routing/compile.go
+++ b/internal/routing/compile.go
@@ -11,9 +11,9 @@
 )
 
 // Compile makes the table of a configuration.
-func Compile(doc *config.Doc) *Table {
+func Compile(doc *config.Document) *Table {
 	table := &Table{
-		Epoch: doc.Epoch,
+		Epoch: doc.Revision,
 		hosts: compileHosts(doc.Pb.RouteTable),
 		Pools: map[string]*Pool{},
 		Paths: len(doc.Pb.RouteTable),
@@ -33,7 +33,7 @@
 }
 
 // compileHosts groups the paths by host, the longest prefix first.
-func compileHosts(routes []*configpb.Path) map[string][]*Path {
+func compileHosts(routes []*configpb.Route) map[string][]*Path {
 	hosts := map[string][]*Path{}
 	for _, route := range routes {
 		host := strings.ToLower(route.Hostname)
@@ -75,7 +75,7 @@
 	return compiled
 }
 
-func compilePath(route *configpb.Path) *Path {
+func compilePath(route *configpb.Route) *Path {
 	path := &Path{
 		Name:     route.Name,
 		Prefix:   route.PathPrefix,
@@ -94,7 +94,7 @@
 	return path
 }
 
-func kindOf(route *configpb.Path) Kind {
+func kindOf(route *configpb.Route) Kind {
 	switch route.RouteType {
 	case "idempotent":
 		return Repeat
@@ -117,7 +117,7 @@
 }
 
 // compileParts cumulates the weights of a path's services.
-func compileParts(route *configpb.Path) []Part {
+func compileParts(route *configpb.Route) []Part {
 	if len(route.WeightedBackends) == 0 {
 		return []Part{{Pool: route.BackendPool, Upto: 1}}
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -15,7 +15,7 @@
 
 // badField is the error of a field of the settings.
 func badField(field, why string) error {
-	return errkind.New(errkind.BadEnv, "settings: %s %s", field, why)
+	return errkind.New(errkind.InvalidSettings, "settings: %s %s", field, why)
 }
 
 // check refuses settings with which a program can't run, and sets defaults.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -110,7 +110,7 @@
 func LoadFile(path string, need Need) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.BadEnv, err, "settings file")
+		return nil, errkind.Wrap(errkind.InvalidSettings, err, "settings file")
 	}
 	return Parse(content, need)
 }
@@ -119,7 +119,7 @@
 func Parse(content []byte, need Need) (*Settings, error) {
 	env := &Settings{Placement: placement.Defaults()}
 	if err := yaml.Unmarshal(content, env); err != nil {
-		return nil, errkind.Wrap(errkind.BadEnv, err, "settings file")
+		return nil, errkind.Wrap(errkind.InvalidSettings, err, "settings file")
 	}
 	return env, env.check(need)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -76,7 +76,7 @@
 		_, err := Parse([]byte(strings.Replace(good, x.old, x.now, 1)), Need{Front: true, Control: true})
 		require.Error(t, err, x.want)
 		require.Contains(t, err.Error(), x.want)
-		require.Equal(t, errkind.BadEnv, errkind.KindOf(err))
+		require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 	}
 }
 
--- a/internal/sim/replica.go
+++ b/internal/sim/replica.go
@@ -75,15 +75,15 @@
 // listed is the replica's entry in the platform's list; the caller holds the world.
 func (r *Replica) listed() *state.Replica {
 	return &state.Replica{
-		ID:       r.ID,
-		Pool:     r.pool,
-		Addr:     r.at,
-		Zone:     r.zone,
-		Software: "v1",
-		Slots:    r.slots,
-		State:    r.state,
-		ColdMs:   r.cold,
-		Models:   []state.Model{{Name: "m", Revision: 1}},
+		ID:               r.ID,
+		Pool:             r.pool,
+		Address:          r.at,
+		Zone:             r.zone,
+		SoftwareRevision: "v1",
+		Slots:            r.slots,
+		State:            r.state,
+		WarmupLeftMs:     r.cold,
+		Models:           []state.Model{{Name: "m", Revision: 1}},
 	}
 }
 
--- a/internal/state/book.go
+++ b/internal/state/book.go
@@ -13,30 +13,30 @@
 
 // Event kinds.
 const (
-	Put      = "put"      // a whole configuration
-	Patch    = "patch"    // named changes to it
-	Evacuate = "evacuate" // a locality takes nothing more
-	Return   = "return"   // and takes it again
-	List     = "list"     // changes of the platform's list
-	Fleet    = "fleet"    // how many routers share the budgets
-	Houses   = "houses"   // where the control members are
-	Health   = "health"   // replicas that the fleet's experience makes suspect, for a while: no part of the view
+	Put         = "put"      // a whole configuration
+	Patch       = "patch"    // named changes to it
+	Evacuate    = "evacuate" // a locality takes nothing more
+	Return      = "return"   // and takes it again
+	List        = "list"     // changes of the platform's list
+	Fleet       = "fleet"    // how many routers share the budgets
+	Controllers = "houses"   // where the control members are
+	Health      = "health"   // replicas that the fleet's experience makes suspect, for a while: no part of the view
 )
 
 // Event is one entry of the journal.
 type Event struct {
-	Kind     string          `json:"k"`
-	Base     int64           `json:"base,omitempty"`
-	Body     json.RawMessage `json:"body,omitempty"`
-	Zone     string          `json:"loc,omitempty"`
-	Replicas []*Replica      `json:"rep,omitempty"`
-	Gone     []string        `json:"gone,omitempty"`
-	Size     int             `json:"size,omitempty"`
-	Nodes    []string        `json:"nodes,omitempty"`
-	Delta    bool            `json:"delta,omitempty"` // Nodes only came and Gone went, the others stayed
-	Houses   []Controller    `json:"houses,omitempty"`
-	Suspects []string        `json:"sus,omitempty"`
-	Digest   []byte          `json:"digest,omitempty"` // of a configuration order, for the memory of those taken
+	Kind        string          `json:"k"`
+	Base        int64           `json:"base,omitempty"`
+	Body        json.RawMessage `json:"body,omitempty"`
+	Zone        string          `json:"loc,omitempty"`
+	Replicas    []*Replica      `json:"rep,omitempty"`
+	Gone        []string        `json:"gone,omitempty"`
+	Size        int             `json:"size,omitempty"`
+	Nodes       []string        `json:"nodes,omitempty"`
+	Delta       bool            `json:"delta,omitempty"` // Nodes only came and Gone went, the others stayed
+	Controllers []Controller    `json:"houses,omitempty"`
+	Suspects    []string        `json:"sus,omitempty"`
+	Digest      []byte          `json:"digest,omitempty"` // of a configuration order, for the memory of those taken
 }
 
 // FleetEvent is the event that brings a view from one sorted list of nodes to another: whole, or what came and went if that says it with less.
@@ -98,7 +98,7 @@
 }
 
 // Places tells whether an event changes which replicas may be sent to; nil stands for a checkpoint, which may.
-func (e *Event) Places() bool {
+func (e *Event) ChangesPlacement() bool {
 	return e == nil || e.Kind == List || e.Kind == Evacuate || e.Kind == Return
 }
 
@@ -110,22 +110,22 @@
 
 // Replica is one entry of the platform's list.
 type Replica struct {
-	ID       string  `json:"replica_id"`
-	Pool     string  `json:"backend_pool"`
-	Addr     string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Software string  `json:"revision"`
-	Slots    int     `json:"slots"`
-	State    string  `json:"state"`
-	ColdMs   float64 `json:"warmup_left_ms"`
-	Stage    string  `json:"stage,omitempty"`
-	Models   []Model `json:"models,omitempty"`
+	ID               string  `json:"replica_id"`
+	Pool             string  `json:"backend_pool"`
+	Address          string  `json:"address"`
+	Zone             string  `json:"zone"`
+	SoftwareRevision string  `json:"revision"`
+	Slots            int     `json:"slots"`
+	State            string  `json:"state"`
+	WarmupLeftMs     float64 `json:"warmup_left_ms"`
+	Stage            string  `json:"stage,omitempty"`
+	Models           []Model `json:"models,omitempty"`
 }
 
 // Same tells whether two entries say the same, cold or not counting but not for how long.
-func (r *Replica) Same(o *Replica) bool {
-	if o == nil || r.ID != o.ID || r.Pool != o.Pool || r.Addr != o.Addr || r.Zone != o.Zone || r.Software != o.Software ||
-		r.Slots != o.Slots || r.State != o.State || (r.ColdMs > 0) != (o.ColdMs > 0) || r.Stage != o.Stage || len(r.Models) != len(o.Models) {
+func (r *Replica) Equal(o *Replica) bool {
+	if o == nil || r.ID != o.ID || r.Pool != o.Pool || r.Address != o.Address || r.Zone != o.Zone || r.SoftwareRevision != o.SoftwareRevision ||
+		r.Slots != o.Slots || r.State != o.State || (r.WarmupLeftMs > 0) != (o.WarmupLeftMs > 0) || r.Stage != o.Stage || len(r.Models) != len(o.Models) {
 		return false
 	}
 	for i, m := range r.Models {
@@ -138,20 +138,20 @@
 
 // Controller is a control member.
 type Controller struct {
-	Addr string `json:"addr"`
-	Zone string `json:"loc"`
+	Address string `json:"addr"`
+	Zone    string `json:"loc"`
 }
 
 // View is the folded state. It is never changed after it was made.
 type View struct {
-	Doc      *config.Doc
-	Orders   *Orders // nil where no orders are decided
-	Evac     map[string]bool
-	Replicas map[string]*Replica
-	Listed   bool
-	Fleet    int
-	Nodes    []string
-	Houses   []Controller
+	Config      *config.Document
+	Orders      *Orders // nil where no orders are decided
+	Evacuated   map[string]bool
+	Replicas    map[string]*Replica
+	Listed      bool
+	FleetSize   int
+	Nodes       []string
+	Controllers []Controller
 }
 
 type stored struct {
@@ -167,29 +167,29 @@
 
 // EmptyView is the view before the first event.
 func EmptyView() *View {
-	return &View{Doc: config.Empty(), Evac: map[string]bool{}, Replicas: map[string]*Replica{}}
+	return &View{Config: config.Empty(), Evacuated: map[string]bool{}, Replicas: map[string]*Replica{}}
 }
 
 // Next gives the view after an event.
 func (v *View) Next(e *Event) (*View, error) {
 	n := *v
 	var err error
-	if e.changesConfig() && e.Base != v.Doc.Epoch {
-		return nil, errkind.New(errkind.Stale, "version %d is current", v.Doc.Epoch)
+	if e.changesConfig() && e.Base != v.Config.Revision {
+		return nil, errkind.New(errkind.VersionConflict, "version %d is current", v.Config.Revision)
 	}
 	switch e.Kind {
 	case Put:
-		n.Doc, err = v.Doc.Put(e.Body)
+		n.Config, err = v.Config.Put(e.Body)
 	case Patch:
-		n.Doc, err = v.Doc.Patch(e.Body)
+		n.Config, err = v.Config.Patch(e.Body)
 	case Evacuate, Return:
-		n.Evac = map[string]bool{}
-		for k := range v.Evac {
-			n.Evac[k] = true
+		n.Evacuated = map[string]bool{}
+		for k := range v.Evacuated {
+			n.Evacuated[k] = true
 		}
-		delete(n.Evac, e.Zone)
+		delete(n.Evacuated, e.Zone)
 		if e.Kind == Evacuate {
-			n.Evac[e.Zone] = true
+			n.Evacuated[e.Zone] = true
 		}
 	case List:
 		n.Replicas = make(map[string]*Replica, len(v.Replicas)+len(e.Replicas))
@@ -204,12 +204,12 @@
 		}
 		n.Listed = true
 	case Fleet:
-		n.Fleet, n.Nodes = e.Size, e.nodes(v.Nodes)
-	case Houses:
-		n.Houses = e.Houses
+		n.FleetSize, n.Nodes = e.Size, e.nodes(v.Nodes)
+	case Controllers:
+		n.Controllers = e.Controllers
 	case Health:
 	default:
-		err = errkind.New(errkind.BadInput, "unknown event %q", e.Kind)
+		err = errkind.New(errkind.InvalidInput, "unknown event %q", e.Kind)
 	}
 	if err != nil {
 		return nil, err
@@ -222,7 +222,7 @@
 
 // Verdict tells whether a configuration order was taken before.
 func (v *View) Verdict(e *Event) Verdict {
-	return v.Orders.Verdict(e.Base, e.orderDigest(), v.Doc.Epoch)
+	return v.Orders.Verdict(e.Base, e.orderDigest(), v.Config.Revision)
 }
 
 // Encode gives an event's bytes.
@@ -232,7 +232,7 @@
 }
 
 // Book holds the newest view, folds events into it and tells who asks.
-type Book struct {
+type Store struct {
 	view    atomic.Pointer[View]
 	mu      sync.Mutex
 	watch   []func(old, now *View, e *Event)
@@ -241,8 +241,8 @@
 }
 
 // NewOrderBook makes the book of a process that decides on orders: it remembers those that were taken.
-func NewOrderBook() *Book {
-	b := &Book{decides: true}
+func NewOrderStore() *Store {
+	b := &Store{decides: true}
 	v := EmptyView()
 	v.Orders = &Orders{}
 	b.view.Store(v)
@@ -250,59 +250,59 @@
 }
 
 // NewBook makes a book. A guarded one never goes back to an older configuration.
-func NewBook(guarded bool) *Book {
-	b := &Book{guarded: guarded}
+func NewStore(guarded bool) *Store {
+	b := &Store{guarded: guarded}
 	b.view.Store(EmptyView())
 	return b
 }
 
 // View is the newest view.
-func (b *Book) View() *View { return b.view.Load() }
+func (s *Store) View() *View { return s.view.Load() }
 
 // Watch adds what is called after each change; e is nil after a checkpoint.
-func (b *Book) Watch(f func(old, now *View, e *Event)) {
-	b.mu.Lock()
-	b.watch = append(b.watch, f)
-	b.mu.Unlock()
+func (s *Store) OnChange(f func(old, now *View, e *Event)) {
+	s.mu.Lock()
+	s.watch = append(s.watch, f)
+	s.mu.Unlock()
 }
 
-func (b *Book) set(n *View, e *Event) {
-	old := b.view.Load()
-	b.view.Store(n)
-	for _, f := range b.watch {
+func (s *Store) set(n *View, e *Event) {
+	old := s.view.Load()
+	s.view.Store(n)
+	for _, f := range s.watch {
 		f(old, n, e)
 	}
 }
 
 // Fold takes one event in; one that can't be folded changes nothing and gives the reason.
-func (b *Book) Fold(body []byte) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *Store) Update(body []byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	e := &Event{}
 	if err := json.Unmarshal(body, e); err != nil {
-		return errkind.Wrap(errkind.BadInput, err, "event")
+		return errkind.Wrap(errkind.InvalidInput, err, "event")
 	}
-	n, err := b.view.Load().Next(e)
+	n, err := s.view.Load().Next(e)
 	if err != nil {
 		return err
 	}
-	b.set(n, e)
+	s.set(n, e)
 	return nil
 }
 
 // Apply is Fold as the control state calls it: all its copies fold the same entries, so that what one can't fold none can.
-func (b *Book) Apply(body []byte) { _ = b.Fold(body) }
+func (s *Store) Apply(body []byte) { _ = s.Update(body) }
 
 // Checkpoint gives the view's bytes.
-func (b *Book) Checkpoint() []byte { return b.view.Load().Encode() }
+func (s *Store) Snapshot() []byte { return s.view.Load().Encode() }
 
 // Encode gives a view's bytes.
 func (v *View) Encode() []byte {
-	s := stored{Orders: v.Orders, Listed: v.Listed, Fleet: v.Fleet, Nodes: v.Nodes, Houses: v.Houses}
-	if v.Doc.Epoch > 0 {
-		s.Doc = v.Doc.JSON()
+	s := stored{Orders: v.Orders, Listed: v.Listed, Fleet: v.FleetSize, Nodes: v.Nodes, Houses: v.Controllers}
+	if v.Config.Revision > 0 {
+		s.Doc = v.Config.JSON()
 	}
-	for k := range v.Evac {
+	for k := range v.Evacuated {
 		s.Evac = append(s.Evac, k)
 	}
 	for _, r := range v.Replicas {
@@ -313,29 +313,29 @@
 }
 
 // Restore puts a checkpoint in place of the view.
-func (b *Book) Restore(body []byte) error {
+func (s *Store) Restore(body []byte) error {
 	n, err := DecodeView(body)
 	if err != nil {
 		return err
 	}
 	switch {
-	case !b.decides:
+	case !s.decides:
 		n.Orders = nil
 	case n.Orders == nil: // a checkpoint from before there was this memory: all older orders are forgotten
 		n.Orders = &Orders{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	old := b.view.Load()
-	if b.guarded {
-		if n.Doc.Epoch < old.Doc.Epoch {
-			n.Doc = old.Doc
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.view.Load()
+	if s.guarded {
+		if n.Config.Revision < old.Config.Revision {
+			n.Config = old.Config
 		}
 		if !n.Listed && old.Listed {
 			n.Replicas, n.Listed = old.Replicas, true
 		}
 	}
-	b.set(n, nil)
+	s.set(n, nil)
 	return nil
 }
 
@@ -343,22 +343,22 @@
 func DecodeView(body []byte) (*View, error) {
 	var s stored
 	if err := json.Unmarshal(body, &s); err != nil {
-		return nil, errkind.Wrap(errkind.BadInput, err, "checkpoint")
+		return nil, errkind.Wrap(errkind.InvalidInput, err, "checkpoint")
 	}
 	n := EmptyView()
 	if s.Doc != nil {
-		d, err := n.Doc.Put(s.Doc)
+		d, err := n.Config.Put(s.Doc)
 		if err != nil {
 			return nil, err
 		}
-		n.Doc = d
+		n.Config = d
 	}
 	for _, k := range s.Evac {
-		n.Evac[k] = true
+		n.Evacuated[k] = true
 	}
 	for _, r := range s.Replicas {
 		n.Replicas[r.ID] = r
 	}
-	n.Orders, n.Listed, n.Fleet, n.Nodes, n.Houses = s.Orders, s.Listed, s.Fleet, s.Nodes, s.Houses
+	n.Orders, n.Listed, n.FleetSize, n.Nodes, n.Controllers = s.Orders, s.Listed, s.Fleet, s.Nodes, s.Houses
 	return n, nil
 }
--- a/internal/state/book_test.go
+++ b/internal/state/book_test.go
@@ -14,48 +14,48 @@
 }
 
 func TestTheViewIsTheJournalFolded(t *testing.T) {
-	b := NewOrderBook()
+	b := NewOrderStore()
 	seen := 0
-	b.Watch(func(_, _ *View, _ *Event) { seen++ })
+	b.OnChange(func(_, _ *View, _ *Event) { seen++ })
 	for _, e := range []*Event{
 		{Kind: Put, Body: doc("3")}, {Kind: Patch, Base: 3, Body: []byte(`{"revision":4,"remove":{"route_table":["a"]}}`)},
 		{Kind: Evacuate, Zone: "z"}, {Kind: Evacuate, Zone: "y"}, {Kind: Return, Zone: "z"},
 		{Kind: List, Replicas: []*Replica{{ID: "1"}, {ID: "2"}}}, {Kind: List, Gone: []string{"1"}},
-		{Kind: Fleet, Size: 2, Nodes: []string{"n", "m"}}, {Kind: Houses, Houses: []Controller{{"a", "z"}}},
+		{Kind: Fleet, Size: 2, Nodes: []string{"n", "m"}}, {Kind: Controllers, Controllers: []Controller{{"a", "z"}}},
 	} {
-		require.NoError(t, b.Fold(e.Encode()))
+		require.NoError(t, b.Update(e.Encode()))
 	}
 	require.Equal(t, 9, seen)
-	require.Error(t, b.Fold([]byte("nonsense")))
-	require.Error(t, b.Fold((&Event{Kind: "unknown"}).Encode()))
-	require.Error(t, b.Fold((&Event{Kind: Put, Base: 4, Body: doc("2")}).Encode()))
-	require.Error(t, b.Fold((&Event{Kind: Put, Body: doc("5")}).Encode()), "another version was built on")
+	require.Error(t, b.Update([]byte("nonsense")))
+	require.Error(t, b.Update((&Event{Kind: "unknown"}).Encode()))
+	require.Error(t, b.Update((&Event{Kind: Put, Base: 4, Body: doc("2")}).Encode()))
+	require.Error(t, b.Update((&Event{Kind: Put, Body: doc("5")}).Encode()), "another version was built on")
 	require.Equal(t, 9, seen, "what can't be folded changes nothing")
 	v := b.View()
-	require.Equal(t, int64(4), v.Doc.Epoch)
-	require.Equal(t, map[string]bool{"y": true}, v.Evac)
+	require.Equal(t, int64(4), v.Config.Revision)
+	require.Equal(t, map[string]bool{"y": true}, v.Evacuated)
 	require.Len(t, v.Replicas, 1)
 	require.True(t, v.Listed)
-	c := NewOrderBook()
-	require.NoError(t, c.Restore(b.Checkpoint()))
-	require.Equal(t, string(b.Checkpoint()), string(c.Checkpoint()))
+	c := NewOrderStore()
+	require.NoError(t, c.Restore(b.Snapshot()))
+	require.Equal(t, string(b.Snapshot()), string(c.Snapshot()))
 	require.Equal(t, v.Orders, c.View().Orders)
 	require.Error(t, c.Restore([]byte("nonsense")))
 }
 
 func TestAGuardedBookNeverGoesBack(t *testing.T) {
-	old, now := NewBook(false), NewBook(true)
-	old.Fold((&Event{Kind: Put, Body: doc("3")}).Encode())
-	now.Fold((&Event{Kind: Put, Body: doc("5")}).Encode())
-	now.Fold((&Event{Kind: List, Replicas: []*Replica{{ID: "1"}}}).Encode())
-	require.NoError(t, now.Restore(old.Checkpoint()))
-	require.Equal(t, int64(5), now.View().Doc.Epoch)
+	old, now := NewStore(false), NewStore(true)
+	old.Update((&Event{Kind: Put, Body: doc("3")}).Encode())
+	now.Update((&Event{Kind: Put, Body: doc("5")}).Encode())
+	now.Update((&Event{Kind: List, Replicas: []*Replica{{ID: "1"}}}).Encode())
+	require.NoError(t, now.Restore(old.Snapshot()))
+	require.Equal(t, int64(5), now.View().Config.Revision)
 	require.Len(t, now.View().Replicas, 1, "a source that has no list yet empties nothing")
 }
 
 func TestFleetEventsCarryWhatChangedAndFoldToTheWhole(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
-	b := NewBook(true)
+	b := NewStore(true)
 	have := map[string]bool{}
 	bytes := 0
 	for round := range 400 {
@@ -78,19 +78,19 @@
 		if round%50 != 0 {
 			bytes += len(e)
 		}
-		b.Fold(e)
+		b.Update(e)
 		require.Equal(t, to, b.View().Nodes)
-		require.Equal(t, len(to), b.View().Fleet)
+		require.Equal(t, len(to), b.View().FleetSize)
 	}
 	require.Less(t, bytes/400, 300, "some four of 390 change at a time")
 }
 
 func TestOnlyEventsThatPlaceReplicasRemakeWhatIsDerivedFromThem(t *testing.T) {
-	for _, k := range []string{Put, Patch, Fleet, Houses} {
-		require.False(t, (&Event{Kind: k}).Places(), k)
+	for _, k := range []string{Put, Patch, Fleet, Controllers} {
+		require.False(t, (&Event{Kind: k}).ChangesPlacement(), k)
 	}
 	for _, k := range []string{List, Evacuate, Return} {
-		require.True(t, (&Event{Kind: k}).Places(), k)
+		require.True(t, (&Event{Kind: k}).ChangesPlacement(), k)
 	}
-	require.True(t, (*Event)(nil).Places(), "a checkpoint")
+	require.True(t, (*Event)(nil).ChangesPlacement(), "a checkpoint")
 }
--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -18,8 +18,8 @@
 // recordedEvents are events of each kind; each field is set in one of them. They can be folded in this order.
 func recordedEvents() []namedEvent {
 	full := &Replica{
-		ID: "replica-1", Pool: "s", Addr: "10.0.1.1:8000", Zone: "zone-1", Software: "build-7", Slots: 12, State: "ready",
-		ColdMs: 1500.5, Stage: "prefill", Models: []Model{{Name: "model-1", Revision: 8}, {Name: "model-2", Revision: 9}},
+		ID: "replica-1", Pool: "s", Address: "10.0.1.1:8000", Zone: "zone-1", SoftwareRevision: "build-7", Slots: 12, State: "ready",
+		WarmupLeftMs: 1500.5, Stage: "prefill", Models: []Model{{Name: "model-1", Revision: 8}, {Name: "model-2", Revision: 9}},
 	}
 	patch := []byte(`{"revision":4,"upsert":{"unknown_key":{"kept":[1,2.50,"x"]}}}`)
 	return []namedEvent{
@@ -33,7 +33,7 @@
 		{"08-list-gone", &Event{Kind: List, Gone: []string{"replica-2"}}},
 		{"09-fleet", &Event{Kind: Fleet, Size: 3, Nodes: []string{"10.0.0.1:7720", "10.0.0.2:7720", "10.0.0.3:7720"}}},
 		{"10-fleet-change", &Event{Kind: Fleet, Size: 3, Nodes: []string{"10.0.0.4:7720"}, Gone: []string{"10.0.0.2:7720"}, Delta: true}},
-		{"11-houses", &Event{Kind: Houses, Houses: []Controller{{"10.0.0.1:7721", "zone-1"}, {"10.0.0.2:7721", "zone-2"}}}},
+		{"11-houses", &Event{Kind: Controllers, Controllers: []Controller{{"10.0.0.1:7721", "zone-1"}, {"10.0.0.2:7721", "zone-2"}}}},
 		{"12-health", &Event{Kind: Health, Suspects: []string{"replica-1", "replica-3"}}},
 	}
 }
@@ -53,20 +53,20 @@
 func TestBook_RecordedCheckpoints_ReadAndWrittenAsBefore(t *testing.T) {
 	for _, x := range []struct {
 		path  string
-		fresh func() *Book
+		fresh func() *Store
 	}{
-		{"testdata/checkpoints-with-orders.txt", NewOrderBook},
-		{"testdata/checkpoints-without-orders.txt", func() *Book { return NewBook(true) }},
+		{"testdata/checkpoints-with-orders.txt", NewOrderStore},
+		{"testdata/checkpoints-without-orders.txt", func() *Store { return NewStore(true) }},
 	} {
 		recording := recordedtest.Open(t, x.path)
 		b := x.fresh()
 		restored := x.fresh()
-		require.NoError(t, restored.Restore(recording.Same("00-empty", b.Checkpoint())))
+		require.NoError(t, restored.Restore(recording.Same("00-empty", b.Snapshot())))
 		require.Equal(t, b.View(), restored.View())
 		for _, e := range recordedEvents() {
-			require.NoError(t, b.Fold(e.event.Encode()), e.name)
-			checkpoint := b.Checkpoint()
-			if len(b.View().Evac) > 1 || len(b.View().Replicas) > 1 { // written in any order
+			require.NoError(t, b.Update(e.event.Encode()), e.name)
+			checkpoint := b.Snapshot()
+			if len(b.View().Evacuated) > 1 || len(b.View().Replicas) > 1 { // written in any order
 				checkpoint = recording.Bytes(e.name)
 			}
 			restored := x.fresh()
@@ -79,18 +79,18 @@
 // TestBook_CheckpointOfAnotherMemory_IsRead crosses checkpoints with and without the memory of orders.
 func TestBook_CheckpointOfAnotherMemory_IsRead(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/last-checkpoints.txt")
-	b, guarded := NewOrderBook(), NewBook(true)
+	b, guarded := NewOrderStore(), NewStore(true)
 	for _, x := range recordedEvents() {
-		require.NoError(t, b.Fold(x.event.Encode()))
-		require.NoError(t, guarded.Fold(x.event.Encode()))
+		require.NoError(t, b.Update(x.event.Encode()))
+		require.NoError(t, guarded.Update(x.event.Encode()))
 	}
-	with := recording.Same("with-orders", b.Checkpoint())
-	without := recording.Same("without-orders", guarded.Checkpoint())
-	follower := NewBook(true)
+	with := recording.Same("with-orders", b.Snapshot())
+	without := recording.Same("without-orders", guarded.Snapshot())
+	follower := NewStore(true)
 	require.NoError(t, follower.Restore(with))
 	require.Nil(t, follower.View().Orders)
-	require.Equal(t, without, follower.Checkpoint())
-	decides := NewOrderBook()
+	require.Equal(t, without, follower.Snapshot())
+	decides := NewOrderStore()
 	require.NoError(t, decides.Restore(without))
 	require.Equal(t, Forgotten, decides.View().Verdict(recordedEvents()[0].event))
 	require.NoError(t, decides.Restore(with))
--- a/internal/state/orders.go
+++ b/internal/state/orders.go
@@ -84,11 +84,11 @@
 	for len(packed) > 0 {
 		step, size := binary.Uvarint(packed)
 		if size <= 0 || len(packed) < size+digestBytes {
-			return nil, errkind.New(errkind.BadInput, "memory of orders is cut short")
+			return nil, errkind.New(errkind.InvalidInput, "memory of orders is cut short")
 		}
 		base := last + int64(step)
 		if base < last || step == 0 && len(out.taken) > 0 {
-			return nil, errkind.New(errkind.BadInput, "memory of orders is out of order")
+			return nil, errkind.New(errkind.InvalidInput, "memory of orders is out of order")
 		}
 		out.taken = append(out.taken, takenOrder{base, string(packed[size : size+digestBytes])})
 		packed = packed[size+digestBytes:]
--- a/internal/state/orders_test.go
+++ b/internal/state/orders_test.go
@@ -14,18 +14,18 @@
 
 func TestARepeatIsKnownAsLongAsItIsRememberedAndUnclearAfterwards(t *testing.T) {
 	const many = 3 * ordersRemembered
-	b := NewOrderBook()
+	b := NewOrderStore()
 	r := rand.New(rand.NewPCG(1, 1))
 	var taken, lost []*Event
 	for base := int64(0); len(taken) < many; {
 		next := base + 1 + r.Int64N(5)
 		taken = append(taken, change(base, next, "won"))
 		lost = append(lost, change(base, next, "lost"))
-		require.NoError(t, b.Fold(taken[len(taken)-1].Encode()))
+		require.NoError(t, b.Update(taken[len(taken)-1].Encode()))
 		base = next
 		if len(taken)%100 == 0 { // a restart of all from a checkpoint
-			c := NewOrderBook()
-			require.NoError(t, c.Restore(b.Checkpoint()))
+			c := NewOrderStore()
+			require.NoError(t, c.Restore(b.Snapshot()))
 			b = c
 		}
 	}
@@ -37,21 +37,21 @@
 		want = map[bool]Verdict{true: NotTaken, false: Forgotten}[remembered]
 		require.Equal(t, want, v.Verdict(lost[i]), "%d", i)
 	}
-	require.Equal(t, NotTaken, v.Verdict(change(v.Doc.Epoch, v.Doc.Epoch+1, "next")))
-	require.Equal(t, NotTaken, v.Verdict(change(v.Doc.Epoch+9, v.Doc.Epoch+10, "from nowhere")))
-	require.Less(t, len(b.Checkpoint()), 20<<10, "the memory's bound")
+	require.Equal(t, NotTaken, v.Verdict(change(v.Config.Revision, v.Config.Revision+1, "next")))
+	require.Equal(t, NotTaken, v.Verdict(change(v.Config.Revision+9, v.Config.Revision+10, "from nowhere")))
+	require.Less(t, len(b.Snapshot()), 20<<10, "the memory's bound")
 }
 
 func TestAnOrderOnAVersionThatNeverWasIsNotTaken(t *testing.T) {
-	b := NewOrderBook()
-	require.NoError(t, b.Fold(change(0, 5, "a").Encode()))
-	require.NoError(t, b.Fold(change(5, 9, "b").Encode()))
+	b := NewOrderStore()
+	require.NoError(t, b.Update(change(0, 5, "a").Encode()))
+	require.NoError(t, b.Update(change(5, 9, "b").Encode()))
 	require.Equal(t, NotTaken, b.View().Verdict(change(7, 9, "b")))
 }
 
 func TestARepeatWithOtherSpacingIsTheSameOrder(t *testing.T) {
-	b := NewOrderBook()
-	require.NoError(t, b.Fold(OrderEvent(Patch, 0, []byte(`{"revision":3,"upsert":{"x":[1,2.50]}}`)).Encode()))
+	b := NewOrderStore()
+	require.NoError(t, b.Update(OrderEvent(Patch, 0, []byte(`{"revision":3,"upsert":{"x":[1,2.50]}}`)).Encode()))
 	v := b.View()
 	spaced := "{ \"upsert\" : {\"x\":[ 1, 2.50 ]},\n \"revision\":3 }"
 	require.Equal(t, Taken, v.Verdict(OrderEvent(Patch, 0, []byte(spaced))))
@@ -60,10 +60,10 @@
 }
 
 func TestACheckpointFromBeforeTheMemoryForgetsAllThatIsOlder(t *testing.T) {
-	plain := NewBook(false)
-	require.NoError(t, plain.Fold(change(0, 5, "a").Encode()))
-	b := NewOrderBook()
-	require.NoError(t, b.Restore(plain.Checkpoint()))
+	plain := NewStore(false)
+	require.NoError(t, plain.Update(change(0, 5, "a").Encode()))
+	b := NewOrderStore()
+	require.NoError(t, b.Restore(plain.Snapshot()))
 	require.Equal(t, Forgotten, b.View().Verdict(change(0, 5, "a")))
 	require.Equal(t, NotTaken, b.View().Verdict(change(5, 6, "b")))
 }
@@ -71,25 +71,25 @@
 func TestEntriesOfOlderLogsAreRemembered(t *testing.T) {
 	e := change(0, 5, "a")
 	e.Digest = nil
-	b := NewOrderBook()
-	require.NoError(t, b.Fold(e.Encode()))
+	b := NewOrderStore()
+	require.NoError(t, b.Update(e.Encode()))
 	require.Equal(t, Taken, b.View().Verdict(change(0, 5, "a")))
 }
 
 func TestABookThatDecidesNothingRemembersNothing(t *testing.T) {
-	b := NewBook(true)
-	require.NoError(t, b.Fold(change(0, 5, "a").Encode()))
+	b := NewStore(true)
+	require.NoError(t, b.Update(change(0, 5, "a").Encode()))
 	require.Nil(t, b.View().Orders)
-	decides := NewOrderBook()
-	require.NoError(t, decides.Fold(change(0, 5, "a").Encode()))
-	require.NoError(t, b.Restore(decides.Checkpoint()))
+	decides := NewOrderStore()
+	require.NoError(t, decides.Update(change(0, 5, "a").Encode()))
+	require.NoError(t, b.Restore(decides.Snapshot()))
 	require.Nil(t, b.View().Orders)
 }
 
 func FuzzOrders(f *testing.F) {
-	b := NewOrderBook()
-	_ = b.Fold(change(0, 5, "a").Encode())
-	_ = b.Fold(change(5, 9, "b").Encode())
+	b := NewOrderStore()
+	_ = b.Update(change(0, 5, "a").Encode())
+	_ = b.Update(change(5, 9, "b").Encode())
 	f.Add(b.View().Orders.encode())
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		o, err := decodeOrders(packed)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -110,11 +110,11 @@
 		p.mu.Lock()
 		if p.shut {
 			p.mu.Unlock()
-			return nil, errkind.New(errkind.Unready, "the replica is gone")
+			return nil, errkind.New(errkind.Unavailable, "the replica is gone")
 		}
 		if p.most < 1 {
 			p.mu.Unlock()
-			return nil, errkind.New(errkind.Crowded, "no share of the replica's connections")
+			return nil, errkind.New(errkind.Overloaded, "no share of the replica's connections")
 		}
 		if p.pie.Take(owner, 1) {
 			had := len(p.free)
@@ -151,7 +151,7 @@
 		case <-quit:
 			return nil, ErrNotWanted
 		case <-time.After(time.Until(end)):
-			return nil, errkind.New(errkind.Crowded, "no connection is free")
+			return nil, errkind.New(errkind.Overloaded, "no connection is free")
 		}
 	}
 }
@@ -198,7 +198,7 @@
 		p.pie.Give(owner, 1)
 		p.signal()
 		p.mu.Unlock()
-		return nil, errkind.Wrap(errkind.Broken, err, "dial")
+		return nil, errkind.Wrap(errkind.UpstreamFailure, err, "dial")
 	}
 	p.made.All.Inc()
 	return open(p, c, owner), nil
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -137,7 +137,7 @@
 		synctest.Wait()
 		require.Zero(t, s.now())
 		_, err := p.Get("o", time.Hour, false, nil)
-		require.Equal(t, errkind.Crowded, errkind.KindOf(err), "without a share it fails at once")
+		require.Equal(t, errkind.Overloaded, errkind.KindOf(err), "without a share it fails at once")
 		p.Limit(3)
 		ch, err := p.Get("o", fairshare.LoanTimeout, false, nil)
 		require.NoError(t, err)
--- a/schema/generate.go
+++ b/schema/generate.go
@@ -4,3 +4,4 @@
 //go:generate flatc --go -o ../coord/rpc rpc.fbs
 //go:generate flatc --go --gen-object-api -o ../coord/replication replication.fbs
 //go:generate protoc --go_out=.. --go_opt=module=shaletrestle config.proto
+//go:generate gofmt -w ../coord/rpc/rpcfb ../coord/replication/replicationfb ../internal/config/configpb
