--- a/coord/replication/core/bootstrap.go
+++ b/coord/replication/core/bootstrap.go
@@ -8,13 +8,13 @@
 // firstBase gives the view of epoch 0, whose witnesses make the first view, once every seed is there, with a disk or without any. Of the seeds with first disks the lowest address goes first, the others after some seconds.
 //
 // Invariant: there is one first view. A seed's disk may be lost and another come in its place while the first view is made, so two proposers may mean different witnesses. The first view is prepared at all of the witnesses that its proposer means, not at a majority, and most of these must be first disks: whatever was chosen before was accepted by a majority, so it shows at one of them.
-func (c *Core) firstBase() (*View, bool) {
-	if !c.config.Bootstrap || c.config.Relay || !slices.Contains(c.firstSeeds(), c.self.Address) {
+func (c *Core) bootstrapBase() (*View, bool) {
+	if !c.config.Bootstrap || c.config.Relay || !slices.Contains(c.bootstrapSeeds(), c.self.Address) {
 		return nil, false
 	}
 	base := &View{}
 	firstDisks, rank := 0, 0
-	for _, address := range c.firstSeeds() {
+	for _, address := range c.bootstrapSeeds() {
 		if address == c.self.Address {
 			rank = firstDisks
 			firstDisks++
@@ -22,7 +22,7 @@
 			continue
 		}
 		p := c.peerAt(address)
-		if p == nil || !c.fresh(*p) {
+		if p == nil || !c.isResponsive(*p) {
 			return nil, false
 		}
 		if p.status.Relay {
@@ -33,14 +33,14 @@
 		}
 		base.Witnesses = append(base.Witnesses, p.member)
 	}
-	if firstDisks < majority(len(base.Witnesses)) || c.now-c.born < time.Duration(rank)*c.timing.WitnessTimeout {
+	if firstDisks < majority(len(base.Witnesses)) || c.now-c.startedAt < time.Duration(rank)*c.timing.WitnessTimeout {
 		return nil, false
 	}
 	return base, true
 }
 
 // firstSeeds are the addresses of the first start, sorted.
-func (c *Core) firstSeeds() []string {
+func (c *Core) bootstrapSeeds() []string {
 	seeds := c.config.BootstrapSeeds
 	if len(seeds) == 0 {
 		seeds = c.config.Seeds
@@ -54,7 +54,7 @@
 	for _, witness := range base.Witnesses {
 		named[witness.Address] = true
 	}
-	seeds := c.firstSeeds()
+	seeds := c.bootstrapSeeds()
 	for _, address := range seeds {
 		if named[address] {
 			delete(named, address)
--- a/coord/replication/core/confirm.go
+++ b/coord/replication/core/confirm.go
@@ -8,7 +8,7 @@
 )
 
 // call is an answer that waits for the witnesses' word.
-type call struct {
+type pendingCall struct {
 	token    Token
 	deadline time.Duration
 	outcome  Outcome
@@ -19,31 +19,31 @@
 //
 // Invariant: every clear answer is linearizable. A refusal, an empty acknowledgement and a read are answered only after a majority of the view's witnesses said, in a round begun after the call arrived (for the first two: after Decide ran), that they accepted no later view. So no later view was chosen when the round began, and the state the answer speaks of was the newest then.
 type confirmation struct {
-	round       uint64
-	running     bool
-	begun       time.Duration
-	sentAt      time.Duration
-	granted     []MemberID
-	asked       []call // that the running round serves
-	waiting     []call // for the next round
-	overtaken   bool   // a witness of the running round has accepted a later view
-	doubted     bool   // no clear answer and no order before a round has ended
-	proveBefore time.Duration
+	round      uint64
+	running    bool
+	startedAt  time.Duration
+	sentAt     time.Duration
+	granted    []MemberID
+	inRound    []pendingCall // that the running round serves
+	queued     []pendingCall // for the next round
+	superseded bool          // a witness of the running round has accepted a later view
+	required   bool          // no clear answer and no order before a round has ended
+	confirmBy  time.Duration
 }
 
 // void ends the running round without an answer; its calls wait for the next one.
-func (f *confirmation) void() {
+func (f *confirmation) abandonRound() {
 	f.running = false
-	f.waiting = append(f.asked, f.waiting...)
-	f.asked = nil
+	f.queued = append(f.inRound, f.queued...)
+	f.inRound = nil
 }
 
 // doubt demands a new round before anything clear is said.
-func (f *confirmation) doubt() {
-	if !f.doubted {
-		f.void()
+func (f *confirmation) requireRound() {
+	if !f.required {
+		f.abandonRound()
 	}
-	f.doubted = true
+	f.required = true
 }
 
 // reset forgets all but the number of the last round, which is never used again.
@@ -51,58 +51,58 @@
 	*f = confirmation{round: f.round}
 }
 
-func (f *confirmation) takeAll() []call {
-	calls := append(f.asked, f.waiting...)
-	f.asked = nil
-	f.waiting = nil
+func (f *confirmation) takeAll() []pendingCall {
+	calls := append(f.inRound, f.queued...)
+	f.inRound = nil
+	f.queued = nil
 	return calls
 }
 
 // takeRead queues a read for the next round.
-func (c *Core) takeRead(read Read) {
-	if !c.active {
-		c.answer(read.Token, Deposed, nil)
+func (c *Core) enqueueRead(read Read) {
+	if !c.isPrimary {
+		c.sendResult(read.Token, Deposed, nil)
 		return
 	}
-	if len(c.confirm.asked)+len(c.confirm.waiting) >= c.limits.MaxPending {
-		c.answer(read.Token, Indeterminate, ErrTooManyPending)
+	if len(c.confirm.inRound)+len(c.confirm.queued) >= c.limits.MaxPending {
+		c.sendResult(read.Token, Indeterminate, ErrTooManyPending)
 		return
 	}
-	c.confirmBefore(call{token: read.Token, deadline: read.Deadline, outcome: Current}, c.mutation == mutation.SkipConfirmOnRead)
+	c.finishAfterRound(pendingCall{token: read.Token, deadline: read.Deadline, outcome: Current}, c.mutation == mutation.SkipConfirmOnRead)
 }
 
 // confirmBefore answers a call after the next round.
-func (c *Core) confirmBefore(waiting call, skip bool) {
+func (c *Core) finishAfterRound(waiting pendingCall, skip bool) {
 	if skip {
-		c.answer(waiting.token, waiting.outcome, waiting.err)
+		c.sendResult(waiting.token, waiting.outcome, waiting.err)
 		return
 	}
-	c.confirm.waiting = append(c.confirm.waiting, waiting)
+	c.confirm.queued = append(c.confirm.queued, waiting)
 }
 
 // runConfirmation begins a round if one is wanted. One round serves all calls that wait.
-func (c *Core) runConfirmation() {
+func (c *Core) startRound() {
 	f := &c.confirm
-	wanted := len(f.waiting) > 0 || f.doubted
-	if !wanted || f.running || !c.active || c.change != nil {
+	wanted := len(f.queued) > 0 || f.required
+	if !wanted || f.running || !c.isPrimary || c.change != nil {
 		return
 	}
 	f.round++
 	f.running = true
-	f.begun = c.now
+	f.startedAt = c.now
 	f.granted = nil
-	f.overtaken = false
-	f.asked = f.waiting
-	f.waiting = nil
-	c.askConfirm()
+	f.superseded = false
+	f.inRound = f.queued
+	f.queued = nil
+	c.sendConfirms()
 }
 
-func (c *Core) askConfirm() {
+func (c *Core) sendConfirms() {
 	c.confirm.sentAt = c.now
 	view := c.register.View
 	for _, witness := range view.Witnesses {
 		if !slices.Contains(c.confirm.granted, witness.ID) {
-			c.send(Confirm{Envelope: c.to(witness), Epoch: view.Epoch, Ballot: view.Ballot, Round: c.confirm.round})
+			c.send(Confirm{Envelope: c.envelopeTo(witness), Epoch: view.Epoch, Ballot: view.Ballot, Round: c.confirm.round})
 		}
 	}
 }
@@ -112,14 +112,14 @@
 	c.learn(m.View)
 	f := &c.confirm
 	view := c.register.View
-	if !c.active || !f.running || m.Round != f.round || view.Tag() != (StateTag{Epoch: m.Epoch, Ballot: m.Ballot}) {
+	if !c.isPrimary || !f.running || m.Round != f.round || view.Tag() != (StateTag{Epoch: m.Epoch, Ballot: m.Ballot}) {
 		return
 	}
 	if indexOf(view.Witnesses, m.From.ID) < 0 || slices.Contains(f.granted, m.From.ID) {
 		return
 	}
 	if m.Rejection != Granted {
-		f.overtaken = f.overtaken || m.Rejection == HigherPromise
+		f.superseded = f.superseded || m.Rejection == HigherPromise
 		return
 	}
 	f.granted = append(f.granted, m.From.ID)
@@ -130,26 +130,26 @@
 	if len(f.granted) < needed {
 		return
 	}
-	c.confirmed()
+	c.roundConfirmed()
 }
 
-func (c *Core) confirmed() {
+func (c *Core) roundConfirmed() {
 	f := &c.confirm
 	f.running = false
-	f.doubted = false
-	calls := f.asked
-	f.asked = nil
+	f.required = false
+	calls := f.inRound
+	f.inRound = nil
 	for _, waiting := range calls {
-		c.answerInTime(waiting)
+		c.finishInTime(waiting)
 	}
 }
 
-func (c *Core) answerInTime(waiting call) {
+func (c *Core) finishInTime(waiting pendingCall) {
 	if c.now > waiting.deadline {
-		c.answer(waiting.token, Indeterminate, ErrDeadlineExceeded)
+		c.sendResult(waiting.token, Indeterminate, ErrDeadlineExceeded)
 		return
 	}
-	c.answer(waiting.token, waiting.outcome, waiting.err)
+	c.sendResult(waiting.token, waiting.outcome, waiting.err)
 }
 
 // tickConfirmation repeats what was not answered. A round that does not end makes way for a new one, which serves those that wait as well.
@@ -158,30 +158,30 @@
 	if !f.running || c.change != nil {
 		return
 	}
-	if c.now-f.begun >= c.timing.ReplyTimeout {
-		f.void()
-		c.viewChangeDue = c.viewChangeDue || f.overtaken // what was begun must be finished before anybody can be sure
+	if c.now-f.startedAt >= c.timing.ReplyTimeout {
+		f.abandonRound()
+		c.viewChangeDue = c.viewChangeDue || f.superseded // what was begun must be finished before anybody can be sure
 		return
 	}
 	if c.now-f.sentAt >= c.timing.ResendInterval {
-		c.askConfirm()
+		c.sendConfirms()
 	}
 }
 
 // expireCalls ends the calls whose time is over.
 func (c *Core) expireCalls() {
-	c.expireOrders()
-	if w := c.write; w != nil && !w.answered && c.now > w.order.Deadline {
-		w.answered = true
-		c.answer(w.order.Token, Indeterminate, ErrDeadlineExceeded)
+	c.expireCommands()
+	if w := c.write; w != nil && !w.resultSent && c.now > w.command.Deadline {
+		w.resultSent = true
+		c.sendResult(w.command.Token, Indeterminate, ErrDeadlineExceeded)
 	}
-	late := func(waiting call) bool {
+	late := func(waiting pendingCall) bool {
 		over := c.now > waiting.deadline
 		if over {
-			c.answer(waiting.token, Indeterminate, ErrDeadlineExceeded)
+			c.sendResult(waiting.token, Indeterminate, ErrDeadlineExceeded)
 		}
 		return over
 	}
-	c.confirm.asked = slices.DeleteFunc(c.confirm.asked, late)
-	c.confirm.waiting = slices.DeleteFunc(c.confirm.waiting, late)
+	c.confirm.inRound = slices.DeleteFunc(c.confirm.inRound, late)
+	c.confirm.queued = slices.DeleteFunc(c.confirm.queued, late)
 }
--- a/coord/replication/core/core.go
+++ b/coord/replication/core/core.go
@@ -24,39 +24,39 @@
 	timing Timing
 	limits Limits
 
-	now      time.Duration
-	born     time.Duration
-	effects  []Effect
-	loopback []Message // sent to this member by itself
+	now       time.Duration
+	startedAt time.Duration
+	effects   []Effect
+	loopback  []Message // sent to this member by itself
 
-	register        Register
-	registerChanged bool
-	registerReplies []Message // that wait for the register to be synced
+	register                Register
+	registerDirty           bool
+	repliesAwaitingRegister []Message // that wait for the register to be synced
 
-	disk  diskQueue
-	state heldState
-	inbox *incomingState
+	disk     diskQueue
+	state    replicatedState
+	incoming *incomingState
 
-	peers         []peer // sorted by id
-	lastHeard     time.Duration
-	heardFrom     Member
-	lastHeartbeat time.Duration
-	lastHello     time.Duration
+	peers              []peer // sorted by id
+	lastPrimaryContact time.Duration
+	lastPrimary        Member
+	lastHeartbeat      time.Duration
+	lastHello          time.Duration
 
-	active        bool
-	activeEpoch   Epoch
-	viewChangeDue bool
-	retryAfter    time.Duration // no view change is tried before
-	deafSince     time.Duration // nobody was heard since a view change began that failed; longAgo: not so
-	promisedAt    time.Duration // when a promise was last given to another member
-	round         uint64        // of the last ballot, for the epoch after the known view
-	change        *viewChange
-	warnedEpoch   Epoch // for which the tolerance was said to be out of reach
+	isPrimary            bool
+	primaryEpoch         Epoch
+	viewChangeDue        bool
+	retryAfter           time.Duration // no view change is tried before
+	isolatedSince        time.Duration // nobody was heard since a view change began that failed; longAgo: not so
+	lastPromiseAt        time.Duration // when a promise was last given to another member
+	lastRound            uint64        // of the last ballot, for the epoch after the known view
+	change               *viewChange
+	toleranceWarnedEpoch Epoch // for which the tolerance was said to be out of reach
 
-	orders  []Command
-	write   *write
-	widened int // view changes made for the order that is first in the queue
-	confirm confirmation
+	commands              []Command
+	write                 *pendingWrite
+	viewChangesForCommand int // view changes made for the order that is first in the queue
+	confirm               confirmation
 
 	yielding *yielding
 	leaving  *leaving
@@ -75,12 +75,12 @@
 		limits:   config.Limits,
 		register: stored.Register.Clone(),
 
-		promisedAt:    longAgo,
+		lastPromiseAt: longAgo,
 		lastHello:     longAgo,
 		lastHeartbeat: longAgo,
-		deafSince:     longAgo,
+		isolatedSince: longAgo,
 	}
-	c.round = ballotRound(max(c.register.Promised, c.register.AcceptedBallot))
+	c.lastRound = ballotRound(max(c.register.Promised, c.register.AcceptedBallot))
 	if err := c.loadState(stored); err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 // Step handles one event. now is a steady clock since the process started that never goes back.
 func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.effects = nil
-	c.noticeTime(now)
+	c.advanceClock(now)
 	c.handle(event)
 	c.settle()
 	return c.effects
@@ -112,9 +112,9 @@
 	case DiskStalled:
 		c.diskStalled(event)
 	case Command:
-		c.takeOrder(event)
+		c.enqueueCommand(event)
 	case Read:
-		c.takeRead(event)
+		c.enqueueRead(event)
 	case Leave:
 		c.startLeaving(event)
 	}
@@ -123,8 +123,8 @@
 // settle goes on with whatever the event made possible, until nothing is left to do.
 func (c *Core) settle() {
 	for {
-		c.runOrders()
-		c.runConfirmation()
+		c.startCommands()
+		c.startRound()
 		if len(c.loopback) == 0 {
 			break
 		}
@@ -136,13 +136,13 @@
 }
 
 func (c *Core) start() {
-	c.born = c.now
-	c.lastHeard = c.now
+	c.startedAt = c.now
+	c.lastPrimaryContact = c.now
 	view := c.register.View
 	if view != nil && view.Primary.ID == c.self.ID {
-		c.lastHeard = c.now - 2*c.timing.HeartbeatInterval // a primary that comes back asks at once; the witnesses know better if it was followed
+		c.lastPrimaryContact = c.now - 2*c.timing.HeartbeatInterval // a primary that comes back asks at once; the witnesses know better if it was followed
 	}
-	c.hello()
+	c.sendHello()
 	c.considerViewChange()
 }
 
@@ -164,21 +164,21 @@
 func (c *Core) receive(message Message) {
 	envelope := message.Route()
 	if envelope.From.ID != c.self.ID {
-		c.touch(envelope.From)
+		c.recordContact(envelope.From)
 	}
 	meant := envelope.To == 0 || envelope.To == c.self.ID
 	if !meant {
-		c.refuse(message, WrongDisk)
+		c.reject(message, WrongDisk)
 		return
 	}
 	if c.config.Relay && needsDisk(message) {
-		c.refuse(message, NoDisk)
+		c.reject(message, NoDisk)
 		return
 	}
 	if c.receiveRequest(message) {
 		return
 	}
-	c.hasAnswered(envelope.From)
+	c.recordReply(envelope.From)
 	c.receiveReply(message)
 }
 
@@ -244,7 +244,7 @@
 }
 
 // to addresses a message to a member, where it was last heard.
-func (c *Core) to(member Member) Envelope {
+func (c *Core) envelopeTo(member Member) Envelope {
 	address := member.Address
 	if p := c.peer(member.ID); p != nil {
 		address = p.member.Address
@@ -253,7 +253,7 @@
 }
 
 // back addresses the reply to a message.
-func (c *Core) back(request Message) Envelope {
+func (c *Core) replyTo(request Message) Envelope {
 	from := request.Route().From
 	return Envelope{From: c.self, To: from.ID, ToAddress: from.Address}
 }
--- a/coord/replication/core/disk.go
+++ b/coord/replication/core/disk.go
@@ -10,7 +10,7 @@
 	registerJob     jobKind = iota + 1
 	ownAppendJob            // an entry of this primary's own
 	backupAppendJob         // an entry of the primary's
-	trimJob                 // a snapshot in place of a grown log
+	compactionJob           // a snapshot in place of a grown log
 	repairJob               // a snapshot in place of a broken log
 	transferJob             // state that was given
 )
@@ -24,7 +24,7 @@
 	replies  []Message
 	entry    Entry
 	reply    AppendReply
-	given    givenState
+	received receivedState
 }
 
 // diskQueue holds the jobs under way in their order.
@@ -81,8 +81,8 @@
 		c.ownAppendDone(job, event.Err)
 	case backupAppendJob:
 		c.backupAppendDone(job, event.Err)
-	case trimJob:
-		c.trimDone(event.Err)
+	case compactionJob:
+		c.compactionDone(event.Err)
 	case repairJob:
 		c.repairDone(event.Err)
 	case transferJob:
@@ -98,23 +98,23 @@
 	c.disk.stalled = true
 	c.state.joined = StateTag{}
 	c.log(slog.LevelWarn, "disk stalled")
-	c.ownDiskFailed()
+	c.stepDownForDisk()
 }
 
 // trimDone notes a log that is broken if its snapshot could not be saved: what it holds is on disk still, but nothing can be added.
-func (c *Core) trimDone(err error) {
+func (c *Core) compactionDone(err error) {
 	if err == nil {
 		return
 	}
-	c.state.broken = true
+	c.state.logBroken = true
 	c.state.joined = StateTag{}
-	c.ownDiskFailed()
+	c.stepDownForDisk()
 }
 
 // ownDiskFailed lets another member take over from a primary whose disk takes no writes.
-func (c *Core) ownDiskFailed() {
+func (c *Core) stepDownForDisk() {
 	view := c.register.View
-	if !c.active {
+	if !c.isPrimary {
 		return
 	}
 	c.stopBeingPrimary(OwnDiskFailed)
--- a/coord/replication/core/explore_call_test.go
+++ b/coord/replication/core/explore_call_test.go
@@ -7,15 +7,15 @@
 
 // callState is an order or a read of the model's clients.
 type callState struct {
-	kind    callKind
-	token   Token
-	node    int
-	floor   string // the longest state that a clear answer spoke of before this call began
-	decided string // what Decide saw
-	ran     bool   // Decide ran
-	done    bool
-	outcome Outcome
-	proofs  uint8 // members whose confirmation came after the call, or after Decide
+	kind        callKind
+	token       Token
+	node        int
+	floor       string // the longest state that a clear answer spoke of before this call began
+	decided     string // what Decide saw
+	ran         bool   // Decide ran
+	done        bool
+	outcome     Outcome
+	confirmedBy uint8 // members whose confirmation came after the call, or after Decide
 }
 
 type callKind uint8
@@ -31,8 +31,8 @@
 // bindOrders lets the waiting orders decide on this state's machine.
 func (m *model) bindOrders(i int) {
 	c := m.nodes[i].core
-	for j := range c.orders {
-		c.orders[j].Decide = m.decide(i, c.orders[j].Token)
+	for j := range c.commands {
+		c.commands[j].Decide = m.decide(i, c.commands[j].Token)
 	}
 }
 
@@ -43,7 +43,7 @@
 		content := m.nodes[i].machine.content
 		call.decided = content
 		call.ran = true
-		call.proofs = 0
+		call.confirmedBy = 0
 		if call.kind == writeCall {
 			return []byte(writeName(token)), nil
 		}
@@ -66,14 +66,14 @@
 }
 
 // noteProof notes whose confirmation reaches whom.
-func (m *model) noteProof(i int, message Message) {
+func (m *model) recordConfirmation(i int, message Message) {
 	reply, ok := message.(ConfirmReply)
 	if !ok || reply.Rejection != Granted {
 		return
 	}
 	for j := range m.calls {
 		if m.calls[j].node == i && !m.calls[j].done {
-			m.calls[j].proofs |= 1 << memberIndex(reply.From.Address)
+			m.calls[j].confirmedBy |= 1 << memberIndex(reply.From.Address)
 		}
 	}
 }
@@ -87,15 +87,15 @@
 	call.done = true
 	call.outcome = answer.Outcome
 	node := m.nodes[call.node]
-	spoken := call.decided
+	reported := call.decided
 	if answer.Outcome == Committed || answer.Outcome == Current {
-		spoken = node.machine.content
+		reported = node.machine.content
 	}
 	if answer.Outcome == Deposed {
-		m.watch.neverDone = append(m.watch.neverDone, writeName(call.token))
+		m.watch.notExecuted = append(m.watch.notExecuted, writeName(call.token))
 	}
 	if answer.Outcome.IsDefinite() {
-		m.watch.clear(m, call, spoken)
+		m.watch.clear(m, call, reported)
 	}
 }
 
@@ -104,7 +104,7 @@
 	out := m.copied()
 	kind := out.rules.calls[len(out.calls)]
 	token := out.tokenBase + Token(len(out.calls)) + 1
-	out.calls = append(out.calls, callState{kind: kind, token: token, node: i, floor: out.watch.spoken})
+	out.calls = append(out.calls, callState{kind: kind, token: token, node: i, floor: out.watch.reported})
 	deadline := out.now - out.nodes[i].born + 6*unit
 	if kind == readCall {
 		out.step(i, Read{Token: token, Deadline: deadline})
--- a/coord/replication/core/explore_cases_test.go
+++ b/coord/replication/core/explore_cases_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestTheSearchFindsFaults builds in one fault at a time, each of which the search must find.
-func TestTheSearchFindsFaults(t *testing.T) {
+// TestExplore_FaultPlanted_IsFound builds in one fault at a time, each of which the search must find.
+func TestExplore_FaultPlanted_IsFound(t *testing.T) {
 	for _, c := range []searchCase{
 		{built: mutation.SkipSync, fault: crashFault, second: writeCall, left: all(1, 5)},
 		{built: mutation.AnswerBeforeBackups, fault: crashFault, second: writeCall, left: all(1, 5)},
--- a/coord/replication/core/explore_model_test.go
+++ b/coord/replication/core/explore_model_test.go
@@ -46,14 +46,14 @@
 
 // modelNode is one member. It is shared between model states and never changed.
 type modelNode struct {
-	core    *Core
-	machine *text
-	disk    storedDisk
-	life    int
-	born    time.Duration
-	up      bool
-	digest  uint64
-	hashed  time.Duration // the clock for which the digest holds
+	core        *Core
+	machine     *text
+	disk        storedDisk
+	incarnation int
+	born        time.Duration
+	up          bool
+	digest      uint64
+	digestedAt  time.Duration // the clock for which the digest holds
 }
 
 // budgets bound what may happen beyond the default schedule.
@@ -139,10 +139,10 @@
 // firstModel starts three members and lets them make the first view and one entry.
 func firstModel(rules *modelRules) *model {
 	m := startingModel(&modelRules{calls: []callKind{writeCall}}).settle()
-	for m.believers() == nil {
+	for m.primaries() == nil {
 		m = m.advance().settle()
 	}
-	m = m.call(m.believers()[0]).settle()
+	m = m.call(m.primaries()[0]).settle()
 	for range 4 {
 		m = m.advance().settle()
 	}
@@ -200,7 +200,7 @@
 	m.nodes[i] = node
 	m.bindOrders(i)
 	if received, ok := e.(Received); ok {
-		m.noteProof(i, received.Message)
+		m.recordConfirmation(i, received.Message)
 	}
 	for _, effect := range node.core.Step(m.now-node.born, e) {
 		m.carryOut(i, effect)
@@ -233,7 +233,7 @@
 }
 
 // start begins a life of a member.
-func (m *model) start(i int, disk storedDisk, life int) *model {
+func (m *model) start(i int, disk storedDisk, incarnation int) *model {
 	out := m.copied()
 	disk.pending = nil
 	machine := &text{}
@@ -244,7 +244,7 @@
 		return out
 	}
 	c.mutation = out.rules.mutation
-	out.nodes[i] = &modelNode{core: c, machine: machine, disk: disk, life: life, born: out.now, up: true}
+	out.nodes[i] = &modelNode{core: c, machine: machine, disk: disk, incarnation: incarnation, born: out.now, up: true}
 	out.step(i, Started{})
 	return out
 }
@@ -273,10 +273,10 @@
 }
 
 // believers are the members that take themselves for the primary.
-func (m *model) believers() []int {
+func (m *model) primaries() []int {
 	var out []int
 	for i, node := range m.nodes {
-		if node.up && node.core.active {
+		if node.up && node.core.isPrimary {
 			out = append(out, i)
 		}
 	}
@@ -352,17 +352,17 @@
 
 // key digests a node; it is kept, as most nodes stay the same from one state to the next.
 func (n *modelNode) key(rules *modelRules, now time.Duration) {
-	if n.digest != 0 && n.hashed == now {
+	if n.digest != 0 && n.digestedAt == now {
 		return
 	}
 	h := rules.hasher()
 	h.now = now - n.born
-	h.number(uint64(n.life))
+	h.number(uint64(n.incarnation))
 	digest(&h, &n.disk)
 	if n.up {
 		h.text(n.machine.content)
 		digest(&h, n.core)
 	}
 	n.digest = rules.done(&h) | 1
-	n.hashed = now
+	n.digestedAt = now
 }
--- a/coord/replication/core/explore_monitor_test.go
+++ b/coord/replication/core/explore_monitor_test.go
@@ -8,31 +8,31 @@
 
 // monitors watch the invariants over a run.
 type monitors struct {
-	failed    string
-	spoken    string // the longest state that a clear answer spoke of
-	acked     string // the longest state that an order was acknowledged with
-	ackEpoch  Epoch
-	neverDone []string // orders answered as surely not begun
-	writers   []writerNote
-	views     []viewNote
-	votes     []voteNote
-	accepts   []acceptNote
+	failed            string
+	reported          string // the longest state that a clear answer spoke of
+	acknowledged      string // the longest state that an order was acknowledged with
+	acknowledgedEpoch Epoch
+	notExecuted       []string // orders answered as surely not begun
+	writers           []writerRecord
+	views             []chosenView
+	votes             []voteRecord
+	accepts           []acceptanceRecord
 }
 
 // writerNote says which member, in which life, was primary of an epoch.
-type writerNote struct {
-	epoch Epoch
-	node  int
-	life  int
+type writerRecord struct {
+	epoch       Epoch
+	node        int
+	incarnation int
 }
 
 // viewNote is a view that is known to be chosen.
-type viewNote struct {
+type chosenView struct {
 	view View
 }
 
 // voteNote is what a witness has said for an epoch: the highest promise and the highest acceptance.
-type voteNote struct {
+type voteRecord struct {
 	id       MemberID
 	epoch    Epoch
 	promised Ballot
@@ -40,7 +40,7 @@
 }
 
 // acceptNote collects the witnesses that accepted a view under a ballot.
-type acceptNote struct {
+type acceptanceRecord struct {
 	epoch  Epoch
 	ballot Ballot
 	value  StateTag
@@ -49,7 +49,7 @@
 
 func (w *monitors) copied() monitors {
 	out := *w
-	out.neverDone = slices.Clone(w.neverDone)
+	out.notExecuted = slices.Clone(w.notExecuted)
 	out.writers = slices.Clone(w.writers)
 	out.views = slices.Clone(w.views)
 	out.votes = slices.Clone(w.votes)
@@ -67,18 +67,18 @@
 func (w *monitors) becamePrimary(m *model, i int, epoch Epoch) {
 	node := m.nodes[i]
 	for _, writer := range w.writers {
-		if writer.epoch == epoch && (writer.node != i || writer.life != node.life) {
-			w.fail("two primaries of epoch %d: m%d in life %d and m%d in life %d", epoch, writer.node, writer.life, i, node.life)
+		if writer.epoch == epoch && (writer.node != i || writer.incarnation != node.incarnation) {
+			w.fail("two primaries of epoch %d: m%d in life %d and m%d in life %d", epoch, writer.node, writer.incarnation, i, node.incarnation)
 		}
 	}
-	w.writers = append(w.writers, writerNote{epoch, i, node.life})
-	if epoch > w.ackEpoch && !strings.HasPrefix(node.core.heldContent(node.machine), w.acked) {
-		w.fail("m%d leads epoch %d with %q, and %q was acknowledged", i, epoch, node.machine.content, w.acked)
+	w.writers = append(w.writers, writerRecord{epoch, i, node.incarnation})
+	if epoch > w.acknowledgedEpoch && !strings.HasPrefix(node.core.diskContent(node.machine), w.acknowledged) {
+		w.fail("m%d leads epoch %d with %q, and %q was acknowledged", i, epoch, node.machine.content, w.acknowledged)
 	}
 }
 
 // heldContent is the state with what is on disk and not applied.
-func (c *Core) heldContent(machine *text) string {
+func (c *Core) diskContent(machine *text) string {
 	content := machine.content
 	for _, entry := range c.state.tail {
 		content += string(entry.Data) + ";"
@@ -88,17 +88,17 @@
 
 // learned checks that views are a chain.
 func (w *monitors) learned(view View) {
-	for _, note := range w.views {
-		if note.view.Epoch != view.Epoch {
+	for _, chosen := range w.views {
+		if chosen.view.Epoch != view.Epoch {
 			continue
 		}
-		if note.view.Tag() != view.Tag() {
-			w.fail("two views of epoch %d: %v and %v", view.Epoch, note.view, view)
+		if chosen.view.Tag() != view.Tag() {
+			w.fail("two views of epoch %d: %v and %v", view.Epoch, chosen.view, view)
 		}
 		return
 	}
-	w.views = append(w.views, viewNote{view})
-	slices.SortFunc(w.views, func(a, b viewNote) int { return int(a.view.Epoch) - int(b.view.Epoch) })
+	w.views = append(w.views, chosenView{view})
+	slices.SortFunc(w.views, func(a, b chosenView) int { return int(a.view.Epoch) - int(b.view.Epoch) })
 }
 
 // sent checks what a witness says against all that it said before.
@@ -130,13 +130,13 @@
 	}
 }
 
-func (w *monitors) vote(id MemberID, epoch Epoch) *voteNote {
+func (w *monitors) vote(id MemberID, epoch Epoch) *voteRecord {
 	for i := range w.votes {
 		if w.votes[i].id == id && w.votes[i].epoch == epoch {
 			return &w.votes[i]
 		}
 	}
-	w.votes = append(w.votes, voteNote{id: id, epoch: epoch})
+	w.votes = append(w.votes, voteRecord{id: id, epoch: epoch})
 	return &w.votes[len(w.votes)-1]
 }
 
@@ -147,11 +147,11 @@
 	if accepted == nil || node.core.register.AcceptedBallot != reply.Ballot {
 		return
 	}
-	i := slices.IndexFunc(w.accepts, func(a acceptNote) bool {
+	i := slices.IndexFunc(w.accepts, func(a acceptanceRecord) bool {
 		return a.epoch == reply.Epoch && a.ballot == reply.Ballot && a.value == accepted.Tag()
 	})
 	if i < 0 {
-		w.accepts = append(w.accepts, acceptNote{epoch: reply.Epoch, ballot: reply.Ballot, value: accepted.Tag()})
+		w.accepts = append(w.accepts, acceptanceRecord{epoch: reply.Epoch, ballot: reply.Ballot, value: accepted.Tag()})
 		i = len(w.accepts) - 1
 	}
 	if !slices.Contains(w.accepts[i].ids, reply.From.ID) {
@@ -164,34 +164,34 @@
 }
 
 // clear checks a clear answer: it speaks of a state that has all that earlier clear answers spoke of, and a majority was asked after the call.
-func (w *monitors) clear(m *model, call *callState, spoken string) {
-	if !strings.HasPrefix(spoken, call.floor) {
-		w.fail("%v speaks of %q, and before the call %q was spoken of", call.outcome, spoken, call.floor)
+func (w *monitors) clear(m *model, call *callState, reported string) {
+	if !strings.HasPrefix(reported, call.floor) {
+		w.fail("%v speaks of %q, and before the call %q was spoken of", call.outcome, reported, call.floor)
 	}
-	if !strings.HasPrefix(spoken, w.spoken) && !strings.HasPrefix(w.spoken, spoken) {
-		w.fail("%v speaks of %q, and %q was spoken of", call.outcome, spoken, w.spoken)
+	if !strings.HasPrefix(reported, w.reported) && !strings.HasPrefix(w.reported, reported) {
+		w.fail("%v speaks of %q, and %q was spoken of", call.outcome, reported, w.reported)
 	}
-	if len(spoken) > len(w.spoken) {
-		w.spoken = spoken
+	if len(reported) > len(w.reported) {
+		w.reported = reported
 	}
-	for _, name := range w.neverDone {
-		if strings.Contains(spoken, name+";") {
-			w.fail("%v speaks of %q, and %s was said never to begin", call.outcome, spoken, name)
+	for _, name := range w.notExecuted {
+		if strings.Contains(reported, name+";") {
+			w.fail("%v speaks of %q, and %s was said never to begin", call.outcome, reported, name)
 		}
 	}
 	if call.outcome == Committed {
-		if !strings.Contains(spoken, writeName(call.token)+";") {
-			spoken += writeName(call.token) + ";" // acknowledged before it was applied
+		if !strings.Contains(reported, writeName(call.token)+";") {
+			reported += writeName(call.token) + ";" // acknowledged before it was applied
 		}
-		if len(spoken) > len(w.acked) {
-			w.acked = spoken
+		if len(reported) > len(w.acknowledged) {
+			w.acknowledged = reported
 		}
-		w.ackEpoch = m.nodes[call.node].core.activeEpoch
+		w.acknowledgedEpoch = m.nodes[call.node].core.primaryEpoch
 		return
 	}
 	contacted := 0
 	for i := range m.nodes {
-		if i == call.node || call.proofs>>i&1 == 1 {
+		if i == call.node || call.confirmedBy>>i&1 == 1 {
 			contacted++
 		}
 	}
@@ -208,11 +208,11 @@
 
 // checkCopies requires that every copy of the newest view has on disk what was acknowledged, unless its disk was lost.
 func (w *monitors) checkCopies(m *model) {
-	if w.acked == "" || len(w.views) == 0 {
+	if w.acknowledged == "" || len(w.views) == 0 {
 		return
 	}
 	newest := w.views[len(w.views)-1].view
-	if newest.Epoch < w.ackEpoch {
+	if newest.Epoch < w.acknowledgedEpoch {
 		return
 	}
 	for _, member := range newest.Replicas() {
@@ -220,8 +220,8 @@
 		if node == nil || node.disk.id != member.ID {
 			continue
 		}
-		if content := node.disk.content(); !strings.HasPrefix(content, w.acked) {
-			w.fail("%s is a copy of epoch %d and has %q on disk, and %q was acknowledged", member.Address, newest.Epoch, content, w.acked)
+		if content := node.disk.content(); !strings.HasPrefix(content, w.acknowledged) {
+			w.fail("%s is a copy of epoch %d and has %q on disk, and %q was acknowledged", member.Address, newest.Epoch, content, w.acknowledged)
 		}
 	}
 }
@@ -246,13 +246,13 @@
 			continue
 		}
 		tag := node.core.state.joined
-		if node.core.active && node.core.register.View.Epoch == node.core.activeEpoch {
+		if node.core.isPrimary && node.core.register.View.Epoch == node.core.primaryEpoch {
 			tag = node.core.register.View.Tag()
 		}
 		if tag == (StateTag{}) {
 			continue
 		}
-		content := node.core.heldContent(node.machine)
+		content := node.core.diskContent(node.machine)
 		other, found := held[tag]
 		if found && !strings.HasPrefix(content, other) && !strings.HasPrefix(other, content) {
 			w.fail("m%d holds %q in view %v, and another copy %q", i, content, tag, other)
--- a/coord/replication/core/explore_test.go
+++ b/coord/replication/core/explore_test.go
@@ -101,7 +101,7 @@
 		return nil
 	}
 	var out []action
-	for _, i := range m.believers() {
+	for _, i := range m.primaries() {
 		if i == m.frozen {
 			continue
 		}
@@ -120,7 +120,7 @@
 	var out []action
 	for i, node := range m.nodes {
 		if !node.up {
-			out = append(out, action{fmt.Sprintf("start m%d", i), func() *model { return m.start(i, node.disk, node.life+1) }})
+			out = append(out, action{fmt.Sprintf("start m%d", i), func() *model { return m.start(i, node.disk, node.incarnation+1) }})
 		}
 	}
 	if m.cut >= 0 || m.mute >= 0 {
@@ -287,7 +287,7 @@
 		first = startingModel(rules)
 	} else {
 		first = firstModel(rules)
-		first = first.call(first.believers()[0])
+		first = first.call(first.primaries()[0])
 	}
 	first.left = left
 	s := &search{seen: map[uint64]struct{}{}}
--- a/coord/replication/core/failure.go
+++ b/coord/replication/core/failure.go
@@ -10,13 +10,13 @@
 
 // peer is another member as it was last heard.
 type peer struct {
-	member       Member
-	seen         time.Duration // when it was heard, or heard of
-	heard        bool          // itself, not only of
-	answered     time.Duration // when it last answered: it hears this member too
-	status       Status
-	missed       bool          // it did not answer a write since it last told its status
-	refusedUntil time.Duration // it took no transfer, and is not offered one for its own sake before
+	member           Member
+	lastSeen         time.Duration // when it was heard, or heard of
+	contacted        bool          // itself, not only of
+	lastReplyAt      time.Duration // when it last answered: it hears this member too
+	status           Status
+	missedWrite      bool          // it did not answer a write since it last told its status
+	noTransferBefore time.Duration // it took no transfer, and is not offered one for its own sake before
 }
 
 func (c *Core) peer(id MemberID) *peer {
@@ -40,7 +40,7 @@
 }
 
 // touch notes that a member was heard. Another disk at the same address means that the old one is gone.
-func (c *Core) touch(member Member) *peer {
+func (c *Core) recordContact(member Member) *peer {
 	if member.ID == 0 || member.ID == c.self.ID || member.Address == "" {
 		return nil
 	}
@@ -49,39 +49,39 @@
 	})
 	i, found := c.findPeer(member.ID)
 	if !found {
-		c.peers = slices.Insert(c.peers, i, peer{answered: longAgo})
+		c.peers = slices.Insert(c.peers, i, peer{lastReplyAt: longAgo})
 	}
 	p := &c.peers[i]
 	p.member = member
-	p.seen = c.now
-	p.heard = true
+	p.lastSeen = c.now
+	p.contacted = true
 	return p
 }
 
 // hasAnswered notes that a member answered. Only such members count as present: one that is heard but hears nobody, as behind a link that is cut one way, is of no use.
-func (c *Core) hasAnswered(member Member) {
+func (c *Core) recordReply(member Member) {
 	if p := c.peer(member.ID); p != nil {
-		p.answered = c.now
+		p.lastReplyAt = c.now
 	}
 }
 
 // heardSince tells whether any other member was heard since a time.
-func (c *Core) heardSince(since time.Duration) bool {
-	return slices.ContainsFunc(c.peers, func(p peer) bool { return p.heard && p.seen > since })
+func (c *Core) hadContactSince(since time.Duration) bool {
+	return slices.ContainsFunc(c.peers, func(p peer) bool { return p.contacted && p.lastSeen > since })
 }
 
 // saw notes what a member said of itself.
-func (c *Core) saw(member Member, status Status) {
-	p := c.touch(member)
+func (c *Core) recordStatus(member Member, status Status) {
+	p := c.recordContact(member)
 	if p == nil {
 		return
 	}
 	p.status = status
-	p.missed = false
+	p.missedWrite = false
 }
 
 // hearOf takes members that others know. It never displaces what was heard at an address: a disk may have been replaced since.
-func (c *Core) hearOf(members []Member) {
+func (c *Core) addKnownMembers(members []Member) {
 	for _, member := range members {
 		if member.ID == 0 || member.Address == "" || member.Address == c.self.Address {
 			continue
@@ -90,14 +90,14 @@
 		if found || c.peerAt(member.Address) != nil || member.ID == c.self.ID {
 			continue
 		}
-		c.peers = slices.Insert(c.peers, i, peer{member: member, seen: c.now, answered: longAgo})
+		c.peers = slices.Insert(c.peers, i, peer{member: member, lastSeen: c.now, lastReplyAt: longAgo})
 	}
 }
 
 // forgetPeers drops members that were not seen for long, unless the view names them.
 func (c *Core) forgetPeers() {
 	c.peers = slices.DeleteFunc(c.peers, func(p peer) bool {
-		return c.now-p.seen > c.timing.ForgetAfter && rolesOf(c.register.View, p.member.ID) == 0
+		return c.now-p.lastSeen > c.timing.ForgetAfter && rolesOf(c.register.View, p.member.ID) == 0
 	})
 }
 
@@ -112,10 +112,10 @@
 }
 
 // heardMembers are those that this member heard itself, and it. What was only heard of is not passed on, or a member that is gone would be passed round for ever.
-func (c *Core) heardMembers() []Member {
+func (c *Core) contactedMembers() []Member {
 	members := []Member{c.self}
 	for _, p := range c.peers {
-		if p.heard {
+		if p.contacted {
 			members = append(members, p.member)
 		}
 	}
@@ -145,39 +145,39 @@
 }
 
 // hearsWitnesses tells whether a majority of the view's witnesses answered lately.
-func (c *Core) hearsWitnesses() bool {
+func (c *Core) hasWitnessContact() bool {
 	view := c.register.View
-	near := 0
+	inContact := 0
 	for _, witness := range view.Witnesses {
 		p := c.peer(witness.ID)
-		if witness.ID == c.self.ID || p != nil && c.now-p.answered <= c.contactTimeout() {
-			near++
+		if witness.ID == c.self.ID || p != nil && c.now-p.lastReplyAt <= c.contactTimeout() {
+			inContact++
 		}
 	}
-	return near >= majority(len(view.Witnesses))
+	return inContact >= majority(len(view.Witnesses))
 }
 
 // noticeTime is called first in each Step.
 //
 // Invariant: what wakes late doesn't act on old news. A primary that got no answer of a majority of the witnesses for the contact time-out gives no clear answer and begins no order until a round of confirmation, begun from now on, has ended.
-func (c *Core) noticeTime(now time.Duration) {
+func (c *Core) advanceClock(now time.Duration) {
 	slept := now - c.now
 	c.now = max(now, c.now)
-	if !c.active || c.hearsWitnesses() {
+	if !c.isPrimary || c.hasWitnessContact() {
 		return
 	}
 	if slept > c.timing.PrimaryTimeout {
-		c.confirm.proveBefore = c.now + c.timing.ReplyTimeout
+		c.confirm.confirmBy = c.now + c.timing.ReplyTimeout
 	}
-	c.confirm.doubt()
+	c.confirm.requireRound()
 }
 
 // tickPrimary sends the heartbeats and looks for lost members.
 func (c *Core) tickPrimary() {
-	if !c.active {
+	if !c.isPrimary {
 		return
 	}
-	if c.confirm.doubted && c.now >= c.confirm.proveBefore {
+	if c.confirm.required && c.now >= c.confirm.confirmBy {
 		view := c.register.View
 		c.stopBeingPrimary(LostWitnesses)
 		c.startYielding(view) // its way out may work though it hears nobody
@@ -200,23 +200,23 @@
 }
 
 func (c *Core) heartbeatTo(member Member) {
-	c.send(Heartbeat{Envelope: c.to(member), View: c.View(), Members: c.heardMembers()})
+	c.send(Heartbeat{Envelope: c.envelopeTo(member), View: c.View(), Members: c.contactedMembers()})
 }
 
 // checkView asks for a new view if a backup is lost, or more or other members are to be had.
 func (c *Core) checkView() {
 	view := c.register.View
-	if c.lostBackup(view) || c.short(view) || c.wantedWitnesses(view) != nil {
+	if c.hasLostBackup(view) || c.canImprove(view) || c.nextWitnesses(view) != nil {
 		c.viewChangeDue = true
 		return
 	}
-	c.warnOfLosses(view)
+	c.warnOfLowTolerance(view)
 }
 
-func (c *Core) lostBackup(view *View) bool {
+func (c *Core) hasLostBackup(view *View) bool {
 	for _, backup := range view.Backups {
 		p := c.peer(backup.ID)
-		if p == nil || c.now-p.answered > c.timing.PrimaryTimeout || !p.status.Writable {
+		if p == nil || c.now-p.lastReplyAt > c.timing.PrimaryTimeout || !p.status.Writable {
 			return true
 		}
 	}
@@ -224,15 +224,15 @@
 }
 
 // warnOfLosses says once in an epoch that the view bears fewer losses than it should and nobody is there to mend it.
-func (c *Core) warnOfLosses(view *View) {
-	if c.warnedEpoch == view.Epoch || c.now-c.born <= c.timing.WitnessTimeout {
+func (c *Core) warnOfLowTolerance(view *View) {
+	if c.toleranceWarnedEpoch == view.Epoch || c.now-c.startedAt <= c.timing.WitnessTimeout {
 		return
 	}
-	borne := lossesBorne(view)
+	borne := failuresTolerated(view)
 	if borne >= c.config.MaxFailures {
 		return
 	}
-	c.warnedEpoch = view.Epoch
+	c.toleranceWarnedEpoch = view.Epoch
 	c.log(slog.LevelWarn, "fewer losses are borne than the settings want", slog.Int("borne", borne), slog.Int("wanted", c.config.MaxFailures), slog.Int("members", 1+len(c.peers)))
 }
 
@@ -240,28 +240,28 @@
 	if m.View == nil {
 		return
 	}
-	if p := c.touch(m.From); p != nil {
+	if p := c.recordContact(m.From); p != nil {
 		p.status.Writable = true // or it would not be primary
 	}
 	c.learn(m.View)
-	c.hearOf(m.Members)
+	c.addKnownMembers(m.Members)
 	if c.knownEpoch() == m.View.Epoch {
-		c.lastHeard = c.now
-		c.heardFrom = m.From
+		c.lastPrimaryContact = c.now
+		c.lastPrimary = m.From
 	}
 	c.send(HeartbeatReply{
-		Envelope: c.back(m),
+		Envelope: c.replyTo(m),
 		Epoch:    m.View.Epoch,
 		Joined:   c.state.joined == m.View.Tag(),
 		Status:   c.status(),
-		View:     c.newerThan(m.View.Epoch),
+		View:     c.viewNewerThan(m.View.Epoch),
 	})
 }
 
 func (c *Core) onHeartbeatReply(m HeartbeatReply) {
-	c.saw(m.From, m.Status)
+	c.recordStatus(m.From, m.Status)
 	c.learn(m.View)
-	if !c.active || c.activeEpoch != m.Epoch || m.Joined {
+	if !c.isPrimary || c.primaryEpoch != m.Epoch || m.Joined {
 		return
 	}
 	if indexOf(c.register.View.Backups, m.From.ID) >= 0 {
@@ -271,21 +271,21 @@
 
 // stopBeingPrimary ends the writing of this member. What was begun ends unclear.
 func (c *Core) stopBeingPrimary(reason StopReason) {
-	if !c.active {
+	if !c.isPrimary {
 		return
 	}
-	c.active = false
-	c.lastHeard = c.now
-	c.heardFrom = Member{}
+	c.isPrimary = false
+	c.lastPrimaryContact = c.now
+	c.lastPrimary = Member{}
 	c.viewChangeDue = false
 	c.log(slog.LevelWarn, "no longer primary", slog.String("reason", reason.String()))
 	c.emit(SteppedDown{Reason: reason})
-	c.answerAllDeposed()
+	c.failPendingCalls()
 }
 
 // considerHello asks the known addresses who is there, when the primary is not heard.
 func (c *Core) considerHello() {
-	if c.active {
+	if c.isPrimary {
 		return
 	}
 	pause := c.timing.HeartbeatInterval
@@ -295,17 +295,17 @@
 	if c.now-c.lastHello < pause {
 		return
 	}
-	quiet := c.now - c.lastHeard
+	silence := c.now - c.lastPrimaryContact
 	isCopy := rolesOf(c.register.View, c.self.ID)&(RolePrimary|RoleBackup) != 0
 	switch {
-	case c.register.View == nil, len(c.peers) == 0, quiet > c.timing.PrimaryTimeout:
-		c.hello()
-	case isCopy && quiet > c.timing.PrimaryTimeout/2: // it may soon take over
-		c.hello()
+	case c.register.View == nil, len(c.peers) == 0, silence > c.timing.PrimaryTimeout:
+		c.sendHello()
+	case isCopy && silence > c.timing.PrimaryTimeout/2: // it may soon take over
+		c.sendHello()
 	}
 }
 
-func (c *Core) hello() {
+func (c *Core) sendHello() {
 	c.lastHello = c.now
 	for _, address := range c.knownAddresses() {
 		c.send(Hello{Envelope: Envelope{From: c.self, ToAddress: address}, Status: c.status(), View: c.View()})
@@ -328,18 +328,18 @@
 }
 
 func (c *Core) onHello(m Hello) {
-	c.saw(m.From, m.Status)
+	c.recordStatus(m.From, m.Status)
 	c.learn(m.View)
-	c.send(HelloReply{Envelope: c.back(m), Status: c.status(), View: c.View(), Members: c.heardMembers()})
-	if c.active {
+	c.send(HelloReply{Envelope: c.replyTo(m), Status: c.status(), View: c.View(), Members: c.contactedMembers()})
+	if c.isPrimary {
 		c.heartbeatTo(m.From) // so that it is known at once whether it answers
 	}
 }
 
 func (c *Core) onHelloReply(m HelloReply) {
-	c.saw(m.From, m.Status)
+	c.recordStatus(m.From, m.Status)
 	c.learn(m.View)
-	c.hearOf(m.Members)
+	c.addKnownMembers(m.Members)
 	if c.register.View == nil {
 		c.considerViewChange()
 	}
--- a/coord/replication/core/leave.go
+++ b/coord/replication/core/leave.go
@@ -36,23 +36,23 @@
 		return
 	}
 	if c.config.Relay {
-		c.left(true, 0)
+		c.finishLeaving(true, 0)
 		return
 	}
 	if c.now >= l.deadline-c.timing.LeaveMargin {
-		c.left(false, rolesOf(c.register.View, c.self.ID))
+		c.finishLeaving(false, rolesOf(c.register.View, c.self.ID))
 		return
 	}
-	if c.active {
+	if c.isPrimary {
 		c.handOver()
 		return
 	}
 	if c.now-l.sentAt >= c.timing.ResendInterval {
-		c.askToLeave()
+		c.sendLeaveRequest()
 	}
 }
 
-func (c *Core) left(complete bool, roles Role) {
+func (c *Core) finishLeaving(complete bool, roles Role) {
 	c.leaving.done = true
 	c.emit(Left{Complete: complete, Roles: roles})
 }
@@ -74,7 +74,7 @@
 func (c *Core) hasSuccessor(view *View) bool {
 	for _, backup := range view.Backups {
 		p := c.peer(backup.ID)
-		if p != nil && c.fresh(*p) && p.status.Writable && !p.status.Leaving {
+		if p != nil && c.isResponsive(*p) && p.status.Writable && !p.status.Leaving {
 			return true
 		}
 	}
@@ -82,21 +82,21 @@
 }
 
 // askToLeave tells the primary, or asks who it is.
-func (c *Core) askToLeave() {
+func (c *Core) sendLeaveRequest() {
 	c.leaving.sentAt = c.now
 	primary, known := c.Primary(c.now)
 	if !known {
-		c.hello()
+		c.sendHello()
 		return
 	}
-	c.send(LeaveRequest{Envelope: c.to(primary), Status: c.status()})
+	c.send(LeaveRequest{Envelope: c.envelopeTo(primary), Status: c.status()})
 }
 
 // onLeaveRequest makes a new view without the sender, if others are to be had.
 func (c *Core) onLeaveRequest(m LeaveRequest) {
-	c.saw(m.From, m.Status)
-	reply := LeaveRequestReply{Envelope: c.back(m), View: c.View()}
-	if !c.active {
+	c.recordStatus(m.From, m.Status)
+	reply := LeaveRequestReply{Envelope: c.replyTo(m), View: c.View()}
+	if !c.isPrimary {
 		reply.Rejection = NotPrimary
 		c.send(reply)
 		return
@@ -109,7 +109,7 @@
 	}
 	if rolesOf(view, m.From.ID) != 0 {
 		reply.Rejection = Busy
-		if !c.short(view) && c.wantedWitnesses(view) == nil {
+		if !c.canImprove(view) && c.nextWitnesses(view) == nil {
 			reply.Rejection = NoReplacement
 		} else {
 			c.viewChangeDue = true
@@ -127,13 +127,13 @@
 		return
 	}
 	if rolesOf(c.register.View, c.self.ID) == 0 {
-		c.left(true, 0)
+		c.finishLeaving(true, 0)
 	}
 }
 
 // startYielding begins to ask the backups of a view.
 func (c *Core) startYielding(view *View) {
-	if view == nil || c.active {
+	if view == nil || c.isPrimary {
 		return
 	}
 	c.yielding = &yielding{view: *view.Clone()}
@@ -148,7 +148,7 @@
 		return
 	}
 	y.sentAt = c.now
-	c.send(Yield{Envelope: c.to(y.view.Backups[y.next]), Epoch: y.view.Epoch, Ballot: y.view.Ballot})
+	c.send(Yield{Envelope: c.envelopeTo(y.view.Backups[y.next]), Epoch: y.view.Epoch, Ballot: y.view.Ballot})
 	y.next++
 }
 
@@ -160,7 +160,7 @@
 
 // onYield takes over at once, if this member may.
 func (c *Core) onYield(m Yield) {
-	reply := YieldReply{Envelope: c.back(m), Epoch: m.Epoch, Rejection: c.checkYield(m)}
+	reply := YieldReply{Envelope: c.replyTo(m), Epoch: m.Epoch, Rejection: c.checkYield(m)}
 	c.send(reply)
 	if reply.Rejection != Granted {
 		return
--- a/coord/replication/core/membership.go
+++ b/coord/replication/core/membership.go
@@ -32,7 +32,7 @@
 }
 
 // lossesBorne is the number of members that may be lost at once under a view.
-func lossesBorne(view *View) int {
+func failuresTolerated(view *View) int {
 	if view == nil {
 		return 0
 	}
@@ -40,23 +40,23 @@
 }
 
 // copiesWanted is how many copies a view should have. With nothing to bear, a backup is kept where one is to be had.
-func (c *Core) copiesWanted() int { return max(c.config.MaxFailures, 1) + 1 }
+func (c *Core) targetReplicas() int { return max(c.config.MaxFailures, 1) + 1 }
 
 // fewestCopies is the number below which no view is made: what its witnesses bear, and one more.
-func (c *Core) fewestCopies(base *View) int {
+func (c *Core) minReplicas(base *View) int {
 	if c.config.MaxFailures == 0 {
 		return 1
 	}
 	return max(2, (len(base.Witnesses)-1)/2+1)
 }
 
-func (c *Core) witnessesWanted() int { return 2*max(c.config.MaxFailures, 1) + 1 }
+func (c *Core) targetWitnesses() int { return 2*max(c.config.MaxFailures, 1) + 1 }
 
 // fit are the other members that answered lately, whose disks take writes, and that want to stay.
-func (c *Core) fit() []Member {
+func (c *Core) writableMembers() []Member {
 	var members []Member
 	for _, p := range c.peers {
-		if c.fresh(p) && p.status.Writable && !p.status.Leaving {
+		if c.isResponsive(p) && p.status.Writable && !p.status.Leaving {
 			members = append(members, p.member)
 		}
 	}
@@ -64,54 +64,54 @@
 }
 
 // fitButLeaving are those that are taken only if nobody else is to be had.
-func (c *Core) fitButLeaving() []Member {
+func (c *Core) writableButLeaving() []Member {
 	var members []Member
 	for _, p := range c.peers {
-		if c.fresh(p) && p.status.Writable && p.status.Leaving {
+		if c.isResponsive(p) && p.status.Writable && p.status.Leaving {
 			members = append(members, p.member)
 		}
 	}
 	return members
 }
 
-func (c *Core) fresh(p peer) bool { return c.now-p.answered < c.timing.PrimaryTimeout }
+func (c *Core) isResponsive(p peer) bool { return c.now-p.lastReplyAt < c.timing.PrimaryTimeout }
 
 // spare are the fit members that are no copies and have not refused to be one lately.
-func (c *Core) spare(view *View) []Member {
-	return slices.DeleteFunc(c.fit(), func(m Member) bool {
-		return c.refusedLately(m) || indexOf(view.Replicas(), m.ID) >= 0
+func (c *Core) spareMembers(view *View) []Member {
+	return slices.DeleteFunc(c.writableMembers(), func(m Member) bool {
+		return c.rejectedTransferLately(m) || indexOf(view.Replicas(), m.ID) >= 0
 	})
 }
 
-func (c *Core) refusedLately(m Member) bool {
+func (c *Core) rejectedTransferLately(m Member) bool {
 	p := c.peer(m.ID)
-	return p != nil && c.now < p.refusedUntil
+	return p != nil && c.now < p.noTransferBefore
 }
 
 // short tells whether the view has fewer copies or witnesses than wanted, has them in too few areas, or has one that wants to leave, while others are to be had.
-func (c *Core) short(view *View) bool {
-	if len(view.Replicas()) < c.copiesWanted() && len(c.spare(view)) > 0 {
+func (c *Core) canImprove(view *View) bool {
+	if len(view.Replicas()) < c.targetReplicas() && len(c.spareMembers(view)) > 0 {
 		return true
 	}
-	return c.narrow(view) || c.leavingBackup(view) || c.grown(view) != nil || c.spread(view) != nil
+	return c.isConcentrated(view) || c.hasLeavingBackup(view) || c.withMoreWitnesses(view) != nil || c.withSpreadWitnesses(view) != nil
 }
 
 // narrow tells whether the copies lie in so few areas that these may all be lost, while a member elsewhere could be one.
-func (c *Core) narrow(view *View) bool {
-	places := c.places(view.Replicas())
-	if len(places) > c.config.MaxDomainFailures {
+func (c *Core) isConcentrated(view *View) bool {
+	perDomain := c.countPerDomain(view.Replicas())
+	if len(perDomain) > c.config.MaxDomainFailures {
 		return false
 	}
-	return slices.ContainsFunc(c.spare(view), func(m Member) bool { return places[c.area(m)] == 0 })
+	return slices.ContainsFunc(c.spareMembers(view), func(m Member) bool { return perDomain[c.failureDomain(m)] == 0 })
 }
 
 // leavingBackup tells whether a backup that wants to leave can be replaced, or is more than is wanted.
-func (c *Core) leavingBackup(view *View) bool {
+func (c *Core) hasLeavingBackup(view *View) bool {
 	leaves := slices.ContainsFunc(view.Backups, func(m Member) bool { return c.isLeaving(m) })
 	if !leaves {
 		return false
 	}
-	return len(c.spare(view)) > 0 || len(view.Replicas()) > c.copiesWanted()
+	return len(c.spareMembers(view)) > 0 || len(view.Replicas()) > c.targetReplicas()
 }
 
 func (c *Core) isLeaving(m Member) bool {
@@ -122,24 +122,24 @@
 	return p != nil && p.status.Leaving
 }
 
-func (c *Core) area(m Member) string {
+func (c *Core) failureDomain(m Member) string {
 	if c.config.FailureDomain == nil {
 		return m.Zone
 	}
 	return c.config.FailureDomain(m.Zone)
 }
 
-func (c *Core) places(members []Member) map[string]int {
-	places := map[string]int{}
+func (c *Core) countPerDomain(members []Member) map[string]int {
+	perDomain := map[string]int{}
 	for _, m := range members {
-		places[c.area(m)]++
+		perDomain[c.failureDomain(m)]++
 	}
-	return places
+	return perDomain
 }
 
 // learners are the fit members, this one too, that are no witnesses.
 func (c *Core) learners(view *View) []Member {
-	members := c.fit()
+	members := c.writableMembers()
 	if c.leaving == nil && !c.disk.stalled {
 		members = append(members, c.self)
 	}
@@ -147,9 +147,9 @@
 }
 
 // emptiest is the member whose area holds the fewest of those placed.
-func (c *Core) emptiest(members []Member, places map[string]int) Member {
+func (c *Core) inSmallestDomain(members []Member, perDomain map[string]int) Member {
 	return slices.MinFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(places[c.area(a)], places[c.area(b)]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(perDomain[c.failureDomain(a)], perDomain[c.failureDomain(b)]), cmp.Compare(a.ID, b.ID))
 	})
 }
 
@@ -164,37 +164,37 @@
 }
 
 // grown gives the witnesses with learners added while there are fewer than wanted, nil if nothing is to be added. An odd number stays odd: one more would bear no more losses.
-func (c *Core) grown(view *View) []Member {
+func (c *Core) withMoreWitnesses(view *View) []Member {
 	added := 1 + len(view.Witnesses)%2
 	free := c.learners(view)
-	if len(view.Witnesses) >= c.witnessesWanted() || len(free) < added {
+	if len(view.Witnesses) >= c.targetWitnesses() || len(free) < added {
 		return nil
 	}
 	witnesses := slices.Clone(view.Witnesses)
-	places := c.places(witnesses)
+	perDomain := c.countPerDomain(witnesses)
 	for range added {
-		m := c.emptiest(free, places)
+		m := c.inSmallestDomain(free, perDomain)
 		free = without(free, m.ID)
-		places[c.area(m)]++
+		perDomain[c.failureDomain(m)]++
 		witnesses = append(witnesses, m)
 	}
 	return witnesses
 }
 
 // spread gives the witnesses with one moved out of an area that holds too many, nil if all is well or nobody is elsewhere.
-func (c *Core) spread(view *View) []Member {
+func (c *Core) withSpreadWitnesses(view *View) []Member {
 	free := c.learners(view)
 	if c.config.MaxDomainFailures == 0 || len(free) == 0 {
 		return nil
 	}
-	places := c.places(view.Witnesses)
-	most := max(1, c.config.MaxFailures/c.config.MaxDomainFailures)
-	m := c.emptiest(free, places)
-	if places[c.area(m)] >= most {
+	perDomain := c.countPerDomain(view.Witnesses)
+	maxPerDomain := max(1, c.config.MaxFailures/c.config.MaxDomainFailures)
+	m := c.inSmallestDomain(free, perDomain)
+	if perDomain[c.failureDomain(m)] >= maxPerDomain {
 		return nil
 	}
 	for i, witness := range view.Witnesses {
-		if places[c.area(witness)] > most && witness.ID != c.self.ID {
+		if perDomain[c.failureDomain(witness)] > maxPerDomain && witness.ID != c.self.ID {
 			return replaced(view.Witnesses, i, m)
 		}
 	}
@@ -202,17 +202,17 @@
 }
 
 // wantedWitnesses gives the witnesses one step nearer to what is wanted, nil if all is well or nothing is to be had: more of them, one replaced that is wiped, leaving or lost, or one moved.
-func (c *Core) wantedWitnesses(view *View) []Member {
-	if witnesses := c.grown(view); witnesses != nil {
+func (c *Core) nextWitnesses(view *View) []Member {
+	if witnesses := c.withMoreWitnesses(view); witnesses != nil {
 		return witnesses
 	}
-	if witnesses := c.swapped(view); witnesses != nil {
+	if witnesses := c.withReplacedWitness(view); witnesses != nil {
 		return witnesses
 	}
-	return c.spread(view)
+	return c.withSpreadWitnesses(view)
 }
 
-func (c *Core) swapped(view *View) []Member {
+func (c *Core) withReplacedWitness(view *View) []Member {
 	free := c.learners(view)
 	if len(free) == 0 {
 		return nil
@@ -225,18 +225,18 @@
 		if atSameAddress >= 0 { // another disk is at the witness's own address: it was wiped
 			return replaced(view.Witnesses, i, free[atSameAddress])
 		}
-		if c.isLeaving(witness) || c.isGone(witness) {
-			others := c.places(without(view.Witnesses, witness.ID))
-			return replaced(view.Witnesses, i, c.emptiest(free, others))
+		if c.isLeaving(witness) || c.isWitnessLost(witness) {
+			others := c.countPerDomain(without(view.Witnesses, witness.ID))
+			return replaced(view.Witnesses, i, c.inSmallestDomain(free, others))
 		}
 	}
 	return nil
 }
 
-func (c *Core) isGone(witness Member) bool {
-	answered := c.born
+func (c *Core) isWitnessLost(witness Member) bool {
+	answered := c.startedAt
 	if p := c.peer(witness.ID); p != nil {
-		answered = max(p.answered, c.born)
+		answered = max(p.lastReplyAt, c.startedAt)
 	}
 	return c.now-answered > c.timing.WitnessTimeout
 }
@@ -246,38 +246,38 @@
 	notAsked := func(members []Member) []Member {
 		return slices.DeleteFunc(members, func(m Member) bool { return indexOf(asked, m.ID) >= 0 })
 	}
-	members := notAsked(c.fit())
+	members := notAsked(c.writableMembers())
 	if len(members) == 0 {
-		members = notAsked(c.fitButLeaving())
+		members = notAsked(c.writableButLeaving())
 	}
 	if len(members) == 0 {
 		return Member{}, false
 	}
-	places := c.places(placed)
+	perDomain := c.countPerDomain(placed)
 	return slices.MinFunc(members, func(a, b Member) int {
 		return cmp.Or(
-			cmp.Compare(c.reluctance(a), c.reluctance(b)),
-			cmp.Compare(places[c.area(a)], places[c.area(b)]),
-			cmp.Compare(nearness(base, a), nearness(base, b)),
+			cmp.Compare(c.penalty(a), c.penalty(b)),
+			cmp.Compare(perDomain[c.failureDomain(a)], perDomain[c.failureDomain(b)]),
+			cmp.Compare(roleDistance(base, a), roleDistance(base, b)),
 			cmp.Compare(a.ID, b.ID))
 	}), true
 }
 
 // reluctance puts last those that did not answer lately, and the primary that this member takes over from, unless it has answered since.
-func (c *Core) reluctance(m Member) int {
+func (c *Core) penalty(m Member) int {
 	p := c.peer(m.ID)
 	if p == nil {
 		return 1
 	}
 	change := c.change
-	silent := m.ID == change.base.Primary.ID && p.answered < change.begun
-	if p.missed || silent || c.refusedLately(m) {
+	silent := m.ID == change.base.Primary.ID && p.lastReplyAt < change.startedAt
+	if p.missedWrite || silent || c.rejectedTransferLately(m) {
 		return 1
 	}
 	return 0
 }
 
-func nearness(base *View, m Member) int {
+func roleDistance(base *View, m Member) int {
 	switch {
 	case indexOf(base.Replicas(), m.ID) >= 0:
 		return 0
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -21,7 +21,7 @@
 }
 
 // givenState is state that is being saved for a proposal.
-type givenState struct {
+type receivedState struct {
 	from     Member
 	tag      StateTag
 	stream   Digest
@@ -31,23 +31,23 @@
 }
 
 func (c *Core) dropIncoming(view *View) {
-	if c.inbox != nil && c.inbox.tag.Epoch <= view.Epoch {
-		c.inbox = nil
+	if c.incoming != nil && c.incoming.tag.Epoch <= view.Epoch {
+		c.incoming = nil
 	}
 }
 
 // onSnapshotPart takes a part of the state for a view that is being proposed.
 func (c *Core) onSnapshotPart(m SnapshotChunk) {
 	c.learn(m.Base)
-	reply := SnapshotChunkReply{Envelope: c.back(m), Tag: m.Tag, StreamDigest: m.StreamDigest, DiskPosition: c.state.position}
-	reply.Rejection, reply.Complete = c.checkGiven(m)
+	reply := SnapshotChunkReply{Envelope: c.replyTo(m), Tag: m.Tag, StreamDigest: m.StreamDigest, DiskPosition: c.state.position}
+	reply.Rejection, reply.Complete = c.checkTransfer(m)
 	if reply.Rejection != Granted || reply.Complete {
-		reply.View = c.newerThan(m.Tag.Epoch - 1)
+		reply.View = c.viewNewerThan(m.Tag.Epoch - 1)
 		c.send(reply)
 		return
 	}
-	c.sealFor(m)
-	reply.Received = c.receivePart(m)
+	c.seal(m)
+	reply.Received = c.receiveChunk(m)
 	c.send(reply)
 	if reply.Received == m.Size {
 		c.stateReceived()
@@ -57,7 +57,7 @@
 // checkGiven tells whether state given under a tag may take the place of what is held.
 //
 // Invariant: state goes over older state only. State under the same tag is never given twice: what was appended since the first time may be acknowledged.
-func (c *Core) checkGiven(m SnapshotChunk) (reason Rejection, complete bool) {
+func (c *Core) checkTransfer(m SnapshotChunk) (reason Rejection, complete bool) {
 	sameTag := m.Tag == c.state.tag && c.mutation != mutation.OverwriteSameTag
 	switch {
 	case m.Tag.Epoch == 0 || m.Tag.Epoch <= c.knownEpoch() && c.mutation != mutation.OverwriteSameTag:
@@ -83,11 +83,11 @@
 }
 
 // sealFor keeps this member from writing and from taking appends of the old view.
-func (c *Core) sealFor(m SnapshotChunk) {
+func (c *Core) seal(m SnapshotChunk) {
 	if c.mutation != mutation.SkipSeal {
 		c.state.joined = StateTag{}
 	}
-	c.lastHeard = c.now
+	c.lastPrimaryContact = c.now
 	if c.change != nil {
 		c.failViewChange("another member proposes")
 	}
@@ -95,11 +95,11 @@
 }
 
 // receivePart adds a part to the stream and tells how much of it is here.
-func (c *Core) receivePart(m SnapshotChunk) int64 {
-	in := c.inbox
+func (c *Core) receiveChunk(m SnapshotChunk) int64 {
+	in := c.incoming
 	if in == nil || in.stream != m.StreamDigest || in.size != m.Size || in.since != m.Since || in.target != m.Position {
 		in = &incomingState{since: m.Since, target: m.Position, size: m.Size, stream: m.StreamDigest}
-		c.inbox = in
+		c.incoming = in
 	}
 	in.from = m.From
 	in.tag = m.Tag
@@ -111,69 +111,69 @@
 
 // stateReceived saves a state that is whole.
 func (c *Core) stateReceived() {
-	in := c.inbox
-	c.inbox = nil
-	given, err := c.decodeGiven(in)
+	in := c.incoming
+	c.incoming = nil
+	received, err := c.decodeReceived(in)
 	if err != nil {
 		c.log(slog.LevelWarn, "the state given can't be read", slog.String("error", err.Error()))
-		c.sendGivenReply(given, DiskFailed)
+		c.sendTransferReply(received, DiskFailed)
 		return
 	}
-	c.saveSnapshot(diskJob{kind: transferJob, given: given}, given.snapshot, given.entries)
+	c.saveSnapshot(diskJob{kind: transferJob, received: received}, received.snapshot, received.entries)
 }
 
 // decodeGiven reads a stream and checks that it leads from the position it starts at to the one promised.
-func (c *Core) decodeGiven(in *incomingState) (givenState, error) {
-	given := givenState{from: in.from, tag: in.tag, stream: in.stream, position: in.target}
+func (c *Core) decodeReceived(in *incomingState) (receivedState, error) {
+	received := receivedState{from: in.from, tag: in.tag, stream: in.stream, position: in.target}
 	if Digest(xxhash.Sum64(in.data)) != in.stream {
-		return given, errBadStream
+		return received, errBadStream
 	}
 	var err error
 	if in.since == (Position{}) {
-		given.snapshot, given.entries, err = decodeState(in.data)
+		received.snapshot, received.entries, err = decodeState(in.data)
 	} else {
 		var entries []Entry
 		entries, err = decodeEntries(in.data, in.since)
-		given.snapshot = c.snapshot()
-		given.entries = append(slices.Clone(c.state.tail), entries...)
+		received.snapshot = c.snapshot()
+		received.entries = append(slices.Clone(c.state.tail), entries...)
 	}
 	if err != nil {
-		return given, err
+		return received, err
 	}
-	given.snapshot.Tag = in.tag
-	if endOf(given.snapshot.Position, given.entries) != in.target {
-		return given, errBadStream
+	received.snapshot.Tag = in.tag
+	if endOf(received.snapshot.Position, received.entries) != in.target {
+		return received, errBadStream
 	}
-	return given, nil
+	return received, nil
 }
 
 // transferDone takes over the state that was saved, and joins the view that is proposed.
 func (c *Core) transferDone(job diskJob, err error) {
-	given := job.given
+	received := job.received
 	if err != nil {
-		c.state.broken = true
-		c.sendGivenReply(given, DiskFailed)
+		c.state.logBroken = true
+		c.sendTransferReply(received, DiskFailed)
 		return
 	}
-	if err := c.config.StateMachine.Restore(given.snapshot.Data); err != nil {
+	if err := c.config.StateMachine.Restore(received.snapshot.Data); err != nil {
 		c.log(slog.LevelError, "the state given is not understood", slog.String("error", err.Error()))
-		c.state.broken = true
-		c.sendGivenReply(given, DiskFailed)
+		c.state.logBroken = true
+		c.sendTransferReply(received, DiskFailed)
 		return
 	}
-	c.state = heldState{tag: given.tag, position: given.snapshot.Position, applied: given.snapshot.Position}
-	for _, entry := range given.entries {
+	c.state = replicatedState{tag: received.tag, position: received.snapshot.Position, applied: received.snapshot.Position}
+	for _, entry := range received.entries {
 		c.state.add(entry, c.limits.EntryCacheBytes)
 		c.state.logBytes += len(entry.Data)
 	}
 	c.applyTail()
-	if c.mayJoin(given.tag) {
-		c.state.joined = given.tag
-		c.lastHeard = c.now
-		c.sendGivenReply(given, Granted)
+	if c.mayJoin(received.tag) {
+		c.state.joined = received.tag
+		c.lastPrimaryContact = c.now
+		c.sendTransferReply(received, Granted)
 		return
 	}
-	c.sendGivenReply(given, NewerView)
+	c.sendTransferReply(received, NewerView)
 }
 
 // mayJoin tells whether a proposal is not overtaken.
@@ -184,14 +184,14 @@
 	return c.knownEpoch() < tag.Epoch
 }
 
-func (c *Core) sendGivenReply(given givenState, reason Rejection) {
+func (c *Core) sendTransferReply(received receivedState, reason Rejection) {
 	c.send(SnapshotChunkReply{
-		Envelope:     c.to(given.from),
-		Tag:          given.tag,
-		StreamDigest: given.stream,
+		Envelope:     c.envelopeTo(received.from),
+		Tag:          received.tag,
+		StreamDigest: received.stream,
 		Complete:     reason == Granted,
 		Rejection:    reason,
 		DiskPosition: c.state.position,
-		View:         c.newerThan(given.tag.Epoch - 1),
+		View:         c.viewNewerThan(received.tag.Epoch - 1),
 	})
 }
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -28,7 +28,7 @@
 }
 
 // newerThan gives the known view if it is newer than an epoch, to go with a reply.
-func (c *Core) newerThan(epoch Epoch) *View {
+func (c *Core) viewNewerThan(epoch Epoch) *View {
 	if c.knownEpoch() > epoch {
 		return c.register.View.Clone()
 	}
@@ -53,9 +53,9 @@
 // adopt makes a newer view the known one.
 func (c *Core) adopt(view *View) {
 	c.register = Register{View: view.Clone()}
-	c.registerChanged = true
+	c.registerDirty = true
 	c.viewChangeDue = false
-	c.round = 0
+	c.lastRound = 0
 	if c.state.joined != view.Tag() {
 		c.state.joined = StateTag{}
 	}
@@ -65,21 +65,21 @@
 }
 
 // answerOnceSynced sends a reply when the register is on disk as it is now.
-func (c *Core) answerOnceSynced(reply Message) {
-	c.registerChanged = true
+func (c *Core) replyOnceSynced(reply Message) {
+	c.registerDirty = true
 	if c.mutation == mutation.SkipSync {
 		c.send(reply)
 		return
 	}
-	c.registerReplies = append(c.registerReplies, reply)
+	c.repliesAwaitingRegister = append(c.repliesAwaitingRegister, reply)
 }
 
 // flushRegister saves the register if this Step changed it.
 func (c *Core) flushRegister() {
-	if !c.registerChanged {
+	if !c.registerDirty {
 		return
 	}
-	c.registerChanged = false
+	c.registerDirty = false
 	if c.config.Relay {
 		return
 	}
@@ -87,9 +87,9 @@
 		kind:     registerJob,
 		epoch:    c.knownEpoch(),
 		promised: c.register.Promised,
-		replies:  c.registerReplies,
+		replies:  c.repliesAwaitingRegister,
 	}
-	c.registerReplies = nil
+	c.repliesAwaitingRegister = nil
 	token := c.disk.add(job)
 	c.emit(SaveRegister{Token: token, Register: c.register.Clone()})
 }
@@ -98,45 +98,45 @@
 func (c *Core) registerSaved(job diskJob, err error) {
 	for _, reply := range job.replies {
 		if err != nil {
-			reply = refusedReply(reply, DiskFailed)
+			reply = rejectedReply(reply, DiskFailed)
 		}
 		c.send(reply)
 	}
 	if err == nil {
-		c.ownPromiseSaved(job.epoch, job.promised)
+		c.ballotSaved(job.epoch, job.promised)
 	}
 }
 
 // onPrepare promises to accept nothing under a lower ballot.
 func (c *Core) onPrepare(m Prepare) {
-	reply := PrepareReply{Envelope: c.back(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Status: c.status()}
+	reply := PrepareReply{Envelope: c.replyTo(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot, Status: c.status()}
 	reply.Rejection = c.checkBallot(&m.Base, m.Ballot)
 	if reply.Rejection != Granted {
 		reply.Promised = c.register.Promised
-		reply.View = c.newerThan(m.Base.Epoch)
+		reply.View = c.viewNewerThan(m.Base.Epoch)
 		c.send(reply)
 		return
 	}
 	c.promise(m.Ballot, m.From)
 	reply.AcceptedBallot = c.register.AcceptedBallot
 	reply.Accepted = c.register.Accepted.Clone()
-	c.answerOnceSynced(reply)
+	c.replyOnceSynced(reply)
 }
 
 // onAccept accepts a proposal.
 func (c *Core) onAccept(m Accept) {
-	reply := AcceptReply{Envelope: c.back(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot}
+	reply := AcceptReply{Envelope: c.replyTo(m), Epoch: m.Base.Epoch + 1, Ballot: m.Ballot}
 	reply.Rejection = c.checkBallot(&m.Base, m.Ballot)
 	if reply.Rejection != Granted {
 		reply.Promised = c.register.Promised
-		reply.View = c.newerThan(m.Base.Epoch)
+		reply.View = c.viewNewerThan(m.Base.Epoch)
 		c.send(reply)
 		return
 	}
 	c.promise(m.Ballot, m.From)
 	c.register.AcceptedBallot = m.Ballot
 	c.register.Accepted = m.Proposal.Clone()
-	c.answerOnceSynced(reply)
+	c.replyOnceSynced(reply)
 }
 
 // checkBallot tells whether this witness may promise or accept a ballot for the epoch after base.
@@ -165,27 +165,27 @@
 func (c *Core) promise(ballot Ballot, proposer Member) {
 	c.register.Promised = ballot
 	if proposer.ID != c.self.ID {
-		c.promisedAt = c.now
+		c.lastPromiseAt = c.now
 	}
 }
 
 // onInstall stores a view that was chosen.
 func (c *Core) onInstall(m Install) {
-	reply := InstallReply{Envelope: c.back(m), Epoch: m.View.Epoch, Ballot: m.View.Ballot}
+	reply := InstallReply{Envelope: c.replyTo(m), Epoch: m.View.Epoch, Ballot: m.View.Ballot}
 	c.learn(&m.View)
-	reply.View = c.newerThan(m.View.Epoch)
+	reply.View = c.viewNewerThan(m.View.Epoch)
 	if reply.View != nil {
 		reply.Rejection = NewerView
 		c.send(reply)
 		return
 	}
-	c.answerOnceSynced(reply)
+	c.replyOnceSynced(reply)
 }
 
 // onConfirm tells whether a view is the newest that this witness accepted. It needs no sync: what is not synced counts as accepted already.
 func (c *Core) onConfirm(m Confirm) {
-	reply := ConfirmReply{Envelope: c.back(m), Epoch: m.Epoch, Ballot: m.Ballot, Round: m.Round}
-	reply.View = c.newerThan(m.Epoch)
+	reply := ConfirmReply{Envelope: c.replyTo(m), Epoch: m.Epoch, Ballot: m.Ballot, Round: m.Round}
+	reply.View = c.viewNewerThan(m.Epoch)
 	known := c.register.View
 	switch {
 	case reply.View != nil:
@@ -199,8 +199,8 @@
 }
 
 // refuse answers a request that this member can't take; a reply that went astray is dropped.
-func (c *Core) refuse(request Message, reason Rejection) {
-	back := c.back(request)
+func (c *Core) reject(request Message, reason Rejection) {
+	back := c.replyTo(request)
 	switch m := request.(type) {
 	case Heartbeat:
 		if m.View != nil {
@@ -226,7 +226,7 @@
 }
 
 // refusedReply is a register's reply with a refusal in place of its grant.
-func refusedReply(reply Message, reason Rejection) Message {
+func rejectedReply(reply Message, reason Rejection) Message {
 	switch m := reply.(type) {
 	case PrepareReply:
 		m.Rejection = reason
--- a/coord/replication/core/simulation/changes_test.go
+++ b/coord/replication/core/simulation/changes_test.go
@@ -13,7 +13,7 @@
 	finish := func() {
 		if !finished {
 			finished = true
-			c.liveness.noteTrouble()
+			c.liveness.recordFault()
 			done()
 		}
 	}
@@ -29,7 +29,7 @@
 
 // restartPlanned lets a machine leave and start again with its disk.
 func (c *cluster) restartPlanned(h *host) {
-	heal := c.hurt(h)
+	heal := c.markFaulty(h)
 	c.leave(h, func() {
 		h.stop(false)
 		c.after(startWait, func() {
@@ -41,7 +41,7 @@
 
 // grow adds a member.
 func (c *cluster) grow(zone string) {
-	h := c.newcomer(zone, c.newAddress())
+	h := c.addEmptyHost(zone, c.newAddress())
 	c.slots = append(c.slots, &slot{number: len(c.slots), zone: zone, host: h, extra: true})
 }
 
@@ -71,7 +71,7 @@
 	s.pending++
 	c.after(startWait, func() {
 		s.pending--
-		s.host = c.newcomer(s.zone, c.newAddress())
+		s.host = c.addEmptyHost(s.zone, c.newAddress())
 	})
 	c.after(5*time.Second+wait, func() { c.startOldDisk(old) })
 }
@@ -97,7 +97,7 @@
 	c.trace("the old disk %d returns at %s", h.disk.id, address)
 	h.start()
 	h.lostUntil = c.now + c.settings.SyncTime
-	c.liveness.noteTrouble()
+	c.liveness.recordFault()
 	c.slots = append(c.slots, &slot{number: len(c.slots), zone: h.zone, host: h, extra: true})
 }
 
@@ -122,14 +122,14 @@
 }
 
 // strikeZone takes the power from a zone, or cuts it off.
-func (c *cluster) strikeZone(zone string, f fault) {
+func (c *cluster) injectZone(zone string, f fault) {
 	for _, h := range c.currentHosts() {
 		switch {
 		case h.zone != zone:
 		case f.Kind == zonePowerFault:
 			c.downFor(h, true, min(f.For, 1500*time.Millisecond))
 		default:
-			heal := c.hurt(h)
+			heal := c.markFaulty(h)
 			end := h.cut(true, true, false)
 			c.after(f.For, func() {
 				end()
@@ -154,7 +154,7 @@
 		if i >= size {
 			continue
 		}
-		heals = append(heals, c.hurt(h))
+		heals = append(heals, c.markFaulty(h))
 		for j := size; j < len(hosts); j++ {
 			other := hosts[(first+j)%len(hosts)]
 			links = append(links, [2]int{h.number, other.number}, [2]int{other.number, h.number})
@@ -181,6 +181,6 @@
 	c.after(f.For, func() {
 		c.answerLoss -= share
 		c.liveness.unchecked--
-		c.liveness.noteTrouble()
+		c.liveness.recordFault()
 	})
 }
--- a/coord/replication/core/simulation/clients_test.go
+++ b/coord/replication/core/simulation/clients_test.go
@@ -8,8 +8,8 @@
 )
 
 type (
-	callID  uint64 // one call of a client
-	orderID uint64 // an order; its repeats are other calls
+	callID    uint64 // one call of a client
+	commandID uint64 // an order; its repeats are other calls
 )
 
 type operation uint8
@@ -24,7 +24,7 @@
 type request struct {
 	operation operation
 	key       int
-	order     orderID
+	command   commandID
 	base      uint64
 	value     bool
 	payload   []byte
@@ -32,14 +32,14 @@
 
 // call is one try of a request at one member.
 type call struct {
-	client  *client
-	id      callID
-	request request
-	sent    time.Duration
-	ended   time.Duration // when the client had its answer
-	clear   bool          // the client had a clear answer
-	outcome core.Outcome
-	seen    [keyCount]observed // what the answer says; a read sees all keys
+	client   *client
+	id       callID
+	request  request
+	sent     time.Duration
+	ended    time.Duration // when the client had its answer
+	definite bool          // the client had a clear answer
+	outcome  core.Outcome
+	seen     [keyCount]observed // what the answer says; a read sees all keys
 
 	process  *process
 	began    uint64 // step of the process in which the call arrived, or Decide ran
@@ -53,8 +53,8 @@
 }
 
 const (
-	clientPatience = time.Second // a client asks elsewhere after this silence
-	orderPatience  = 800 * time.Millisecond
+	clientTimeout  = time.Second // a client asks elsewhere after this silence
+	commandTimeout = 800 * time.Millisecond
 	requestTries   = 12
 	callDelay      = 3 * time.Millisecond
 )
@@ -66,7 +66,7 @@
 	prober  bool // it makes flag calls only, all the time, for the liveness check
 	hint    *host
 	known   [keyCount]observed
-	orders  []request // sent lately, to be repeated
+	recent  []request // sent lately, to be repeated
 }
 
 func (c *cluster) startClients() {
@@ -114,25 +114,25 @@
 	case dice < 0.35:
 		key := registerCount + c.random.IntN(flagCount)
 		return request{operation: flagOperation, key: key, value: c.chance(0.5)}
-	case dice < 0.42 && len(k.orders) > 0:
-		return k.orders[c.random.IntN(len(k.orders))]
+	case dice < 0.42 && len(k.recent) > 0:
+		return k.recent[c.random.IntN(len(k.recent))]
 	}
-	return k.newOrder()
+	return k.newCommand()
 }
 
-func (k *client) newOrder() request {
+func (k *client) newCommand() request {
 	c := k.cluster
-	c.lastOrder++
+	c.lastCommand++
 	key := c.random.IntN(registerCount)
-	order := request{operation: writeOperation, key: key, order: c.lastOrder, base: k.known[key].version}
-	order.payload = make([]byte, c.random.IntN(c.payloadMost()))
-	k.orders = append(k.orders, order)
-	k.orders = k.orders[max(0, len(k.orders)-3):]
-	return order
+	command := request{operation: writeOperation, key: key, command: c.lastCommand, base: k.known[key].version}
+	command.payload = make([]byte, c.random.IntN(c.maxPayloadBytes()))
+	k.recent = append(k.recent, command)
+	k.recent = k.recent[max(0, len(k.recent)-3):]
+	return command
 }
 
 // payloadMost bounds an order's size; it grows over a run, so the state does too.
-func (c *cluster) payloadMost() int {
+func (c *cluster) maxPayloadBytes() int {
 	return 20 + int(c.now/(100*time.Millisecond))
 }
 
@@ -151,7 +151,7 @@
 		}
 	}
 	made.replied = finish
-	c.after(clientPatience, finish)
+	c.after(clientTimeout, finish)
 	c.after(c.between(callDelay/3, callDelay), func() { made.arrive(target) })
 }
 
@@ -161,15 +161,15 @@
 	if k.hint != nil && (k.prober || c.chance(0.6)) {
 		return k.hint
 	}
-	if believers := c.believers(); len(believers) > 0 && c.chance(0.5) {
-		return believers[c.random.IntN(len(believers))]
+	if candidates := c.selfDeclaredPrimaries(); len(candidates) > 0 && c.chance(0.5) {
+		return candidates[c.random.IntN(len(candidates))]
 	}
 	members := slices.Concat(c.currentHosts(), c.relays)
 	return members[c.random.IntN(len(members))]
 }
 
 // believers are the machines that hold themselves for primary.
-func (c *cluster) believers() []*host {
+func (c *cluster) selfDeclaredPrimaries() []*host {
 	return slices.DeleteFunc(c.currentHosts(), func(h *host) bool { return h.process == nil || !h.process.primary })
 }
 
@@ -187,7 +187,7 @@
 // next goes on after an answer or a silence.
 func (k *client) next(made *call, left int) {
 	c := k.cluster
-	if made.clear {
+	if made.definite {
 		k.learn(made)
 		c.after(c.between(0, c.settings.Pause), k.begin)
 		return
@@ -228,12 +228,12 @@
 // enter gives the call to the core.
 func (k *call) enter(p *process) {
 	k.process = p
-	k.floor = p.cluster.monitor.spokenIndex()
+	k.floor = p.cluster.monitor.reportedIndex()
 	p.lastToken++
 	token := p.lastToken
 	p.calls[token] = k
 	k.began = p.steps + 1
-	k.deadline = p.clock() + orderPatience
+	k.deadline = p.clock() + commandTimeout
 	if k.request.operation == readOperation {
 		p.step(core.Read{Token: token, Deadline: k.deadline})
 		return
@@ -250,14 +250,14 @@
 	r := k.request
 	key := &p.store.keys[r.key]
 	k.seen[r.key] = key.observe()
-	entry := entryData{key: r.key, value: r.value, call: k.id, order: r.order, payload: r.payload}
+	entry := entryData{key: r.key, value: r.value, call: k.id, command: r.command, payload: r.payload}
 	switch {
 	case r.operation == flagOperation && key.value == r.value:
 		return nil, nil
-	case r.operation == writeOperation && slices.Contains(key.taken, r.order):
+	case r.operation == writeOperation && slices.Contains(key.taken, r.command):
 		return nil, nil
 	case r.operation == writeOperation && key.version != r.base:
-		return nil, refusal{key.observe()}
+		return nil, versionConflict{key.observe()}
 	}
 	data := entry.encode()
 	k.wrote = p.cluster.history.after(k.decided, data)
@@ -281,7 +281,7 @@
 	}
 	hint, known := k.process.core.Primary(k.process.clock())
 	c.after(c.between(callDelay/3, callDelay), func() {
-		if c.now-k.sent > clientPatience {
+		if c.now-k.sent > clientTimeout {
 			return
 		}
 		if known {
@@ -290,9 +290,9 @@
 			k.client.hint = nil
 		}
 		if answer.Outcome.IsDefinite() {
-			k.clear = true
+			k.definite = true
 			k.ended = c.now
-			c.liveness.noteClear(k)
+			c.liveness.recordDefinite(k)
 		}
 		k.replied()
 	})
--- a/coord/replication/core/simulation/cluster_test.go
+++ b/coord/replication/core/simulation/cluster_test.go
@@ -35,9 +35,9 @@
 
 // scheduled is something that happens at a time. Those of one time happen in the order in which they were scheduled.
 type scheduled struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type eventQueue []scheduled
@@ -47,7 +47,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
@@ -68,7 +68,7 @@
 	mutation    mutation.Kind
 	random      *rand.Rand
 	now         time.Duration
-	order       uint64
+	sequence    uint64
 	queue       eventQueue
 
 	slots     []*slot // members with a disk
@@ -82,18 +82,18 @@
 	armed     []fault  // that wait for their moment
 	seeds     []string // at the first start
 
-	history    *history
-	clients    []*client
-	calls      []*call
-	lastCall   callID
-	lastOrder  orderID
-	lastLife   int
-	answerLoss float64 // of answers on their way to clients
-	disksLost  int     // since the last long calm
-	faultsDone [faultKinds]int
-	stopped    bool // no call begins any more
-	monitor    *monitor
-	liveness   *liveness
+	history         *history
+	clients         []*client
+	calls           []*call
+	lastCall        callID
+	lastCommand     commandID
+	lastIncarnation int
+	answerLoss      float64 // of answers on their way to clients
+	disksLost       int     // since the last long calm
+	faultsDone      [faultKinds]int
+	stopped         bool // no call begins any more
+	monitor         *monitor
+	liveness        *liveness
 
 	tracing bool
 	lines   []string
@@ -120,15 +120,15 @@
 	process *process // nil: not running
 	gone    bool     // removed for good
 
-	cutIn       int // running cuts of what comes in
-	cutOut      int
-	cutClients  int
-	held        []heldMessage
-	powerLosses int
-	slow        time.Duration // added to each message
-	lossy       float64
-	troubles    int // running faults
-	lostUntil   time.Duration
+	cutIn        int // running cuts of what comes in
+	cutOut       int
+	cutClients   int
+	held         []heldMessage
+	powerLosses  int
+	slow         time.Duration // added to each message
+	lossy        float64
+	activeFaults int // running faults
+	lostUntil    time.Duration
 }
 
 func newCluster(s settings, p profile, m mutation.Kind, seed uint64) *cluster {
@@ -187,8 +187,8 @@
 
 // after schedules something.
 func (c *cluster) after(wait time.Duration, run func()) {
-	c.order++
-	heap.Push(&c.queue, scheduled{at: c.now + wait, order: c.order, run: run})
+	c.sequence++
+	heap.Push(&c.queue, scheduled{at: c.now + wait, sequence: c.sequence, run: run})
 }
 
 // runUntil plays the simulated time; it stops early at a violation.
@@ -219,7 +219,7 @@
 
 // lostHost tells whether a machine counts as lost: while it is in trouble, and some time after.
 func (c *cluster) lostHost(h *host) bool {
-	return h == nil || h.process == nil || h.troubles > 0 || c.now < h.lostUntil
+	return h == nil || h.process == nil || h.activeFaults > 0 || c.now < h.lostUntil
 }
 
 func (c *cluster) lostSlot(s *slot) bool {
--- a/coord/replication/core/simulation/disk_test.go
+++ b/coord/replication/core/simulation/disk_test.go
@@ -104,7 +104,7 @@
 		d.cluster.monitor.fail("disk %d is told to append entry %d after position %d", d.id, entry.Entry.Index, d.position().Index)
 	}
 	if d.full > 0 {
-		d.leave(job)
+		d.leaveBehind(job)
 		return errFull
 	}
 	if save, ok := job.(core.SaveSnapshot); ok {
@@ -115,7 +115,7 @@
 }
 
 // leave keeps a job that failed: its writes may be found after a restart.
-func (d *disk) leave(job core.Effect) {
+func (d *disk) leaveBehind(job core.Effect) {
 	if _, ok := job.(core.SaveRegister); !ok {
 		d.closed = true
 	}
@@ -168,18 +168,18 @@
 	if !powerLost && len(jobs) > 1 {
 		jobs = jobs[:1]
 	}
-	doubtful := append(d.leftover, jobs...)
+	uncertain := append(d.leftover, jobs...)
 	d.leftover = nil
-	for _, job := range doubtful {
+	for _, job := range uncertain {
 		if d.cluster.chance(0.5) { // missing, or torn and thereby cut away
 			continue
 		}
-		d.applyDoubtful(job)
+		d.applyUncertain(job)
 	}
 }
 
 // applyDoubtful lets a job have taken effect after all, as far as the files before it allow.
-func (d *disk) applyDoubtful(job core.Effect) {
+func (d *disk) applyUncertain(job core.Effect) {
 	if entry, ok := job.(core.AppendEntry); ok {
 		if d.snapshot == nil || !entry.Entry.Follows(d.position()) {
 			return
--- a/coord/replication/core/simulation/faults_test.go
+++ b/coord/replication/core/simulation/faults_test.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	admissionWait  = 700 * time.Millisecond // a fault that would be too much waits its turn
-	admissionTries = 10
-	firstViewTime  = time.Second           // the first view is made by then
-	graceTime      = 8 * time.Second       // a member that is told to leave has this long
-	slowServed     = 60 * time.Millisecond // a member that is slower than this need not serve
-	strikeWait     = 15 * time.Millisecond // from a step of the protocol to the fault
-	startWait      = 300 * time.Millisecond
-	disksRenewed   = 8 * time.Second // beyond the tolerance: after so long without trouble disks may be lost again
+	admissionWait      = 700 * time.Millisecond // a fault that would be too much waits its turn
+	admissionTries     = 10
+	firstViewTime      = time.Second           // the first view is made by then
+	graceTime          = 8 * time.Second       // a member that is told to leave has this long
+	maxServedDelay     = 60 * time.Millisecond // a member that is slower than this need not serve
+	injectionDelay     = 15 * time.Millisecond // from a step of the protocol to the fault
+	startWait          = 300 * time.Millisecond
+	calmBeforeDiskLoss = 8 * time.Second // beyond the tolerance: after so long without trouble disks may be lost again
 )
 
 // schedulePlan lets the faults of a plan come.
@@ -24,7 +24,7 @@
 				c.armed = append(c.armed, f)
 				return
 			}
-			c.strike(f, admissionTries)
+			c.inject(f, admissionTries)
 		})
 	}
 }
@@ -41,25 +41,25 @@
 		if f.Amount%2 == 0 {
 			f.actor = p.host
 		}
-		c.after(c.between(0, strikeWait), func() { c.strike(f, admissionTries) })
+		c.after(c.between(0, injectionDelay), func() { c.inject(f, admissionTries) })
 	}
 }
 
 // strike lets a fault come as soon as it may.
-func (c *cluster) strike(f fault, tries int) {
+func (c *cluster) inject(f fault, tries int) {
 	if c.now > c.settings.Horizon {
 		return
 	}
 	s := c.target(f)
 	if s == nil || !c.admits(f, s) {
 		if tries > 0 {
-			c.after(admissionWait, func() { c.strike(f, tries-1) })
+			c.after(admissionWait, func() { c.inject(f, tries-1) })
 		}
 		return
 	}
 	c.trace("FAULT %v at slot %d for %v (%d)", f.Kind, s.number, f.For, f.Amount)
 	c.faultsDone[f.Kind]++
-	c.liveness.noteTrouble()
+	c.liveness.recordFault()
 	c.begin(f, s)
 }
 
@@ -142,7 +142,7 @@
 
 // mayLoseDisk counts the disks that were lost since the last long calm. None may be lost before the group has grown to bear it.
 func (c *cluster) mayLoseDisk(s *slot) bool {
-	if c.now-c.liveness.lastTrouble > disksRenewed && len(c.lostSlots()) == 0 {
+	if c.now-c.liveness.lastFaultAt > calmBeforeDiskLoss && len(c.lostSlots()) == 0 {
 		c.disksLost = 0
 	}
 	return c.monitor.grown && c.disksLost < c.settings.Losses
@@ -162,7 +162,7 @@
 	case wipeFault:
 		c.wipe(h, f.For)
 	case freezeFault, cutFault, muteFault, deafFault, slowFault, lossyFault, diskSlowFault, diskStallFault, diskFullFault:
-		c.trouble(f, h)
+		c.runHostFault(f, h)
 	case pairFault:
 		c.cutPair(h, f)
 	case replaceFault:
@@ -186,7 +186,7 @@
 			c.downFor(other, false, c.between(10*time.Millisecond, time.Second))
 		}
 	case zonePowerFault, zoneCutFault:
-		c.strikeZone(s.zone, f)
+		c.injectZone(s.zone, f)
 	case splitFault:
 		c.split(s, f)
 	case ackFault:
@@ -195,12 +195,12 @@
 }
 
 // hurt marks a machine as in trouble; the function ends it.
-func (c *cluster) hurt(h *host) (heal func()) {
-	h.troubles++
+func (c *cluster) markFaulty(h *host) (heal func()) {
+	h.activeFaults++
 	return func() {
-		h.troubles--
+		h.activeFaults--
 		h.lostUntil = max(h.lostUntil, c.now+c.settings.SyncTime)
-		c.liveness.noteTrouble()
+		c.liveness.recordFault()
 		c.trace("%s: a trouble is over", h)
 	}
 }
@@ -211,7 +211,7 @@
 		return
 	}
 	h.stop(powerLost)
-	heal := c.hurt(h)
+	heal := c.markFaulty(h)
 	c.after(down, func() {
 		h.start()
 		heal()
@@ -223,7 +223,7 @@
 	h.stop(true)
 	h.disk.gone = true
 	h.disk = c.newDisk()
-	heal := c.hurt(h)
+	heal := c.markFaulty(h)
 	c.after(down, func() {
 		h.start()
 		heal()
@@ -231,11 +231,11 @@
 }
 
 // trouble is a fault that begins, lasts and ends on one machine.
-func (c *cluster) trouble(f fault, h *host) {
-	heal := c.hurt(h)
-	end := c.disturb(f, h)
+func (c *cluster) runHostFault(f fault, h *host) {
+	heal := c.markFaulty(h)
+	end := c.startHostFault(f, h)
 	unchecked := 0
-	if f.Kind == lossyFault || f.Kind == slowFault && slowBy(f) > slowServed { // the pages know no such trouble: service is not demanded meanwhile
+	if f.Kind == lossyFault || f.Kind == slowFault && slowBy(f) > maxServedDelay { // the pages know no such trouble: service is not demanded meanwhile
 		unchecked = 1
 	}
 	c.liveness.unchecked += unchecked
@@ -248,12 +248,12 @@
 
 // slowBy is what a slow fault adds to each message of a machine, one way.
 func slowBy(f fault) time.Duration {
-	most := []int{40, 200, 1500}[f.Amount%3]
-	return time.Duration(f.Amount/3%most) * time.Millisecond
+	limit := []int{40, 200, 1500}[f.Amount%3]
+	return time.Duration(f.Amount/3%limit) * time.Millisecond
 }
 
 // disturb begins a trouble and gives what ends it.
-func (c *cluster) disturb(f fault, h *host) (end func()) {
+func (c *cluster) startHostFault(f fault, h *host) (end func()) {
 	d := h.disk
 	switch f.Kind {
 	case freezeFault:
@@ -310,7 +310,7 @@
 func (c *cluster) cutPair(h *host, f fault) {
 	hosts := c.currentHosts()
 	other := hosts[f.Amount%len(hosts)]
-	heal := c.hurt(h)
+	heal := c.markFaulty(h)
 	c.liveness.unchecked++
 	links := [][2]int{{h.number, other.number}, {other.number, h.number}}[:1+f.Amount/64%2]
 	for _, link := range links {
@@ -332,16 +332,16 @@
 	if c.addresses[h.address] == h {
 		delete(c.addresses, h.address)
 	}
-	c.liveness.noteTrouble()
+	c.liveness.recordFault()
 }
 
 // newcomer puts up an empty machine.
-func (c *cluster) newcomer(zone, address string) *host {
+func (c *cluster) addEmptyHost(zone, address string) *host {
 	h := c.addHost(zone, address)
 	h.disk = c.newDisk()
 	h.start()
 	h.lostUntil = c.now + c.settings.SyncTime
-	c.liveness.noteTrouble()
+	c.liveness.recordFault()
 	return h
 }
 
@@ -355,7 +355,7 @@
 	c.after(wait, func() {
 		s.pending--
 		delete(c.reserved, address)
-		s.host = c.newcomer(s.zone, address)
+		s.host = c.addEmptyHost(s.zone, address)
 	})
 }
 
@@ -363,7 +363,7 @@
 func (c *cluster) replacePlanned(s *slot, wait time.Duration) {
 	old := s.host
 	s.pending++
-	next := c.newcomer(s.zone, c.newAddress())
+	next := c.addEmptyHost(s.zone, c.newAddress())
 	c.after(min(wait, 4*time.Second), func() {
 		c.leave(old, func() {
 			c.remove(old)
--- a/coord/replication/core/simulation/linearizability_model_test.go
+++ b/coord/replication/core/simulation/linearizability_model_test.go
@@ -24,7 +24,7 @@
 	for i, made := range calls {
 		operation := porcupine.Operation{
 			ClientId: i,
-			Input:    modelInput{call: made.id, request: made.request, outcome: made.outcome, unclear: made.end == 0},
+			Input:    modelInput{call: made.id, request: made.request, outcome: made.outcome, indeterminate: made.end == 0},
 			Call:     made.begin,
 			Output:   made.seen,
 			Return:   made.end,
@@ -37,8 +37,8 @@
 	return porcupine.CheckOperations(keyModel(), operations)
 }
 
-func writeOn(base uint64, order orderID) request {
-	return request{operation: writeOperation, order: order, base: base}
+func writeOn(base uint64, command commandID) request {
+	return request{operation: writeOperation, command: command, base: base}
 }
 
 func setFlag(value bool) request {
@@ -47,8 +47,8 @@
 
 var readAll = request{operation: readOperation}
 
-// TestModelOfRegisters shows which histories of orders the check accepts, and which not.
-func TestModelOfRegisters(t *testing.T) {
+// TestKeyModel_Registers shows which histories of orders the check accepts, and which not.
+func TestKeyModel_Registers(t *testing.T) {
 	taken := historyCall{1, writeOn(0, 1), core.Committed, observed{version: 1, last: 1}, 1, 2}
 	afterIt := observed{version: 1, last: 1}
 	accepted := map[string][]historyCall{
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestModelOfFlags does the same for flags.
-func TestModelOfFlags(t *testing.T) {
+// TestKeyModel_Flags does the same for flags.
+func TestKeyModel_Flags(t *testing.T) {
 	set := historyCall{1, setFlag(true), core.Committed, observed{version: 1, last: 1, value: true}, 1, 2}
 	cleared := historyCall{2, setFlag(false), core.Committed, observed{version: 2, last: 2}, 3, 4}
 	require.True(t, linearizable(set, cleared))
--- a/coord/replication/core/simulation/linearizability_test.go
+++ b/coord/replication/core/simulation/linearizability_test.go
@@ -12,35 +12,35 @@
 
 // modelInput is one call as the model sees it.
 type modelInput struct {
-	call    callID
-	request request
-	outcome core.Outcome
-	unclear bool // it took effect, and the client was not told
+	call          callID
+	request       request
+	outcome       core.Outcome
+	indeterminate bool // it took effect, and the client was not told
 }
 
 // modelState is a key. taken is the orders that were taken, the newest first.
 type modelState struct {
 	observed
-	taken *takenOrder
+	taken *takenCommand
 }
 
-type takenOrder struct {
-	order  orderID
-	before *takenOrder
+type takenCommand struct {
+	command commandID
+	before  *takenCommand
 }
 
-func (t *takenOrder) has(order orderID) bool {
+func (t *takenCommand) has(command commandID) bool {
 	for at := t; at != nil; at = at.before {
-		if at.order == order {
+		if at.command == command {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *takenOrder) equals(other *takenOrder) bool {
+func (t *takenCommand) equals(other *takenCommand) bool {
 	for t != nil && other != nil && t != other {
-		if t.order != other.order {
+		if t.command != other.command {
 			return false
 		}
 		t, other = t.before, other.before
@@ -68,22 +68,22 @@
 		return out == state.observed, state
 	}
 	applies := r.operation == flagOperation && state.value != r.value ||
-		r.operation == writeOperation && state.version == r.base && !state.taken.has(r.order)
-	if in.unclear || in.outcome == core.Committed {
-		return applies && (in.unclear || out == state.after(in).observed), state.after(in)
+		r.operation == writeOperation && state.version == r.base && !state.taken.has(r.command)
+	if in.indeterminate || in.outcome == core.Committed {
+		return applies && (in.indeterminate || out == state.after(in).observed), state.after(in)
 	}
 	if out != state.observed || applies {
 		return false, state
 	}
-	taken := r.operation == flagOperation || state.taken.has(r.order)
+	taken := r.operation == flagOperation || state.taken.has(r.command)
 	return taken == (in.outcome == core.NoChange), state
 }
 
 // after is the state with a change.
 func (s modelState) after(in modelInput) modelState {
 	next := modelState{observed: observed{version: s.version + 1, last: in.call, value: in.request.value}, taken: s.taken}
-	if in.request.order != 0 {
-		next.taken = &takenOrder{order: in.request.order, before: s.taken}
+	if in.request.command != 0 {
+		next.taken = &takenCommand{command: in.request.command, before: s.taken}
 	}
 	return next
 }
@@ -91,7 +91,7 @@
 // checkLinearizable checks the history of each key.
 func (c *cluster) checkLinearizable() {
 	inHistory := map[callID]bool{}
-	for _, at := range c.monitor.spoken {
+	for _, at := range c.monitor.reported {
 		inHistory[at.call] = true
 	}
 	model := keyModel()
@@ -110,17 +110,17 @@
 		if !isRead && made.request.key != key {
 			continue
 		}
-		if !made.clear && (isRead || !inHistory[made.id]) {
+		if !made.definite && (isRead || !inHistory[made.id]) {
 			continue
 		}
 		operation := porcupine.Operation{
 			ClientId: made.client.number,
-			Input:    modelInput{call: made.id, request: made.request, outcome: made.outcome, unclear: !made.clear},
+			Input:    modelInput{call: made.id, request: made.request, outcome: made.outcome, indeterminate: !made.definite},
 			Call:     int64(made.sent),
 			Output:   made.seen[key],
 			Return:   int64(made.ended),
 		}
-		if !made.clear {
+		if !made.definite {
 			operation.Return = math.MaxInt64
 		}
 		operations = append(operations, operation)
--- a/coord/replication/core/simulation/liveness_test.go
+++ b/coord/replication/core/simulation/liveness_test.go
@@ -15,30 +15,30 @@
 
 // liveness watches whether orders are acknowledged in calm times.
 type liveness struct {
-	cluster     *cluster
-	lastTrouble time.Duration // when a fault began or ended
-	lastClear   time.Duration // when a client had its last clear answer to an order
-	recovered   bool          // since the last trouble
-	recoveries  []time.Duration
-	longest     time.Duration // gap between clear answers in calm times
-	wasWhole    bool
-	unchecked   int // running faults during which service is not demanded
-	repairsSeen int
-	committed   int
-	lastServed  time.Duration // when the core last gave a clear answer to an order
+	cluster      *cluster
+	lastFaultAt  time.Duration // when a fault began or ended
+	lastDefinite time.Duration // when a client had its last clear answer to an order
+	recovered    bool          // since the last trouble
+	recoveries   []time.Duration
+	longest      time.Duration // gap between clear answers in calm times
+	wasComplete  bool
+	unchecked    int // running faults during which service is not demanded
+	repairsSeen  int
+	committed    int
+	lastServed   time.Duration // when the core last gave a clear answer to an order
 }
 
 func newLiveness(c *cluster) *liveness { return &liveness{cluster: c} }
 
 // noteTrouble says that a fault began or ended.
-func (l *liveness) noteTrouble() {
-	l.lastTrouble = l.cluster.now
+func (l *liveness) recordFault() {
+	l.lastFaultAt = l.cluster.now
 	l.recovered = false
-	l.wasWhole = false
+	l.wasComplete = false
 }
 
 // noteServed notes a clear answer to an order, whether it reaches the client or not.
-func (l *liveness) noteServed(outcome core.Outcome) {
+func (l *liveness) recordServed(outcome core.Outcome) {
 	if outcome == core.Committed {
 		l.committed++
 	}
@@ -48,19 +48,19 @@
 }
 
 // noteClear notes that a client had a clear answer.
-func (l *liveness) noteClear(k *call) {
+func (l *liveness) recordDefinite(k *call) {
 	if k.outcome != core.Committed {
 		return
 	}
 	c := l.cluster
-	if !l.recovered && k.sent >= l.lastTrouble {
+	if !l.recovered && k.sent >= l.lastFaultAt {
 		l.recovered = true
-		l.recoveries = append(l.recoveries, c.now-l.lastTrouble)
+		l.recoveries = append(l.recoveries, c.now-l.lastFaultAt)
 	}
-	if l.lastClear > l.lastTrouble+serveWithin {
-		l.longest = max(l.longest, c.now-l.lastClear)
+	if l.lastDefinite > l.lastFaultAt+serveWithin {
+		l.longest = max(l.longest, c.now-l.lastDefinite)
 	}
-	l.lastClear = c.now
+	l.lastDefinite = c.now
 }
 
 // watch checks again and again.
@@ -74,18 +74,18 @@
 	if c.profile != tolerated || l.unchecked > 0 || c.stopped {
 		return
 	}
-	calm := c.now - l.lastTrouble
+	calm := c.now - l.lastFaultAt
 	if calm > serveWithin+serveMargin && !l.recovered {
 		c.monitor.fail("no order was acknowledged for %v after the last trouble", calm)
 	}
-	if calm > serveWithin+longestGap && c.now-l.lastClear > longestGap {
-		c.monitor.fail("no order was acknowledged for %v in a calm time", c.now-l.lastClear)
+	if calm > serveWithin+longestGap && c.now-l.lastDefinite > longestGap {
+		c.monitor.fail("no order was acknowledged for %v in a calm time", c.now-l.lastDefinite)
 	}
-	whole := len(c.lostSlots()) == 0
-	if whole && !l.wasWhole && calm > 0 {
+	complete := len(c.lostSlots()) == 0
+	if complete && !l.wasComplete && calm > 0 {
 		l.checkRepaired()
 	}
-	l.wasWhole = whole
+	l.wasComplete = complete
 }
 
 // checkRepaired checks that the group bears the next loss once nobody counts as lost.
--- a/coord/replication/core/simulation/machine_test.go
+++ b/coord/replication/core/simulation/machine_test.go
@@ -62,11 +62,11 @@
 
 // The replicated state: some registers that are written on top of a version, and some flags that are set and cleared.
 const (
-	registerCount = 2
-	flagCount     = 2
-	keyCount      = registerCount + flagCount
-	takenKept     = 96 // orders that an exact repeat is recognised among, a register
-	payloadsKept  = 24 // so that the snapshot grows, but not for ever
+	registerCount      = 2
+	flagCount          = 2
+	keyCount           = registerCount + flagCount
+	rememberedCommands = 96 // orders that an exact repeat is recognised among, a register
+	rememberedPayloads = 24 // so that the snapshot grows, but not for ever
 )
 
 // keyState is one register or flag. A flag keeps no orders.
@@ -74,7 +74,7 @@
 	version uint64
 	last    callID // that changed it
 	value   bool   // of a flag
-	taken   []orderID
+	taken   []commandID
 }
 
 // observed is what a client is told of a key.
@@ -91,7 +91,7 @@
 	key     int
 	value   bool
 	call    callID
-	order   orderID
+	command commandID
 	payload []byte
 }
 
@@ -101,19 +101,19 @@
 		out[1] = 1
 	}
 	out = binary.AppendUvarint(out, uint64(e.call))
-	out = binary.AppendUvarint(out, uint64(e.order))
+	out = binary.AppendUvarint(out, uint64(e.command))
 	return append(out, e.payload...)
 }
 
 func decodeEntry(data []byte) entryData {
 	e := entryData{key: int(data[0]), value: data[1] == 1}
-	rest := data[2:]
-	number, size := binary.Uvarint(rest)
+	remaining := data[2:]
+	number, size := binary.Uvarint(remaining)
 	e.call = callID(number)
-	rest = rest[size:]
-	number, size = binary.Uvarint(rest)
-	e.order = orderID(number)
-	e.payload = rest[size:]
+	remaining = remaining[size:]
+	number, size = binary.Uvarint(remaining)
+	e.command = commandID(number)
+	e.payload = remaining[size:]
 	return e
 }
 
@@ -137,12 +137,12 @@
 	key.version++
 	key.last = e.call
 	key.value = e.value
-	if e.order != 0 {
-		key.taken = append(key.taken, e.order)
-		key.taken = key.taken[max(0, len(key.taken)-takenKept):]
+	if e.command != 0 {
+		key.taken = append(key.taken, e.command)
+		key.taken = key.taken[max(0, len(key.taken)-rememberedCommands):]
 	}
 	s.payloads = append(s.payloads, e.payload)
-	s.payloads = s.payloads[max(0, len(s.payloads)-payloadsKept):]
+	s.payloads = s.payloads[max(0, len(s.payloads)-rememberedPayloads):]
 }
 
 // Snapshot implements core.StateMachine.
@@ -158,8 +158,8 @@
 		}
 		out = append(out, value)
 		out = binary.AppendUvarint(out, uint64(len(key.taken)))
-		for _, order := range key.taken {
-			out = binary.AppendUvarint(out, uint64(order))
+		for _, command := range key.taken {
+			out = binary.AppendUvarint(out, uint64(command))
 		}
 	}
 	out = binary.AppendUvarint(out, uint64(len(s.payloads)))
@@ -182,31 +182,31 @@
 	if s.tip == nil {
 		return errUnknownPosition
 	}
-	rest := snapshot[8:]
+	remaining := snapshot[8:]
 	number := func() uint64 {
-		n, size := binary.Uvarint(rest)
-		rest = rest[size:]
+		n, size := binary.Uvarint(remaining)
+		remaining = remaining[size:]
 		return n
 	}
 	for i := range s.keys {
 		key := &s.keys[i]
 		key.version = number()
 		key.last = callID(number())
-		key.value = rest[0] == 1
-		rest = rest[1:]
+		key.value = remaining[0] == 1
+		remaining = remaining[1:]
 		for range number() {
-			key.taken = append(key.taken, orderID(number()))
+			key.taken = append(key.taken, commandID(number()))
 		}
 	}
 	for range number() {
 		size := number()
-		s.payloads = append(s.payloads, rest[:size])
-		rest = rest[size:]
+		s.payloads = append(s.payloads, remaining[:size])
+		remaining = remaining[size:]
 	}
 	return nil
 }
 
 // refusal is the clear "no" to an order that builds on another version.
-type refusal struct{ now observed }
+type versionConflict struct{ now observed }
 
-func (r refusal) Error() string { return fmt.Sprintf("version %d is current", r.now.version) }
+func (r versionConflict) Error() string { return fmt.Sprintf("version %d is current", r.now.version) }
--- a/coord/replication/core/simulation/monitor_test.go
+++ b/coord/replication/core/simulation/monitor_test.go
@@ -12,7 +12,7 @@
 	cluster   *cluster
 	blind     bool // only the clients' history counts
 	violation string
-	spoken    []*position // the history that clear answers spoke of, by index
+	reported  []*position // the history that clear answers spoke of, by index
 	writers   map[core.Epoch]*process
 	views     map[core.Epoch]core.View
 	votes     map[voteKey]vote
@@ -37,11 +37,11 @@
 
 func newMonitor(c *cluster) *monitor {
 	return &monitor{
-		cluster: c,
-		spoken:  []*position{c.history.root},
-		writers: map[core.Epoch]*process{},
-		views:   map[core.Epoch]core.View{},
-		votes:   map[voteKey]vote{},
+		cluster:  c,
+		reported: []*position{c.history.root},
+		writers:  map[core.Epoch]*process{},
+		views:    map[core.Epoch]core.View{},
+		votes:    map[voteKey]vote{},
 
 		proposals: map[core.StateTag]*proposal{},
 		offers:    map[core.StateTag]*process{},
@@ -57,26 +57,26 @@
 }
 
 // spokenIndex is the length of the history that clear answers spoke of.
-func (m *monitor) spokenIndex() uint64 { return uint64(len(m.spoken) - 1) }
+func (m *monitor) reportedIndex() uint64 { return uint64(len(m.reported) - 1) }
 
 // speak checks that a clear answer speaks of the one history, and notes it.
 func (m *monitor) speak(at *position, who *process, what string) {
-	if at.index <= m.spokenIndex() {
-		if m.spoken[at.index] != at {
-			m.fail("%s of %s speaks of entry %d by call %d, where another answer spoke of call %d's", what, who.host, at.index, at.call, m.spoken[at.index].call)
+	if at.index <= m.reportedIndex() {
+		if m.reported[at.index] != at {
+			m.fail("%s of %s speaks of entry %d by call %d, where another answer spoke of call %d's", what, who.host, at.index, at.call, m.reported[at.index].call)
 		}
 		return
 	}
 	var added []*position
-	for p := at; p.index > m.spokenIndex(); p = p.parent {
+	for p := at; p.index > m.reportedIndex(); p = p.parent {
 		added = append(added, p)
 	}
-	if last := added[len(added)-1]; last.parent != m.spoken[m.spokenIndex()] {
-		m.fail("%s of %s speaks of a history without entry %d, which an answer spoke of", what, who.host, m.spokenIndex())
+	if last := added[len(added)-1]; last.parent != m.reported[m.reportedIndex()] {
+		m.fail("%s of %s speaks of a history without entry %d, which an answer spoke of", what, who.host, m.reportedIndex())
 		return
 	}
 	slices.Reverse(added)
-	m.spoken = append(m.spoken, added...)
+	m.reported = append(m.reported, added...)
 }
 
 // decides checks that an order begins in time, and once.
@@ -104,7 +104,7 @@
 	if answer.Outcome != core.Committed && p.clock() > k.deadline {
 		m.fail("%s answers call %d clearly after its deadline", p.host, k.id)
 	}
-	m.cluster.liveness.noteServed(answer.Outcome)
+	m.cluster.liveness.recordServed(answer.Outcome)
 	switch answer.Outcome {
 	case core.Committed:
 		m.committed(p, k)
@@ -149,16 +149,16 @@
 		return
 	}
 	for at := k.decided; at.index > 0; at = at.parent {
-		if m.orderOf(at) == k.request.order {
-			m.fail("%s refuses call %d, a repeat of order %d, which was taken", p.host, k.id, k.request.order)
+		if m.commandOf(at) == k.request.command {
+			m.fail("%s refuses call %d, a repeat of order %d, which was taken", p.host, k.id, k.request.command)
 			return
 		}
 	}
 }
 
 // orderOf is the order that wrote an entry, 0 if it was a flag's.
-func (m *monitor) orderOf(at *position) orderID {
-	return m.cluster.calls[at.call-1].request.order
+func (m *monitor) commandOf(at *position) commandID {
+	return m.cluster.calls[at.call-1].request.command
 }
 
 // freshEnough checks that a clear answer speaks of nothing older than was spoken of when the call arrived.
@@ -196,7 +196,7 @@
 		return
 	}
 	m.newest = epoch
-	if last := m.spoken[m.spokenIndex()]; !p.host.disk.tip.includes(last) {
+	if last := m.reported[m.reportedIndex()]; !p.host.disk.tip.includes(last) {
 		m.fail("%s leads epoch %d and holds %d entries without entry %d, which an answer spoke of", p.host, epoch, p.host.disk.tip.index, last.index)
 	}
 }
@@ -243,7 +243,7 @@
 }
 
 // witnessSaid checks what a witness says against all that it said before.
-func (m *monitor) witnessSaid(p *process, message core.Message) {
+func (m *monitor) checkWitnessReply(p *process, message core.Message) {
 	id := p.host.disk.id
 	switch reply := message.(type) {
 	case core.PrepareReply:
@@ -280,7 +280,7 @@
 
 // registerSaved checks that a register on disk never goes back.
 func (m *monitor) registerSaved(d *disk, register core.Register) {
-	m.noteAccepted(d, register)
+	m.recordAccepted(d, register)
 	before := d.register
 	was, is := epochOf(before.View), epochOf(register.View)
 	if is < was {
--- a/coord/replication/core/simulation/mutation_test.go
+++ b/coord/replication/core/simulation/mutation_test.go
@@ -38,8 +38,8 @@
 	group.Wait()
 }
 
-// TestMonitorsFindMutations shows that the monitors bite: each fault built into the core is found.
-func TestMonitorsFindMutations(t *testing.T) {
+// TestMonitors_FaultPlanted_IsFound shows that the monitors bite: each fault built into the core is found.
+func TestMonitors_FaultPlanted_IsFound(t *testing.T) {
 	kinds := []mutation.Kind{
 		mutation.SkipSync, mutation.AnswerBeforeBackups, mutation.SkipMajority, mutation.ForgetPromise, mutation.SkipConfirmOnRefusal,
 		mutation.SkipConfirmOnRead, mutation.SkipSeal, mutation.SkipEarlierProposal, mutation.OverwriteSameTag,
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestHistoriesShowMutations shows that the check of the clients' histories bites by itself, with the monitors off.
-func TestHistoriesShowMutations(t *testing.T) {
+// TestHistories_FaultPlanted_IsFound shows that the check of the clients' histories bites by itself, with the monitors off.
+func TestHistories_FaultPlanted_IsFound(t *testing.T) {
 	kinds := []mutation.Kind{mutation.SkipSync, mutation.SkipMajority, mutation.SkipConfirmOnRefusal, mutation.SkipConfirmOnRead}
 	findEach(t, kinds, func(kind mutation.Kind, seed uint64) schedule {
 		return schedule{Seed: seed, Profile: beyond, Mutation: kind, Blind: true, Plan: thawedPrimaries()}
@@ -66,8 +66,8 @@
 	return made
 }
 
-// TestUnsavedBallotIsUsedTwice finds SkipOwnPromise: a primary with a slow disk is killed as it offers its state for the next view, comes back, and uses the same ballot again.
-func TestUnsavedBallotIsUsedTwice(t *testing.T) {
+// TestMonitors_BallotNotSynced_IsFound finds SkipOwnPromise: a primary with a slow disk is killed as it offers its state for the next view, comes back, and uses the same ballot again.
+func TestMonitors_BallotNotSynced_IsFound(t *testing.T) {
 	made := plan{
 		{At: 6 * time.Second, Kind: diskSlowFault, Slot: 0, For: 20 * time.Second},
 		{At: 6100 * time.Millisecond, Kind: replaceFault, Slot: 1, For: 300 * time.Millisecond},
--- a/coord/replication/core/simulation/network_test.go
+++ b/coord/replication/core/simulation/network_test.go
@@ -10,16 +10,16 @@
 type heldMessage struct {
 	from    *host
 	power   int  // losses of power of the sender before
-	kept    bool // by the sender's machine: it goes with its power
+	durable    bool // by the sender's machine: it goes with its power
 	address string
 	message core.Message
 }
 
 const (
-	heldMost     = 40                     // messages that a cut holds up
-	heldRate     = 0.3                    // the others are lost
-	lateWait     = 400 * time.Millisecond // a late or a repeated message comes at most this late
-	veryLateWait = 8 * time.Second        // the same, beyond the tolerance: a member that is gone may seem to live
+	maxHeldMessages = 40                     // messages that a cut holds up
+	heldRate        = 0.3                    // the others are lost
+	lateWait        = 400 * time.Millisecond // a late or a repeated message comes at most this late
+	veryLateWait    = 8 * time.Second        // the same, beyond the tolerance: a member that is gone may seem to live
 )
 
 // send puts a message on its way: it may be lost, late, repeated, or overtaken by others.
@@ -46,11 +46,11 @@
 
 // delay is how long a message takes.
 func (c *cluster) delay(from, to *host) time.Duration {
-	most := c.settings.ZoneDelay
+	limit := c.settings.ZoneDelay
 	if from.zone != to.zone {
-		most = c.settings.FarDelay
+		limit = c.settings.FarDelay
 	}
-	delay := c.between(most/3, most) + from.slow + to.slow
+	delay := c.between(limit/3, limit) + from.slow + to.slow
 	if c.chance(c.settings.LateRate) {
 		delay += c.between(0, lateWait)
 	}
@@ -71,7 +71,7 @@
 // arrive gives a message to whoever lives at its address now.
 func (c *cluster) arrive(m heldMessage) {
 	to := c.addresses[m.address]
-	if to == nil || to.process == nil || m.kept && m.power != m.from.powerLosses {
+	if to == nil || to.process == nil || m.durable && m.power != m.from.powerLosses {
 		return
 	}
 	if to.cutIn > 0 {
@@ -86,7 +86,7 @@
 
 // hold keeps some of the messages that a cut stops.
 func (h *host) hold(m heldMessage) {
-	if len(h.held) < heldMost && h.cluster.chance(heldRate) {
+	if len(h.held) < maxHeldMessages && h.cluster.chance(heldRate) {
 		h.held = append(h.held, m)
 	}
 }
--- a/coord/replication/core/simulation/process_test.go
+++ b/coord/replication/core/simulation/process_test.go
@@ -28,16 +28,16 @@
 
 // process is one life of a core on a machine.
 type process struct {
-	cluster *cluster
-	host    *host
-	core    *core.Core
-	store   *keyStore
-	timing  core.Timing
-	born    time.Duration
-	life    int
-	dead    bool
-	frozen  int
-	waiting []happening // while it is frozen
+	cluster     *cluster
+	host        *host
+	core        *core.Core
+	store       *keyStore
+	timing      core.Timing
+	born        time.Duration
+	incarnation int
+	dead        bool
+	frozen      int
+	waiting     []happening // while it is frozen
 
 	lastTick  time.Duration
 	tickDue   time.Duration
@@ -84,18 +84,18 @@
 		return
 	}
 	started.Mutate(c.mutation)
-	c.lastLife++
+	c.lastIncarnation++
 	p := &process{
-		cluster:    c,
-		host:       h,
-		core:       started,
-		store:      store,
-		timing:     config.Timing,
-		born:       c.now,
-		life:       c.lastLife,
-		calls:      map[core.Token]*call{},
-		roundBegun: map[uint64]uint64{},
-		granted:    map[core.MemberID]uint64{},
+		cluster:     c,
+		host:        h,
+		core:        started,
+		store:       store,
+		timing:      config.Timing,
+		born:        c.now,
+		incarnation: c.lastIncarnation,
+		calls:       map[core.Token]*call{},
+		roundBegun:  map[uint64]uint64{},
+		granted:     map[core.MemberID]uint64{},
 	}
 	h.process = p
 	c.trace("%s starts, seeds %v", h, config.Seeds)
@@ -236,7 +236,7 @@
 		p.tickArmed = false
 	}
 	if received, ok := event.(core.Received); ok {
-		p.noteReceived(received.Message)
+		p.recordReceived(received.Message)
 	}
 	for _, effect := range p.core.Step(p.clock(), event) {
 		if p.dead {
@@ -250,7 +250,7 @@
 	c := p.cluster
 	switch effect := effect.(type) {
 	case core.Send:
-		p.noteSent(effect.Message)
+		p.recordSent(effect.Message)
 		c.send(p.host, effect.Address, effect.Message)
 	case core.SaveRegister, core.AppendEntry, core.SaveSnapshot:
 		if p.host.relay {
@@ -286,7 +286,7 @@
 }
 
 // noteSent keeps what the monitors need of a message.
-func (p *process) noteSent(message core.Message) {
+func (p *process) recordSent(message core.Message) {
 	monitor := p.cluster.monitor
 	switch m := message.(type) {
 	case core.Confirm:
@@ -314,7 +314,7 @@
 	case core.AppendReply:
 		monitor.appended(p, m)
 	case core.PrepareReply, core.AcceptReply, core.ConfirmReply:
-		monitor.witnessSaid(p, message)
+		monitor.checkWitnessReply(p, message)
 	}
 }
 
@@ -326,7 +326,7 @@
 }
 
 // noteReceived notes which witnesses have confirmed the view, and in which round.
-func (p *process) noteReceived(message core.Message) {
+func (p *process) recordReceived(message core.Message) {
 	m, ok := message.(core.ConfirmReply)
 	if !ok || m.Rejection != core.Granted || m.To != p.host.disk.id || !p.primary {
 		return
--- a/coord/replication/core/simulation/proposals_test.go
+++ b/coord/replication/core/simulation/proposals_test.go
@@ -54,7 +54,7 @@
 }
 
 // noteAccepted counts the witnesses that have accepted a proposal, and checks that one view is chosen for an epoch.
-func (m *monitor) noteAccepted(d *disk, register core.Register) {
+func (m *monitor) recordAccepted(d *disk, register core.Register) {
 	if register.Accepted == nil {
 		return
 	}
--- a/coord/replication/core/simulation/regression_test.go
+++ b/coord/replication/core/simulation/regression_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestDeadCopyIsNotWaitedFor: a primary that died, and of which a late message came, was offered the state by its follower, and waited for as if it were saving it.
-func TestDeadCopyIsNotWaitedFor(t *testing.T) {
+// TestTakeOver_ReplicaDead_IsNotWaitedFor: a primary that died, and of which a late message came, was offered the state by its follower, and waited for as if it were saving it.
+func TestTakeOver_ReplicaDead_IsNotWaitedFor(t *testing.T) {
 	made := plan{{At: 8 * time.Second, Kind: killFault, Slot: 0, For: 15 * time.Second}}
 	late := calm(6, 3, 2, 6*time.Second)
 	late.LateRate = 0.3
@@ -63,23 +63,23 @@
 	holds(t, schedule{Profile: tolerated, Settings: late, Plan: made}, 2, 25, 28, 37, 38, 47)
 }
 
-// TestDeafPrimaryIsFollowed: a primary that is heard and hears nobody kept the others from following it: its questions and its seeming presence stood in their way.
-func TestDeafPrimaryIsFollowed(t *testing.T) {
+// TestPrimary_ReceivesNothing_IsReplaced: a primary that is heard and hears nobody kept the others from following it: its questions and its seeming presence stood in their way.
+func TestPrimary_ReceivesNothing_IsReplaced(t *testing.T) {
 	holds(t, schedule{Profile: tolerated, Settings: noisy(7, 5, 2, 6*time.Second), Plan: plan{
 		{At: 9 * time.Second, Kind: deafFault, Slot: 0, For: 15 * time.Second, Amount: 1},
 	}}, 1, 2, 3, 6, 7, 9, 10, 12)
 }
 
-// TestProposalIsFinishedWithoutAPause: who finished the proposal of a primary that died paused before it made a view of its own.
-func TestProposalIsFinishedWithoutAPause(t *testing.T) {
+// TestTakeOver_EarlierProposal_FinishedWithoutBackoff: who finished the proposal of a primary that died paused before it made a view of its own.
+func TestTakeOver_EarlierProposal_FinishedWithoutBackoff(t *testing.T) {
 	holds(t, schedule{Profile: tolerated, Settings: noisy(5, 5, 1, 4*time.Second), Plan: plan{
 		{At: 9 * time.Second, Kind: killFault, Slot: 0, For: 20 * time.Millisecond},
 		{At: 9010 * time.Millisecond, Kind: killFault, Slot: 0, For: 15 * time.Second, When: proposesMoment},
 	}}, 193)
 }
 
-// TestNewcomerLeavesOnlyWithThePrimarysWord: a member that knew no view said that it had left, while a view that named it was being made.
-func TestNewcomerLeavesOnlyWithThePrimarysWord(t *testing.T) {
+// TestLeave_NewMember_NeedsPrimarysAgreement: a member that knew no view said that it had left, while a view that named it was being made.
+func TestLeave_NewMember_NeedsPrimarysAgreement(t *testing.T) {
 	holds(t, schedule{Profile: beyond, Settings: calm(5, 3, 1, 4*time.Second), Plan: plan{
 		{At: 948 * time.Millisecond, Kind: powerFault, Slot: 57, For: 3473 * time.Millisecond, Amount: 38256, When: appendsMoment},
 		{At: 2273 * time.Millisecond, Kind: powerFault, Slot: 48, For: 1056 * time.Millisecond, Amount: 18804},
@@ -87,8 +87,8 @@
 	}}, 215, 251)
 }
 
-// TestOneFirstViewWhenSeedsTurnOver: members that were killed before they knew the first view came back with other seeds and made another first view.
-func TestOneFirstViewWhenSeedsTurnOver(t *testing.T) {
+// TestBootstrap_SeedsChange_MakesOneFirstView: members that were killed before they knew the first view came back with other seeds and made another first view.
+func TestBootstrap_SeedsChange_MakesOneFirstView(t *testing.T) {
 	once := plan{{At: 300 * time.Millisecond, Kind: killAllFault}}
 	holds(t, schedule{Profile: beyond, Settings: calm(5, 5, 1, 4*time.Second), Plan: once}, 29, 186, 191, 196, 239)
 	var often plan
--- a/coord/replication/core/simulation/summary_test.go
+++ b/coord/replication/core/simulation/summary_test.go
@@ -11,7 +11,7 @@
 type summary struct {
 	runs       int
 	calls      int
-	clear      int
+	definite   int
 	commits    int
 	epochs     int
 	repairs    int
@@ -33,8 +33,8 @@
 	s.runs++
 	s.calls += len(c.calls)
 	for _, made := range c.calls {
-		if made.clear {
-			s.clear++
+		if made.definite {
+			s.definite++
 		}
 	}
 	s.commits += c.liveness.committed
@@ -67,7 +67,7 @@
 		faults = append(faults, fmt.Sprintf("%v %d", faultKind(kind), count))
 	}
 	return fmt.Sprintf("%d schedules, %d failed; %d calls, %d with a clear answer, %d entries committed, %d views, %d times whole again; served again after a trouble: median %v, 99 in 100 %v, longest %v; longest calm gap %v; faults: %s",
-		s.runs, len(s.failed), s.calls, s.clear, s.commits, s.epochs, s.repairs, s.part(0.5), s.part(0.99), s.part(1), s.longest, strings.Join(faults, ", "))
+		s.runs, len(s.failed), s.calls, s.definite, s.commits, s.epochs, s.repairs, s.part(0.5), s.part(0.99), s.part(1), s.longest, strings.Join(faults, ", "))
 }
 
 // part is the recovery time that a share of all stays within.
--- a/coord/replication/core/state.go
+++ b/coord/replication/core/state.go
@@ -9,17 +9,17 @@
 // heldState is the replicated state as this member holds it.
 //
 // Invariant: the state is a prefix of the history. Every entry taken follows the position before it, by index and by digest.
-type heldState struct {
+type replicatedState struct {
 	tag      StateTag // of the proposal under which it was given
 	position Position // of the last entry on disk
 	applied  Position // of the last entry that the state machine has
 	tail     []Entry  // on disk and not applied: from applied (excluded) to position
 	// joined is the view whose appends are taken; zero: none. It lives in memory only, so a restarted copy is sealed until it is given the state again.
-	joined      StateTag
-	broken      bool // the log takes no entries before a snapshot is saved
-	logBytes    int  // of entries since the last snapshot saved
-	recent      []Entry
-	recentBytes int
+	joined        StateTag
+	logBroken     bool // the log takes no entries before a snapshot is saved
+	logBytes      int  // of entries since the last snapshot saved
+	cachedEntries []Entry
+	cachedBytes   int
 }
 
 // loadState takes over what the disk held.
@@ -27,9 +27,9 @@
 	if c.config.Relay {
 		return nil
 	}
-	c.state.broken = !stored.Appendable
+	c.state.logBroken = !stored.Appendable
 	if stored.Snapshot == nil {
-		c.state.broken = true
+		c.state.logBroken = true
 		if len(stored.Entries) > 0 {
 			return fmt.Errorf("%w: entries without a snapshot", ErrCorrupt)
 		}
@@ -52,32 +52,32 @@
 }
 
 // add notes an entry that is on disk now.
-func (s *heldState) add(entry Entry, recentLimit int) {
+func (s *replicatedState) add(entry Entry, recentLimit int) {
 	s.position = entry.Position()
 	s.tail = append(s.tail, entry)
-	s.remember(entry, recentLimit)
+	s.cacheEntry(entry, recentLimit)
 }
 
 // remember keeps an entry for members that are nearly up to date.
-func (s *heldState) remember(entry Entry, limit int) {
-	s.recent = append(s.recent, entry)
-	s.recentBytes += len(entry.Data)
+func (s *replicatedState) cacheEntry(entry Entry, limit int) {
+	s.cachedEntries = append(s.cachedEntries, entry)
+	s.cachedBytes += len(entry.Data)
 	first := 0
-	for s.recentBytes > limit && first < len(s.recent)-1 {
-		s.recentBytes -= len(s.recent[first].Data)
+	for s.cachedBytes > limit && first < len(s.cachedEntries)-1 {
+		s.cachedBytes -= len(s.cachedEntries[first].Data)
 		first++
 	}
-	s.recent = slices.Clone(s.recent[first:])
+	s.cachedEntries = slices.Clone(s.cachedEntries[first:])
 }
 
 // since gives the entries after a position, if they are remembered.
-func (s *heldState) since(position Position) ([]Entry, bool) {
+func (s *replicatedState) entriesSince(position Position) ([]Entry, bool) {
 	if position == s.position {
 		return nil, true
 	}
-	for i, entry := range s.recent {
+	for i, entry := range s.cachedEntries {
 		if entry.Follows(position) {
-			return s.recent[i:], true
+			return s.cachedEntries[i:], true
 		}
 	}
 	return nil, false
@@ -98,27 +98,27 @@
 }
 
 // trim puts a snapshot in place of a log that has grown.
-func (c *Core) trim() {
-	if c.state.logBytes < c.limits.LogBytes || c.state.broken {
+func (c *Core) compactLog() {
+	if c.state.logBytes < c.limits.LogBytes || c.state.logBroken {
 		return
 	}
 	c.state.logBytes = 0
-	c.saveSnapshot(diskJob{kind: trimJob}, c.snapshot(), c.state.tail)
+	c.saveSnapshot(diskJob{kind: compactionJob}, c.snapshot(), c.state.tail)
 }
 
 // View is the newest view known to be chosen, nil before the first.
 func (c *Core) View() *View { return c.register.View.Clone() }
 
 // Active tells whether this member is primary, and of which epoch.
-func (c *Core) PrimaryEpoch() (Epoch, bool) { return c.activeEpoch, c.active }
+func (c *Core) PrimaryEpoch() (Epoch, bool) { return c.primaryEpoch, c.isPrimary }
 
 // Primary is the member that was last heard to be primary, if it was heard lately.
 func (c *Core) Primary(now time.Duration) (Member, bool) {
-	if c.active {
+	if c.isPrimary {
 		return c.self, true
 	}
-	if c.heardFrom.ID != 0 && now-c.lastHeard < c.timing.PrimaryTimeout {
-		return c.heardFrom, true
+	if c.lastPrimary.ID != 0 && now-c.lastPrimaryContact < c.timing.PrimaryTimeout {
+		return c.lastPrimary, true
 	}
 	return Member{}, false
 }
@@ -144,15 +144,15 @@
 	return State{
 		Self:                c.self,
 		Relay:               c.config.Relay,
-		FailuresTolerated:   lossesBorne(c.register.View),
+		FailuresTolerated:   failuresTolerated(c.register.View),
 		MaxFailures:         c.config.MaxFailures,
 		View:                c.View(),
-		IsPrimary:           c.active,
+		IsPrimary:           c.isPrimary,
 		Joined:              c.state.joined != StateTag{},
 		DiskStalled:         c.disk.stalled,
 		Leaving:             c.leaving != nil,
 		Position:            c.state.position,
-		SincePrimaryContact: now - c.lastHeard,
+		SincePrimaryContact: now - c.lastPrimaryContact,
 		Members:             c.Members(),
 	}
 }
--- a/coord/replication/core/takeover.go
+++ b/coord/replication/core/takeover.go
@@ -22,7 +22,7 @@
 
 // considerViewChange starts a view change if one is due.
 func (c *Core) considerViewChange() {
-	if !c.heardSince(c.deafSince) && c.deafSince != longAgo {
+	if !c.hadContactSince(c.isolatedSince) && c.isolatedSince != longAgo {
 		return // its ballots would only stand in the way of those who hear each other
 	}
 	if c.change != nil || c.config.Relay || c.disk.stalled || c.disk.changesState() || c.now < c.retryAfter {
@@ -30,43 +30,43 @@
 	}
 	view := c.register.View
 	if view == nil {
-		if base, ok := c.firstBase(); ok {
+		if base, ok := c.bootstrapBase(); ok {
 			c.startViewChange(base)
 		}
 		return
 	}
-	if c.active {
+	if c.isPrimary {
 		if c.viewChangeDue {
 			c.startViewChange(view)
 		}
 		return
 	}
-	if c.mayLead(view) && c.takeOverDue(view) {
+	if c.mayLead(view) && c.isTakeOverDue(view) {
 		c.startViewChange(view)
 	}
 }
 
 // takeOverDue tells whether a member that is not the primary should take over now.
-func (c *Core) takeOverDue(view *View) bool {
-	quiet := c.now - c.lastHeard
+func (c *Core) isTakeOverDue(view *View) bool {
+	silence := c.now - c.lastPrimaryContact
 	rank := indexOf(view.Backups, c.self.ID)
 	due := c.timing.PrimaryTimeout + time.Duration(max(rank, 0))*c.timing.RankDelay
 	if c.leaving != nil { // only if nobody else does
-		return quiet > due+time.Duration(len(view.Backups)+1)*c.timing.RankDelay
+		return silence > due+time.Duration(len(view.Backups)+1)*c.timing.RankDelay
 	}
 	if rank < 0 { // the view's own primary, that was restarted or stepped down
-		return quiet > c.timing.HeartbeatInterval
+		return silence > c.timing.HeartbeatInterval
 	}
 	if c.viewChangeDue {
 		return true
 	}
-	if quiet <= due {
+	if silence <= due {
 		return false
 	}
-	return rank == 0 || c.now-c.promisedAt > c.timing.RankDelay
+	return rank == 0 || c.now-c.lastPromiseAt > c.timing.RankDelay
 }
 
 // stepPause is the pause between two tries, spread by the member's id so that two candidates don't meet again and again.
-func (c *Core) stepPause() time.Duration {
+func (c *Core) viewChangeBackoff() time.Duration {
 	return c.timing.ViewChangeBackoff + time.Duration(c.self.ID%8)*c.timing.ViewChangeBackoff/6
 }
--- a/coord/replication/core/transfer.go
+++ b/coord/replication/core/transfer.go
@@ -18,53 +18,53 @@
 
 // transfer is the giving of a stream to one member.
 type transfer struct {
-	member     Member
-	stream     *stateStream
-	received   int64
-	part       int           // bytes of the next part
-	answered   bool          // the member has answered for this stream
-	probing    bool          // a message without data asks how much arrived
-	partSentAt time.Duration // when data was sent last
-	sentAt     time.Duration // when anything was
-	progressAt time.Duration
+	member      Member
+	stream      *stateStream
+	received    int64
+	chunkBytes  int           // bytes of the next part
+	answered    bool          // the member has answered for this stream
+	probing     bool          // a message without data asks how much arrived
+	chunkSentAt time.Duration // when data was sent last
+	sentAt      time.Duration // when anything was
+	progressAt  time.Duration
 }
 
 // The first part is small: it shows whether the member lives, and how much it holds of the stream from an earlier try. The later ones grow while they are answered at once, and shrink where the link is slow.
 const (
-	firstPart  = 16 << 10
-	secondPart = 64 << 10
+	firstChunkBytes  = 16 << 10
+	secondChunkBytes = 64 << 10
 )
 
 // slowLinkBytes are the bytes a second below which a member that lives is given up.
-const slowLinkBytes = 64 << 10
+const minTransferBytesPerSecond = 64 << 10
 
 func (t *transfer) size() int64 { return int64(len(t.stream.data)) }
 
 // whole tells whether the member has the whole stream, so that only its disk is waited for.
-func (t *transfer) whole() bool {
+func (t *transfer) isComplete() bool {
 	return t.answered && t.received == t.size()
 }
 
 // fewEntries are so few bytes of entries that the size of the whole state is not looked at.
-const fewEntries = 4 << 10
+const smallEntriesBytes = 4 << 10
 
 // streamFor gives the shorter stream for a member that holds a position: the entries since then, if they are remembered, or the whole state.
 func (c *Core) streamFor(held Position) *stateStream {
-	entries, remembered := c.state.since(held)
+	entries, remembered := c.state.entriesSince(held)
 	if !remembered || held == (Position{}) {
-		return c.wholeStream()
+		return c.fullStream()
 	}
 	stream := c.streamSince(held, func() []byte { return encodeEntries(entries) })
-	if len(stream.data) <= fewEntries {
+	if len(stream.data) <= smallEntriesBytes {
 		return stream
 	}
-	if whole := c.wholeStream(); len(whole.data) < len(stream.data) {
-		return whole
+	if full := c.fullStream(); len(full.data) < len(stream.data) {
+		return full
 	}
 	return stream
 }
 
-func (c *Core) wholeStream() *stateStream {
+func (c *Core) fullStream() *stateStream {
 	return c.streamSince(Position{}, func() []byte { return encodeState(c.snapshot(), c.state.tail) })
 }
 
@@ -84,12 +84,12 @@
 // continueTransfers offers the state to as many members as are wanted, all at once. Where one fails, the next is asked. Once all have ended, the view is proposed.
 func (c *Core) continueTransfers() {
 	change := c.change
-	for len(change.transfers)+len(change.copies) < c.copiesWanted()-1 {
-		placed := append([]Member{c.self}, change.copies...)
+	for len(change.transfers)+len(change.ready) < c.targetReplicas()-1 {
+		placed := append([]Member{c.self}, change.ready...)
 		for _, t := range change.transfers {
 			placed = append(placed, t.member)
 		}
-		member, ok := c.nextCandidate(&change.base, change.asked, placed)
+		member, ok := c.nextCandidate(&change.base, change.offered, placed)
 		if !ok {
 			break
 		}
@@ -98,26 +98,26 @@
 	if len(change.transfers) > 0 {
 		return
 	}
-	if c.awaitLateAnswers() {
+	if c.awaitLateReplies() {
 		return
 	}
-	slices.SortFunc(change.copies, func(a, b Member) int {
-		return indexOf(change.asked, a.ID) - indexOf(change.asked, b.ID)
+	slices.SortFunc(change.ready, func(a, b Member) int {
+		return indexOf(change.offered, a.ID) - indexOf(change.offered, b.ID)
 	})
 	c.propose()
 }
 
 // awaitLateAnswers tells whether to wait: with too few copies to be had, other members' promises may be under way still.
-func (c *Core) awaitLateAnswers() bool {
+func (c *Core) awaitLateReplies() bool {
 	change := c.change
-	if 1+len(change.copies) >= c.fewestCopies(&change.base) {
+	if 1+len(change.ready) >= c.minReplicas(&change.base) {
 		return false
 	}
-	if !change.waitedLate {
-		change.waitedLate = true
-		change.lateUntil = c.now + c.timing.LateReplyWait
+	if !change.waitedForLateReplies {
+		change.waitedForLateReplies = true
+		change.lateRepliesUntil = c.now + c.timing.LateReplyWait
 	}
-	return c.now < change.lateUntil
+	return c.now < change.lateRepliesUntil
 }
 
 func (c *Core) startTransfer(member Member) {
@@ -126,33 +126,33 @@
 	if p := c.peer(member.ID); p != nil {
 		held = p.status.Position
 	}
-	change.asked = append(change.asked, member)
+	change.offered = append(change.offered, member)
 	change.transfers = append(change.transfers, c.newTransfer(member, c.streamFor(held)))
-	c.sendPart(&change.transfers[len(change.transfers)-1])
+	c.sendChunk(&change.transfers[len(change.transfers)-1])
 }
 
 func (c *Core) newTransfer(member Member, stream *stateStream) transfer {
-	return transfer{member: member, stream: stream, part: min(firstPart, c.limits.SnapshotChunkBytes), progressAt: c.now}
+	return transfer{member: member, stream: stream, chunkBytes: min(firstChunkBytes, c.limits.SnapshotChunkBytes), progressAt: c.now}
 }
 
 // sendPart sends what comes after the part received last.
-func (c *Core) sendPart(t *transfer) {
-	end := min(t.size(), t.received+int64(t.part))
-	t.partSentAt = c.now
+func (c *Core) sendChunk(t *transfer) {
+	end := min(t.size(), t.received+int64(t.chunkBytes))
+	t.chunkSentAt = c.now
 	t.probing = false
-	c.sendOf(t, t.stream.data[t.received:end])
+	c.sendData(t, t.stream.data[t.received:end])
 }
 
 // probe asks how much of the stream arrived. A part that is on its way still is not sent again: on a slow link it would only wait behind itself.
 func (c *Core) probe(t *transfer) {
 	t.probing = true
-	c.sendOf(t, nil)
+	c.sendData(t, nil)
 }
 
-func (c *Core) sendOf(t *transfer, data []byte) {
+func (c *Core) sendData(t *transfer, data []byte) {
 	t.sentAt = c.now
 	part := SnapshotChunk{
-		Envelope:     c.to(t.member),
+		Envelope:     c.envelopeTo(t.member),
 		Tag:          c.change.tag(),
 		Since:        t.stream.since,
 		Position:     c.state.position,
@@ -184,51 +184,51 @@
 	switch {
 	case m.Rejection == Busy:
 	case m.Rejection == MissingEntries && t.stream.since != Position{}:
-		*t = c.newTransfer(t.member, c.wholeStream())
-		c.sendPart(t)
+		*t = c.newTransfer(t.member, c.fullStream())
+		c.sendChunk(t)
 	case m.Rejection != Granted || t.member.ID != m.From.ID:
 		c.endTransfer(i, false)
 	case m.Complete:
 		c.endTransfer(i, true)
 	default:
-		c.partReceived(t, m.Received)
+		c.chunkReceived(t, m.Received)
 	}
 }
 
 // partReceived goes on after what was received. An answer without progress to a question how much arrived means that a part was lost.
-func (c *Core) partReceived(t *transfer, received int64) {
+func (c *Core) chunkReceived(t *transfer, received int64) {
 	progress := received > t.received || !t.answered
 	if received > t.size() || !progress && !t.probing {
 		return
 	}
 	if progress {
 		t.progressAt = c.now
-		t.adapt(c.now-t.partSentAt < c.timing.ReplyTimeout/2, c.limits.SnapshotChunkBytes)
+		t.adapt(c.now-t.chunkSentAt < c.timing.ReplyTimeout/2, c.limits.SnapshotChunkBytes)
 	}
 	t.answered = true
 	t.received = received
-	if !t.whole() {
-		c.sendPart(t)
+	if !t.isComplete() {
+		c.sendChunk(t)
 	}
 }
 
 // adapt chooses the bytes of the next part.
 func (t *transfer) adapt(quick bool, limit int) {
 	if quick {
-		t.part = max(2*t.part, secondPart)
+		t.chunkBytes = max(2*t.chunkBytes, secondChunkBytes)
 	} else {
-		t.part = max(t.part/2, firstPart)
+		t.chunkBytes = max(t.chunkBytes/2, firstChunkBytes)
 	}
-	t.part = min(t.part, limit)
+	t.chunkBytes = min(t.chunkBytes, limit)
 }
 
 // patience is how long a transfer may go on without progress.
-func (c *Core) patience(t *transfer) time.Duration {
+func (c *Core) transferTimeout(t *transfer) time.Duration {
 	switch {
-	case t.whole():
+	case t.isComplete():
 		return c.timing.TransferTimeout
 	case t.answered:
-		return c.timing.ReplyTimeout + time.Duration(t.part)*time.Second/slowLinkBytes
+		return c.timing.ReplyTimeout + time.Duration(t.chunkBytes)*time.Second/minTransferBytesPerSecond
 	}
 	return c.timing.ReplyTimeout
 }
@@ -239,9 +239,9 @@
 	member := change.transfers[i].member
 	change.transfers = slices.Delete(change.transfers, i, i+1)
 	if complete {
-		change.copies = append(change.copies, member)
+		change.ready = append(change.ready, member)
 	} else if p := c.peer(member.ID); p != nil {
-		p.refusedUntil = c.now + c.timing.RejectionBackoff
+		p.noTransferBefore = c.now + c.timing.RejectionBackoff
 	}
 	c.continueTransfers()
 }
@@ -251,7 +251,7 @@
 	change := c.change
 	for i := 0; i < len(change.transfers); i++ {
 		t := &change.transfers[i]
-		if c.now-t.progressAt >= c.patience(t) {
+		if c.now-t.progressAt >= c.transferTimeout(t) {
 			if p := c.peer(t.member.ID); p != nil {
 				p.status.Writable = false
 			}
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -25,24 +25,24 @@
 type viewChange struct {
 	base       View // the view to be followed
 	ballot     Ballot
-	begun      time.Duration
+	startedAt  time.Duration
 	wasPrimary bool
 	phase      phase
 	deadline   time.Duration // of the phase
 	sentAt     time.Duration
 
-	promiseSaved bool       // the ballot is on the disk of this member
-	granted      []MemberID // witnesses that granted the phase's question
-	refused      []MemberID // witnesses that refused it
-	found        *View      // an earlier proposal
-	foundBallot  Ballot
+	ballotSynced    bool       // the ballot is on the disk of this member
+	granted         []MemberID // witnesses that granted the phase's question
+	rejected        []MemberID // witnesses that refused it
+	earlierProposal *View      // an earlier proposal
+	earlierBallot   Ballot
 
-	streams    []*stateStream
-	transfers  []transfer // under way
-	asked      []Member   // all that were offered the state
-	copies     []Member   // that have it
-	waitedLate bool
-	lateUntil  time.Duration // while others may still answer
+	streams              []*stateStream
+	transfers            []transfer // under way
+	offered              []Member   // all that were offered the state
+	ready                []Member   // that have it
+	waitedForLateReplies bool
+	lateRepliesUntil     time.Duration // while others may still answer
 
 	proposal View
 }
@@ -70,47 +70,47 @@
 }
 
 // grant counts a witness once.
-func (v *viewChange) grant(id MemberID) {
+func (v *viewChange) recordGrant(id MemberID) {
 	if indexOf(v.electorate(), id) >= 0 && !slices.Contains(v.granted, id) {
 		v.granted = append(v.granted, id)
 	}
 }
 
 // refuse counts a refusal and tells whether the quorum is out of reach.
-func (v *viewChange) refuse(from Member) (hopeless bool) {
+func (v *viewChange) recordRejection(from Member) (hopeless bool) {
 	i := slices.IndexFunc(v.electorate(), func(m Member) bool { return m.ID == from.ID || m.Address == from.Address })
-	if i >= 0 && !slices.Contains(v.refused, v.electorate()[i].ID) {
-		v.refused = append(v.refused, v.electorate()[i].ID)
+	if i >= 0 && !slices.Contains(v.rejected, v.electorate()[i].ID) {
+		v.rejected = append(v.rejected, v.electorate()[i].ID)
 	}
-	return len(v.electorate())-len(v.refused) < v.quorum()
+	return len(v.electorate())-len(v.rejected) < v.quorum()
 }
 
 // enter begins a phase.
-func (c *Core) enter(p phase) {
+func (c *Core) enterPhase(p phase) {
 	change := c.change
 	change.phase = p
 	change.granted = nil
-	change.refused = nil
+	change.rejected = nil
 	change.deadline = c.now + c.timing.ReplyTimeout
-	c.askWitnesses()
+	c.sendPhaseRequests()
 }
 
 // askWitnesses sends the phase's question to those that did not answer yet.
-func (c *Core) askWitnesses() {
+func (c *Core) sendPhaseRequests() {
 	change := c.change
 	change.sentAt = c.now
 	for _, witness := range change.electorate() {
-		if slices.Contains(change.granted, witness.ID) || slices.Contains(change.refused, witness.ID) {
+		if slices.Contains(change.granted, witness.ID) || slices.Contains(change.rejected, witness.ID) {
 			continue
 		}
-		to := c.to(witness)
+		to := c.envelopeTo(witness)
 		switch change.phase {
 		case preparing:
 			c.send(Prepare{Envelope: to, Base: change.base, Ballot: change.ballot})
 		case accepting:
 			c.send(Accept{Envelope: to, Base: change.base, Ballot: change.ballot, Proposal: change.proposal})
 		case finishing:
-			c.send(Accept{Envelope: to, Base: change.base, Ballot: change.ballot, Proposal: *change.found})
+			c.send(Accept{Envelope: to, Base: change.base, Ballot: change.ballot, Proposal: *change.earlierProposal})
 		case installing:
 			c.send(Install{Envelope: to, View: change.proposal})
 		}
@@ -119,14 +119,14 @@
 
 // startViewChange begins the change from a view to the next one.
 func (c *Core) startViewChange(base *View) {
-	c.change = &viewChange{base: *base.Clone(), begun: c.now, wasPrimary: c.active, phase: repairing}
+	c.change = &viewChange{base: *base.Clone(), startedAt: c.now, wasPrimary: c.isPrimary, phase: repairing}
 	c.viewChangeDue = false
-	c.confirm.void()
+	c.confirm.abandonRound()
 	// Invariant: a copy that proposes takes no append of the old view any more. So what is acknowledged after this moment is held here already.
 	if c.mutation != mutation.SkipSeal {
 		c.state.joined = StateTag{}
 	}
-	if c.state.broken {
+	if c.state.logBroken {
 		c.change.deadline = c.now + c.timing.SnapshotTimeout
 		c.saveSnapshot(diskJob{kind: repairJob}, c.snapshot(), c.state.tail)
 		return
@@ -137,7 +137,7 @@
 // repairDone goes on once the own state is on disk, whole.
 func (c *Core) repairDone(err error) {
 	if err == nil {
-		c.state.broken = false
+		c.state.logBroken = false
 		c.state.logBytes = 0
 	}
 	if c.change == nil || c.change.phase != repairing {
@@ -154,31 +154,31 @@
 
 func (c *Core) prepare() {
 	change := c.change
-	c.round = max(c.round, ballotRound(c.register.Promised)) + 1
-	change.ballot = ballotOf(c.round, c.self.ID)
+	c.lastRound = max(c.lastRound, ballotRound(c.register.Promised)) + 1
+	change.ballot = ballotOf(c.lastRound, c.self.ID)
 	// Invariant: no two lives of a member use one ballot. The ballot is promised on the own disk before anything is offered under it, also if this member is no witness.
 	if c.mutation == mutation.SkipOwnPromise {
-		change.promiseSaved = true
+		change.ballotSynced = true
 	} else {
 		c.register.Promised = change.ballot
-		c.registerChanged = true
+		c.registerDirty = true
 	}
-	c.enter(preparing)
+	c.enterPhase(preparing)
 }
 
-func (c *Core) ownPromiseSaved(epoch Epoch, promised Ballot) {
+func (c *Core) ballotSaved(epoch Epoch, promised Ballot) {
 	change := c.change
 	if change == nil || change.phase == repairing || epoch != change.base.Epoch || promised < change.ballot {
 		return
 	}
-	change.promiseSaved = true
+	change.ballotSynced = true
 	c.considerPrepared()
 }
 
 // onPrepareReply counts a promise. An answer beyond the quorum's still tells of a member that lives.
 func (c *Core) onPrepareReply(m PrepareReply) {
 	if m.From.ID != c.self.ID {
-		c.saw(m.From, m.Status)
+		c.recordStatus(m.From, m.Status)
 	}
 	c.learn(m.View)
 	change := c.change
@@ -193,23 +193,23 @@
 		return
 	}
 	if m.Rejection != Granted {
-		c.witnessRefused(m.From, m.Rejection, m.Promised)
+		c.witnessRejected(m.From, m.Rejection, m.Promised)
 		return
 	}
-	if m.Accepted != nil && (change.found == nil || m.AcceptedBallot > change.foundBallot) {
-		change.found = m.Accepted.Clone()
-		change.foundBallot = m.AcceptedBallot
+	if m.Accepted != nil && (change.earlierProposal == nil || m.AcceptedBallot > change.earlierBallot) {
+		change.earlierProposal = m.Accepted.Clone()
+		change.earlierBallot = m.AcceptedBallot
 	}
-	change.grant(m.From.ID)
+	change.recordGrant(m.From.ID)
 	c.considerPrepared()
 }
 
 // witnessRefused ends a change whose quorum is out of reach.
-func (c *Core) witnessRefused(from Member, reason Rejection, promised Ballot) {
+func (c *Core) witnessRejected(from Member, reason Rejection, promised Ballot) {
 	if reason == HigherPromise {
-		c.round = max(c.round, ballotRound(promised))
+		c.lastRound = max(c.lastRound, ballotRound(promised))
 	}
-	if c.change.refuse(from) {
+	if c.change.recordRejection(from) {
 		c.failViewChange("the witnesses refuse: " + reason.String())
 	}
 }
@@ -225,11 +225,11 @@
 // considerPrepared goes on once a quorum has promised and the own promise is synced.
 func (c *Core) considerPrepared() {
 	change := c.change
-	if change.phase != preparing || !change.promiseSaved || !c.hasQuorum() {
+	if change.phase != preparing || !change.ballotSynced || !c.hasQuorum() {
 		return
 	}
-	if change.found != nil && c.mutation != mutation.SkipEarlierProposal {
-		c.enter(finishing) // somebody was here before: its choice is finished first
+	if change.earlierProposal != nil && c.mutation != mutation.SkipEarlierProposal {
+		c.enterPhase(finishing) // somebody was here before: its choice is finished first
 		return
 	}
 	change.phase = transferring
@@ -240,7 +240,7 @@
 // propose asks the witnesses to accept the view with the copies that have the state.
 func (c *Core) propose() {
 	change := c.change
-	if 1+len(change.copies) < c.fewestCopies(&change.base) {
+	if 1+len(change.ready) < c.minReplicas(&change.base) {
 		c.failViewChange("too few backups are to be had")
 		return
 	}
@@ -249,15 +249,15 @@
 		Ballot:    change.ballot,
 		Witnesses: change.base.Witnesses,
 		Primary:   c.self,
-		Backups:   change.copies,
+		Backups:   change.ready,
 		Base:      c.state.position,
 	}
 	if change.base.Epoch > 0 {
-		if witnesses := c.wantedWitnesses(&change.base); witnesses != nil {
+		if witnesses := c.nextWitnesses(&change.base); witnesses != nil {
 			change.proposal.Witnesses = witnesses
 		}
 	}
-	c.enter(accepting)
+	c.enterPhase(accepting)
 }
 
 func (c *Core) onAcceptReply(m AcceptReply) {
@@ -270,34 +270,34 @@
 		return
 	}
 	if m.Rejection != Granted {
-		c.witnessRefused(m.From, m.Rejection, m.Promised)
+		c.witnessRejected(m.From, m.Rejection, m.Promised)
 		return
 	}
-	change.grant(m.From.ID)
+	change.recordGrant(m.From.ID)
 	if !c.hasQuorum() {
 		return
 	}
 	if change.phase == finishing {
-		c.finished()
+		c.earlierProposalFinished()
 		return
 	}
-	c.chosen()
+	c.proposalChosen()
 }
 
 // finished ends the change that only completed an earlier proposal.
 //
 // Invariant: one primary writes in a view, and only the member that proposed it, in that life. Nobody becomes primary here, also if the earlier proposal names this member.
-func (c *Core) finished() {
-	found := c.change.found
+func (c *Core) earlierProposalFinished() {
+	found := c.change.earlierProposal
 	c.failViewChange("an earlier proposal was finished")
 	c.learn(found)
-	if p := c.peer(found.Primary.ID); p == nil || c.now-p.seen > c.timing.PrimaryTimeout {
+	if p := c.peer(found.Primary.ID); p == nil || c.now-p.lastSeen > c.timing.PrimaryTimeout {
 		c.retryAfter = c.now // it was lost on the way
 	}
 }
 
 // chosen takes the view that a majority of the old witnesses accepted.
-func (c *Core) chosen() {
+func (c *Core) proposalChosen() {
 	change := c.change
 	proposal := change.proposal
 	c.adopt(&proposal)
@@ -305,7 +305,7 @@
 		c.becomePrimary()
 		return
 	}
-	c.enter(installing)
+	c.enterPhase(installing)
 }
 
 func sameMembers(a, b []Member) bool {
@@ -322,10 +322,10 @@
 		return
 	}
 	if m.Rejection != Granted {
-		c.witnessRefused(m.From, m.Rejection, 0)
+		c.witnessRejected(m.From, m.Rejection, 0)
 		return
 	}
-	change.grant(m.From.ID)
+	change.recordGrant(m.From.ID)
 	if c.hasQuorum() {
 		c.becomePrimary()
 	}
@@ -336,10 +336,10 @@
 	view := c.change.proposal
 	c.change = nil
 	c.state.tag = view.Tag()
-	c.active = true
-	c.activeEpoch = view.Epoch
-	c.lastHeard = c.now
-	c.heardFrom = c.self
+	c.isPrimary = true
+	c.primaryEpoch = view.Epoch
+	c.lastPrimaryContact = c.now
+	c.lastPrimary = c.self
 	c.viewChangeDue = false
 	c.log(slog.LevelInfo, "primary", slog.Uint64("epoch", uint64(view.Epoch)), slog.Int("backups", len(view.Backups)), slog.Int("witnesses", len(view.Witnesses)))
 	c.emit(BecamePrimary{Epoch: view.Epoch})
@@ -353,7 +353,7 @@
 func (c *Core) failViewChange(reason string) {
 	change := c.change
 	c.change = nil
-	c.retryAfter = c.now + c.stepPause()
+	c.retryAfter = c.now + c.viewChangeBackoff()
 	c.log(slog.LevelInfo, "no new view", slog.String("reason", reason), slog.Uint64("epoch", uint64(change.epoch())))
 	if change.wasPrimary {
 		c.stopBeingPrimary(ViewChangeFailed)
@@ -363,16 +363,16 @@
 }
 
 // witnessesSilent gives up for want of answers. A primary asks its backups to take over: its way out may work though it hears nobody. A member that heard nobody at all tries no more until it hears somebody.
-func (c *Core) witnessesSilent() {
+func (c *Core) witnessesTimedOut() {
 	change := c.change
 	view := c.register.View
-	wasActive := c.active
+	wasActive := c.isPrimary
 	c.failViewChange("no majority of the witnesses answers")
 	if wasActive {
 		c.startYielding(view)
 	}
-	if len(change.base.Witnesses) > 1 && !c.heardSince(change.begun) {
-		c.deafSince = change.begun
+	if len(change.base.Witnesses) > 1 && !c.hadContactSince(change.startedAt) {
+		c.isolatedSince = change.startedAt
 	}
 }
 
@@ -387,10 +387,10 @@
 		return
 	}
 	if c.now >= change.deadline {
-		c.witnessesSilent()
+		c.witnessesTimedOut()
 		return
 	}
 	if change.phase != repairing && c.now-change.sentAt >= c.timing.ResendInterval {
-		c.askWitnesses()
+		c.sendPhaseRequests()
 	}
 }
--- a/coord/replication/core/wake.go
+++ b/coord/replication/core/wake.go
@@ -5,35 +5,35 @@
 // NextWake is when the core must be ticked next at the latest, on the clock of Step. It changes with every Step. While anything is under way it is Timing.Tick after the last tick, else as late as the heartbeats allow.
 func (c *Core) NextWake(lastTick time.Duration) time.Duration {
 	next := lastTick + c.timing.TickInterval
-	if c.busy() {
+	if c.hasPendingWork() {
 		return next
 	}
-	if c.active {
+	if c.isPrimary {
 		return max(next, c.lastHeartbeat+c.timing.HeartbeatInterval)
 	}
-	return max(next, c.lastHeard+c.quietAfter())
+	return max(next, c.lastPrimaryContact+c.primarySilenceLimit())
 }
 
 // busy tells whether anything is under way that waits for time to pass.
-func (c *Core) busy() bool {
+func (c *Core) hasPendingWork() bool {
 	if c.register.View == nil || len(c.peers) == 0 || c.change != nil || c.yielding != nil || c.viewChangeDue {
 		return true
 	}
 	if c.leaving != nil && !c.leaving.done {
 		return true
 	}
-	return c.callsWait()
+	return c.hasPendingCalls()
 }
 
-func (c *Core) callsWait() bool {
-	if len(c.orders) > 0 || c.write != nil {
+func (c *Core) hasPendingCalls() bool {
+	if len(c.commands) > 0 || c.write != nil {
 		return true
 	}
-	return c.confirm.running || c.confirm.doubted || len(c.confirm.waiting) > 0
+	return c.confirm.running || c.confirm.required || len(c.confirm.queued) > 0
 }
 
 // quietAfter is how long the primary may be silent before this member does anything about it.
-func (c *Core) quietAfter() time.Duration {
+func (c *Core) primarySilenceLimit() time.Duration {
 	roles := rolesOf(c.register.View, c.self.ID)
 	switch {
 	case roles&RolePrimary != 0:
@@ -55,5 +55,5 @@
 
 // LastPrimaryContact is the member last heard to be primary, and when.
 func (c *Core) LastPrimaryContact() PrimaryContact {
-	return PrimaryContact{Primary: c.heardFrom, At: c.lastHeard}
+	return PrimaryContact{Primary: c.lastPrimary, At: c.lastPrimaryContact}
 }
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -9,82 +9,82 @@
 )
 
 // write is the order under way. Orders run one at a time, so each one is decided on the state that all earlier ones left.
-type write struct {
-	order    Command
-	entry    Entry
-	answered bool // unclear, at its deadline; the write itself goes on
-	onDisk   bool // of this member
-	backups  []MemberID
-	begun    time.Duration
-	sentAt   time.Duration
-	refused  bool // by a backup: a new view is needed
-	carried  bool // it goes into the next view with the state
+type pendingWrite struct {
+	command      Command
+	entry        Entry
+	resultSent   bool // unclear, at its deadline; the write itself goes on
+	synced       bool // of this member
+	ackedBackups []MemberID
+	startedAt    time.Duration
+	sentAt       time.Duration
+	rejected     bool // by a backup: a new view is needed
+	carried      bool // it goes into the next view with the state
 }
 
 // takeOrder queues an order.
-func (c *Core) takeOrder(order Command) {
-	if !c.active || c.leaving != nil && c.leaving.handingOver {
-		c.answer(order.Token, Deposed, nil)
+func (c *Core) enqueueCommand(command Command) {
+	if !c.isPrimary || c.leaving != nil && c.leaving.handingOver {
+		c.sendResult(command.Token, Deposed, nil)
 		return
 	}
-	if len(c.orders) >= c.limits.MaxPending {
-		c.answer(order.Token, Indeterminate, ErrTooManyPending)
+	if len(c.commands) >= c.limits.MaxPending {
+		c.sendResult(command.Token, Indeterminate, ErrTooManyPending)
 		return
 	}
-	c.orders = append(c.orders, order)
+	c.commands = append(c.commands, command)
 }
 
-func (c *Core) answer(token Token, outcome Outcome, err error) {
+func (c *Core) sendResult(token Token, outcome Outcome, err error) {
 	c.emit(Result{Token: token, Outcome: outcome, Err: err})
 }
 
 // runOrders begins orders as long as they end at once.
-func (c *Core) runOrders() {
-	for c.mayBeginOrder() {
+func (c *Core) startCommands() {
+	for c.mayStartCommand() {
 		view := c.register.View
-		if c.widened < c.witnessesWanted() && c.short(view) {
+		if c.viewChangesForCommand < c.targetWitnesses() && c.canImprove(view) {
 			// Invariant: what is acknowledged is borne as well as can be: the copies and witnesses that are to be had come first.
-			c.widened++
+			c.viewChangesForCommand++
 			c.startViewChange(view)
 			return
 		}
-		c.widened = 0
-		order := c.orders[0]
-		c.orders = c.orders[1:]
-		c.beginOrder(order)
+		c.viewChangesForCommand = 0
+		command := c.commands[0]
+		c.commands = c.commands[1:]
+		c.startCommand(command)
 	}
 }
 
-func (c *Core) mayBeginOrder() bool {
-	c.expireOrders()
-	if len(c.orders) == 0 || !c.active || c.change != nil || c.write != nil {
+func (c *Core) mayStartCommand() bool {
+	c.expireCommands()
+	if len(c.commands) == 0 || !c.isPrimary || c.change != nil || c.write != nil {
 		return false
 	}
-	return !c.confirm.doubted && !c.disk.changesState() && !c.disk.stalled && !c.state.broken
+	return !c.confirm.required && !c.disk.changesState() && !c.disk.stalled && !c.state.logBroken
 }
 
 // expireOrders gives up the orders that did not begin in time.
 //
 // Invariant: an order whose deadline has passed never begins.
-func (c *Core) expireOrders() {
-	c.orders = slices.DeleteFunc(c.orders, func(order Command) bool {
-		late := c.now > order.Deadline
+func (c *Core) expireCommands() {
+	c.commands = slices.DeleteFunc(c.commands, func(command Command) bool {
+		late := c.now > command.Deadline
 		if late {
-			c.answer(order.Token, Indeterminate, ErrDeadlineExceeded)
+			c.sendResult(command.Token, Indeterminate, ErrDeadlineExceeded)
 		}
 		return late
 	})
 }
 
 // beginOrder decides an order and writes its entry.
-func (c *Core) beginOrder(order Command) {
-	data, err := order.Decide()
+func (c *Core) startCommand(command Command) {
+	data, err := command.Decide()
 	if err != nil {
-		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: Rejected, err: err}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err}, c.mutation == mutation.SkipConfirmOnRefusal)
 		return
 	}
 	if data == nil {
-		c.confirmBefore(call{token: order.Token, deadline: order.Deadline, outcome: NoChange}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange}, c.mutation == mutation.SkipConfirmOnRefusal)
 		return
 	}
 	view := c.register.View
@@ -95,20 +95,20 @@
 		Previous: c.state.position.Digest,
 		Data:     data,
 	}
-	c.write = &write{order: order, entry: entry, begun: c.now}
+	c.write = &pendingWrite{command: command, entry: entry, startedAt: c.now}
 	c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})
 	c.sendAppends()
 	if c.mutation == mutation.AnswerBeforeBackups {
-		c.answer(order.Token, Committed, nil)
-		c.write.answered = true
+		c.sendResult(command.Token, Committed, nil)
+		c.write.resultSent = true
 	}
 }
 
 func (c *Core) sendAppends() {
 	c.write.sentAt = c.now
 	for _, backup := range c.register.View.Backups {
-		if !slices.Contains(c.write.backups, backup.ID) {
-			c.send(Append{Envelope: c.to(backup), Entry: c.write.entry})
+		if !slices.Contains(c.write.ackedBackups, backup.ID) {
+			c.send(Append{Envelope: c.envelopeTo(backup), Entry: c.write.entry})
 		}
 	}
 }
@@ -116,18 +116,18 @@
 // ownAppendDone notes that an entry of this primary's own is on its disk, or not.
 func (c *Core) ownAppendDone(job diskJob, err error) {
 	if err != nil {
-		c.state.broken = true
-		c.ownDiskFailed()
+		c.state.logBroken = true
+		c.stepDownForDisk()
 		return
 	}
 	c.state.add(job.entry, c.limits.EntryCacheBytes)
 	c.state.logBytes += len(job.entry.Data)
 	if c.write != nil && c.write.entry.Position() == job.entry.Position() {
-		c.write.onDisk = true
+		c.write.synced = true
 		c.considerCommit()
 	}
-	if c.write != nil && c.write.refused {
-		c.backupMissing()
+	if c.write != nil && c.write.rejected {
+		c.replaceMissingBackup()
 	}
 }
 
@@ -144,12 +144,12 @@
 	}
 	if m.Rejection != Granted {
 		c.log(slog.LevelInfo, "a backup takes no entry", slog.String("backup", m.From.Address), slog.String("reason", m.Rejection.String()))
-		w.refused = true
-		c.backupMissing()
+		w.rejected = true
+		c.replaceMissingBackup()
 		return
 	}
-	if m.DiskPosition == w.entry.Position() && !slices.Contains(w.backups, m.From.ID) {
-		w.backups = append(w.backups, m.From.ID)
+	if m.DiskPosition == w.entry.Position() && !slices.Contains(w.ackedBackups, m.From.ID) {
+		w.ackedBackups = append(w.ackedBackups, m.From.ID)
 	}
 	c.considerCommit()
 }
@@ -159,10 +159,10 @@
 // Invariant: an acknowledged entry is synced on every copy of its view. No view is made with fewer copies than fewestCopies, so with losses to bear the primary never acknowledges alone.
 func (c *Core) considerCommit() {
 	w := c.write
-	if w == nil || w.carried || !w.onDisk && c.mutation != mutation.SkipSync {
+	if w == nil || w.carried || !w.synced && c.mutation != mutation.SkipSync {
 		return
 	}
-	if len(w.backups) < len(c.register.View.Backups) {
+	if len(w.ackedBackups) < len(c.register.View.Backups) {
 		return
 	}
 	c.commit()
@@ -172,10 +172,10 @@
 	w := c.write
 	c.write = nil
 	c.applyTail()
-	if !w.answered {
-		c.answer(w.order.Token, Committed, nil)
+	if !w.resultSent {
+		c.sendResult(w.command.Token, Committed, nil)
 	}
-	c.trim()
+	c.compactLog()
 }
 
 // commitCarried ends the order whose entry went into the new view with the state.
@@ -191,59 +191,59 @@
 	if w == nil || w.carried {
 		return
 	}
-	if c.now-w.begun >= c.writePatience() && w.onDisk {
+	if c.now-w.startedAt >= c.backupTimeout() && w.synced {
 		for _, backup := range c.register.View.Backups {
 			p := c.peer(backup.ID)
-			if p != nil && !slices.Contains(w.backups, backup.ID) {
-				p.missed = true
+			if p != nil && !slices.Contains(w.ackedBackups, backup.ID) {
+				p.missedWrite = true
 			}
 		}
-		c.backupMissing()
+		c.replaceMissingBackup()
 		return
 	}
-	if c.now-w.sentAt >= c.timing.ResendInterval+c.writeBytesTime() {
+	if c.now-w.sentAt >= c.timing.ResendInterval+c.transmissionTime() {
 		c.sendAppends()
 	}
 }
 
 // writePatience is the wait for the backups: the answer's, and what that many bytes take on a link.
-func (c *Core) writePatience() time.Duration {
-	return c.timing.ReplyTimeout + c.writeBytesTime()
+func (c *Core) backupTimeout() time.Duration {
+	return c.timing.ReplyTimeout + c.transmissionTime()
 }
 
 // writeBytesTime is what the bytes of the entry take to all backups over one link. An entry is not sent again before: it would only wait behind itself.
-func (c *Core) writeBytesTime() time.Duration {
+func (c *Core) transmissionTime() time.Duration {
 	bytes := len(c.write.entry.Data) * len(c.register.View.Backups)
-	return time.Duration(bytes) * time.Second / linkBytes
+	return time.Duration(bytes) * time.Second / linkBytesPerSecond
 }
 
 // linkBytes are the bytes a second that a message may count on: a link of 100 Mbit/s less a third.
-const linkBytes = 8 << 20
+const linkBytesPerSecond = 8 << 20
 
 // backupMissing makes a new view, into which the entry goes.
-func (c *Core) backupMissing() {
-	if !c.write.onDisk { // its own disk comes first: what it writes must be known before the state is given
+func (c *Core) replaceMissingBackup() {
+	if !c.write.synced { // its own disk comes first: what it writes must be known before the state is given
 		return
 	}
-	if c.change == nil && c.active {
+	if c.change == nil && c.isPrimary {
 		c.write.carried = true
 		c.startViewChange(c.register.View)
 	}
 }
 
 // answerAllDeposed ends all calls of a member that is no longer primary: unclear if something was begun, else known not to be done.
-func (c *Core) answerAllDeposed() {
-	if c.write != nil && !c.write.answered {
-		c.answer(c.write.order.Token, Indeterminate, nil)
+func (c *Core) failPendingCalls() {
+	if c.write != nil && !c.write.resultSent {
+		c.sendResult(c.write.command.Token, Indeterminate, nil)
 	}
 	c.write = nil
-	for _, order := range c.orders {
-		c.answer(order.Token, Deposed, nil)
+	for _, command := range c.commands {
+		c.sendResult(command.Token, Deposed, nil)
 	}
-	c.orders = nil
-	c.widened = 0
+	c.commands = nil
+	c.viewChangesForCommand = 0
 	for _, waiting := range c.confirm.takeAll() {
-		c.answer(waiting.token, Deposed, nil)
+		c.sendResult(waiting.token, Deposed, nil)
 	}
 	c.confirm.reset()
 }
@@ -252,10 +252,10 @@
 //
 // Invariant: the index and the digest of what precedes an entry are compared, so that a gap, a repeat and a fork are three different answers and none of them changes what is held.
 func (c *Core) onAppend(m Append) {
-	reply := AppendReply{Envelope: c.back(m), Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index}
+	reply := AppendReply{Envelope: c.replyTo(m), Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index}
 	reply.Rejection, reply.DiskPosition = c.checkAppend(m.Entry)
 	if reply.Rejection != Granted || reply.DiskPosition.Index >= m.Entry.Index {
-		reply.View = c.newerThan(m.Entry.Epoch)
+		reply.View = c.viewNewerThan(m.Entry.Epoch)
 		c.send(reply)
 		return
 	}
@@ -278,7 +278,7 @@
 		return c.checkRepeat(entry)
 	case c.disk.changesState():
 		return Busy, held
-	case c.state.broken:
+	case c.state.logBroken:
 		return DiskFailed, held
 	case entry.Index > held.Index+1:
 		return MissingEntries, held
@@ -294,7 +294,7 @@
 	if position == c.state.position {
 		return Granted, position
 	}
-	for _, other := range c.state.recent {
+	for _, other := range c.state.cachedEntries {
 		if other.Index != entry.Index {
 			continue
 		}
@@ -310,7 +310,7 @@
 func (c *Core) backupAppendDone(job diskJob, err error) {
 	reply := job.reply
 	if err != nil {
-		c.state.broken = true
+		c.state.logBroken = true
 		c.state.joined = StateTag{} // what the disk holds is in doubt: the state must be given again
 		reply.Rejection = DiskFailed
 		reply.DiskPosition = c.state.position
@@ -320,7 +320,7 @@
 	c.state.add(job.entry, c.limits.EntryCacheBytes)
 	c.state.logBytes += len(job.entry.Data)
 	c.applyTail()
-	c.trim()
+	c.compactLog()
 	if c.state.joined != job.entry.Tag() {
 		reply.Rejection = NotJoined
 	}
