--- a/coord/replication/core/ballot_test.go
+++ b/coord/replication/core/ballot_test.go
@@ -5,15 +5,12 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
-// livesOfBallots lets a backup that is no witness propose, ends its life as its first accept goes out, lets it propose again, and tells which lives offered views under each ballot.
-func incarnationsOfBallots(t *testing.T, built mutation.Kind) map[Ballot]map[int]bool {
+// incarnationsOfBallots lets a backup that is no witness propose, restarts it as its first accept goes out, lets it propose again, and gives the incarnations that offered views under each ballot.
+func incarnationsOfBallots(t *testing.T) map[Ballot]map[int]bool {
 	net := newNetwork(t, 1, "a", "b", "c")
 	learner := net.add("d")
-	learner.mutate = built
 	net.startAll()
 	net.run(2 * time.Second)
 	net.drop = func(_ *node, m Message) bool {
@@ -48,15 +45,9 @@
 	return incarnations
 }
 
-// TestBallot_Restarted_IsNotReused: a witness could accept two views under it.
+// TestBallot_Restarted_IsNotReused: under one ballot of two incarnations a witness could accept two views.
 func TestBallot_Restarted_IsNotReused(t *testing.T) {
-	used := func(built mutation.Kind) int {
-		highest := 0
-		for _, incarnations := range incarnationsOfBallots(t, built) {
-			highest = max(highest, len(incarnations))
-		}
-		return highest
+	for ballot, incarnations := range incarnationsOfBallots(t) {
+		require.Len(t, incarnations, 1, "incarnations that used ballot %x", ballot)
 	}
-	require.Equal(t, 1, used(mutation.None))
-	require.Equal(t, 2, used(mutation.SkipOwnPromise))
 }
--- a/coord/replication/core/clone_test.go
+++ b/coord/replication/core/clone_test.go
@@ -242,5 +242,5 @@
 
 // notDigested are the fields of a core that are the same in every state, or follow from others.
 var notDigested = map[string]bool{
-	"config": true, "self": true, "timing": true, "limits": true, "effects": true, "now": true, "mutation": true,
+	"config": true, "self": true, "timing": true, "limits": true, "effects": true, "now": true,
 }
--- a/coord/replication/core/confirm.go
+++ b/coord/replication/core/confirm.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // call is an answer that waits for the witnesses' word.
@@ -68,15 +66,11 @@
 		c.sendResult(read.Token, Indeterminate, ErrTooManyPending)
 		return
 	}
-	c.finishAfterRound(pendingCall{token: read.Token, deadline: read.Deadline, outcome: Current}, c.mutation == mutation.SkipConfirmOnRead)
+	c.finishAfterRound(pendingCall{token: read.Token, deadline: read.Deadline, outcome: Current})
 }
 
 // confirmBefore answers a call after the next round.
-func (c *Core) finishAfterRound(waiting pendingCall, skip bool) {
-	if skip {
-		c.sendResult(waiting.token, waiting.outcome, waiting.err)
-		return
-	}
+func (c *Core) finishAfterRound(waiting pendingCall) {
 	c.confirm.queued = append(c.confirm.queued, waiting)
 }
 
@@ -123,11 +117,7 @@
 		return
 	}
 	f.granted = append(f.granted, m.From.ID)
-	needed := majority(len(view.Witnesses))
-	if c.mutation == mutation.SkipMajority {
-		needed = 1
-	}
-	if len(f.granted) < needed {
+	if len(f.granted) < majority(len(view.Witnesses)) {
 		return
 	}
 	c.roundConfirmed()
--- a/coord/replication/core/core.go
+++ b/coord/replication/core/core.go
@@ -4,8 +4,6 @@
 	"errors"
 	"log/slog"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // ErrDamaged says that what the disk held is no whole state.
@@ -60,7 +58,6 @@
 
 	yielding *yielding
 	leaving  *leaving
-	mutation mutation.Kind // set by tests only
 }
 
 // longAgo stands for "never" among times.
@@ -87,9 +84,6 @@
 	return c, nil
 }
 
-// Mutate builds a fault in. Only the tests of this package and those below it can name one.
-func (c *Core) Mutate(kind mutation.Kind) { c.mutation = kind }
-
 // Step handles one event. now is a steady clock since the process started that never goes back.
 func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.effects = nil
--- a/coord/replication/core/explore_cases_test.go
+++ b/coord/replication/core/explore_cases_test.go
@@ -7,11 +7,12 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
-var exploreDepth = flag.Int("explore.depth", 0, "deviations from the default schedule that the exhaustive search allows; 0: as bounded for CI")
+var (
+	exploreDepth  = flag.Int("explore.depth", 0, "deviations from the default schedule that the exhaustive search allows; 0: as bounded for CI")
+	exploreSearch = flag.String("explore.search", "", "name of the one search that TestExplore_NamedSearch runs")
+)
 
 var faultNames = map[faultKind]string{
 	crashFault: "crash", wipeFault: "lost disk", cutFault: "cut", muteFault: "one-way cut", freezeFault: "freeze", powerFault: "power",
@@ -24,7 +25,6 @@
 	fault  faultKind
 	second callKind
 	left   budgets
-	built  mutation.Kind
 	start  bool // from the first start on
 }
 
@@ -36,7 +36,7 @@
 }
 
 func (s searchCase) run() *search {
-	rules := &modelRules{calls: []callKind{writeCall, s.second}, faults: []faultKind{s.fault}, mutation: s.built, starting: s.start}
+	rules := &modelRules{calls: []callKind{writeCall, s.second}, faults: []faultKind{s.fault}, starting: s.start}
 	return explore(rules, s.left)
 }
 
@@ -112,24 +112,26 @@
 	}
 }
 
-// TestExplore_FaultPlanted_IsFound builds in one fault at a time, each of which the search must find.
-func TestExplore_FaultPlanted_IsFound(t *testing.T) {
-	for _, c := range []searchCase{
-		{built: mutation.SkipSync, fault: crashFault, second: writeCall, left: all(1, 5)},
-		{built: mutation.AnswerBeforeBackups, fault: crashFault, second: writeCall, left: all(1, 5)},
-		{built: mutation.SkipMajority, fault: cutFault, second: readCall, left: all(1, 5)},
-		{built: mutation.ForgetPromise, fault: muteFault, second: writeCall, left: all(2, 5)},
-		{built: mutation.SkipConfirmOnRefusal, fault: freezeFault, second: checkCall, left: all(1, 5)},
-		{built: mutation.SkipConfirmOnRead, fault: freezeFault, second: readCall, left: all(1, 5)},
-		{built: mutation.SkipSeal, fault: freezeFault, second: writeCall, left: budgets{Deviations: 3, Faults: 1, Lost: 1, Late: 1, Time: 4}},
-		{built: mutation.SkipEarlierProposal, fault: crashFault, second: readCall, left: budgets{Deviations: 2, Faults: 1, Lost: 1, Time: 4}},
-		{built: mutation.OverwriteSameTag, fault: wipeFault, second: writeCall, left: all(2, 5)},
-	} {
-		t.Run(c.built.String(), func(t *testing.T) {
-			t.Parallel()
-			s := searchInTurn(c)
-			t.Logf("%v: %d states, depth %d: %s", c, len(s.seen), len(s.failedVia), s.failure)
-			require.NotEmpty(t, s.failure)
-		})
+// namedSearches are those that find planted faults, beyond the bounds of CI where a fault needs it.
+var namedSearches = map[string]searchCase{
+	"crash, write":           {fault: crashFault, second: writeCall, left: all(1, 5)},
+	"cut, read":              {fault: cutFault, second: readCall, left: all(1, 5)},
+	"mute, write, deep":      {fault: muteFault, second: writeCall, left: all(2, 5)},
+	"freeze, check":          {fault: freezeFault, second: checkCall, left: all(1, 5)},
+	"freeze, read":           {fault: freezeFault, second: readCall, left: all(1, 5)},
+	"freeze, write, deep":    {fault: freezeFault, second: writeCall, left: budgets{Deviations: 3, Faults: 1, Lost: 1, Late: 1, Time: 4}},
+	"crash, read, lost":      {fault: crashFault, second: readCall, left: budgets{Deviations: 2, Faults: 1, Lost: 1, Time: 4}},
+	"lost disk, write, deep": {fault: wipeFault, second: writeCall, left: all(2, 5)},
+}
+
+// TestExplore_NamedSearch runs the one search that a flag names; mutants are run against it.
+func TestExplore_NamedSearch(t *testing.T) {
+	if *exploreSearch == "" {
+		t.Skip("with -explore.search only")
 	}
+	c, known := namedSearches[*exploreSearch]
+	require.True(t, known, "no search is named %q", *exploreSearch)
+	s := c.run()
+	t.Logf("%v: %d states, depth %d", c, len(s.seen), max(s.deepest, len(s.failedVia)))
+	require.Empty(t, s.failure, strings.Join(s.failedVia, "\n"))
 }
--- a/coord/replication/core/explore_model_test.go
+++ b/coord/replication/core/explore_model_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"slices"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // The model that the search explores: three real cores, a queue of what is to happen, and monitors of the invariants. Model states are never changed once made: an action makes a new one, which shares all that it does not touch.
@@ -100,8 +98,7 @@
 type modelRules struct {
 	calls    []callKind
 	faults   []faultKind
-	starting bool // the search begins with the first start
-	mutation mutation.Kind
+	starting bool   // the search begins with the first start
 	scratch  []byte // of the digests; a search runs in one goroutine
 }
 
@@ -147,17 +144,12 @@
 		m = m.advance().settle()
 	}
 	if !m.calls[0].done || m.calls[0].outcome != Committed {
-		panic("the first order was not taken")
+		panic("the first command was not committed")
 	}
 	first := *m
 	first.rules = rules
 	first.calls = nil
 	first.tokenBase = 1
-	for i, node := range first.nodes {
-		changed := node.clone()
-		changed.core.mutation = rules.mutation
-		first.nodes[i] = changed
-	}
 	return &first
 }
 
@@ -243,7 +235,6 @@
 		out.watch.fail("a disk can't be read: %v", err)
 		return out
 	}
-	c.mutation = out.rules.mutation
 	out.nodes[i] = &modelNode{core: c, machine: machine, disk: disk, incarnation: incarnation, born: out.now, up: true}
 	out.step(i, Started{})
 	return out
--- a/coord/replication/core/explore_monitor_test.go
+++ b/coord/replication/core/explore_monitor_test.go
@@ -110,7 +110,7 @@
 		}
 		vote := w.vote(reply.From.ID, reply.Epoch)
 		if reply.Ballot < vote.promised {
-			w.fail("%s promises %x after %x", reply.From.Address, reply.Ballot, vote.promised)
+			w.fail("%s promises %x after it promised %x", reply.From.Address, reply.Ballot, vote.promised)
 		}
 		if reply.AcceptedBallot < vote.accepted {
 			w.fail("%s has forgotten that it accepted %x", reply.From.Address, vote.accepted)
@@ -221,7 +221,7 @@
 			continue
 		}
 		if content := node.disk.content(); !strings.HasPrefix(content, w.acknowledged) {
-			w.fail("%s is a copy of epoch %d and has %q on disk, and %q was acknowledged", member.Address, newest.Epoch, content, w.acknowledged)
+			w.fail("%s is a replica of epoch %d and has %q on disk, and %q was acknowledged", member.Address, newest.Epoch, content, w.acknowledged)
 		}
 	}
 }
--- a/coord/replication/core/network_node_test.go
+++ b/coord/replication/core/network_node_test.go
@@ -8,8 +8,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // storedDisk is a simulated disk: a job's effect is there when the job ends.
@@ -75,7 +73,6 @@
 	answers     map[Token]Result
 	primary     bool
 	left        *Left
-	mutate      mutation.Kind
 }
 
 // wipe gives a stopped machine an empty disk.
@@ -113,7 +110,6 @@
 	d := node.disk
 	c, err := New(node.config(), Stored{Register: d.register, Snapshot: d.snapshot, Entries: slices.Clone(d.entries), Appendable: d.snapshot != nil})
 	require.NoError(node.network.t, err)
-	c.mutation = node.mutate
 	node.core = c
 	node.step(Started{})
 	node.scheduleTick()
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -5,8 +5,6 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // incomingState is a stream that is being received. What came of it stays when a new proposal offers the same stream.
@@ -58,9 +56,9 @@
 //
 // Invariant: state goes over older state only. State under the same tag is never given twice: what was appended since the first time may be acknowledged.
 func (c *Core) checkTransfer(m SnapshotChunk) (reason Rejection, complete bool) {
-	sameTag := m.Tag == c.state.tag && c.mutation != mutation.OverwriteSameTag
+	sameTag := m.Tag == c.state.tag
 	switch {
-	case m.Tag.Epoch == 0 || m.Tag.Epoch <= c.knownEpoch() && c.mutation != mutation.OverwriteSameTag:
+	case m.Tag.Epoch == 0 || m.Tag.Epoch <= c.knownEpoch():
 		return NewerView, false
 	case m.Tag.Epoch > c.knownEpoch()+1:
 		return UnknownView, false
@@ -84,9 +82,7 @@
 
 // sealFor keeps this member from writing and from taking appends of the old view.
 func (c *Core) seal(m SnapshotChunk) {
-	if c.mutation != mutation.SkipSeal {
-		c.state.joined = StateTag{}
-	}
+	c.state.joined = StateTag{}
 	c.lastPrimaryContact = c.now
 	if c.change != nil {
 		c.failViewChange("another member proposes")
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -2,8 +2,6 @@
 
 import (
 	"log/slog"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // The witness: one compare-and-set register for the epoch after the newest chosen view.
@@ -67,10 +65,6 @@
 // answerOnceSynced sends a reply when the register is on disk as it is now.
 func (c *Core) replyOnceSynced(reply Message) {
 	c.registerDirty = true
-	if c.mutation == mutation.SkipSync {
-		c.send(reply)
-		return
-	}
 	c.repliesAwaitingRegister = append(c.repliesAwaitingRegister, reply)
 }
 
@@ -156,7 +150,7 @@
 	if base.Epoch == 0 && !c.sharesSeeds(base) {
 		return NotWitness
 	}
-	if ballot < c.register.Promised && c.mutation != mutation.ForgetPromise {
+	if ballot < c.register.Promised {
 		return HigherPromise
 	}
 	return Granted
--- a/coord/replication/core/simulation/cluster_test.go
+++ b/coord/replication/core/simulation/cluster_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // settings are what one schedule's cluster is like. They follow from the seed.
@@ -65,7 +64,6 @@
 	profile     profile
 	lastAddress int
 	reserved    map[string]bool // addresses that somebody will come to
-	mutation    mutation.Kind
 	random      *rand.Rand
 	now         time.Duration
 	sequence    uint64
@@ -131,11 +129,10 @@
 	lostUntil    time.Duration
 }
 
-func newCluster(s settings, p profile, m mutation.Kind, seed uint64) *cluster {
+func newCluster(s settings, p profile, seed uint64) *cluster {
 	c := &cluster{
 		settings:  s,
 		profile:   p,
-		mutation:  m,
 		random:    rand.New(rand.NewPCG(seed, 2)),
 		addresses: map[string]*host{},
 		reserved:  map[string]bool{},
--- a/coord/replication/core/simulation/network_test.go
+++ b/coord/replication/core/simulation/network_test.go
@@ -10,7 +10,7 @@
 type heldMessage struct {
 	from    *host
 	power   int  // losses of power of the sender before
-	durable    bool // by the sender's machine: it goes with its power
+	durable bool // by the sender's machine: it goes with its power
 	address string
 	message core.Message
 }
--- a/coord/replication/core/simulation/process_test.go
+++ b/coord/replication/core/simulation/process_test.go
@@ -83,7 +83,6 @@
 		c.monitor.fail("%s does not start: %v", h, err)
 		return
 	}
-	started.Mutate(c.mutation)
 	c.lastIncarnation++
 	p := &process{
 		cluster:     c,
--- a/coord/replication/core/simulation/schedule_test.go
+++ b/coord/replication/core/simulation/schedule_test.go
@@ -11,8 +11,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 var (
@@ -26,7 +24,6 @@
 type schedule struct {
 	Seed     uint64
 	Profile  profile
-	Mutation mutation.Kind
 	Plan     plan      // nil: the seed's
 	Settings *settings // nil: the seed's
 	Blind    bool      // only the clients' history is checked
@@ -50,7 +47,7 @@
 	if s.Plan != nil {
 		made = s.Plan
 	}
-	c := newCluster(drawn, s.Profile, s.Mutation, s.Seed)
+	c := newCluster(drawn, s.Profile, s.Seed)
 	c.tracing = traced
 	c.monitor.blind = s.Blind
 	c.trace("settings %+v", drawn)
@@ -101,8 +98,11 @@
 	return fmt.Sprintf("seed %d, profile %v: %s\n%+v\n%v\n%s", s.Seed, s.Profile, found.violation, again.cluster.settings, s.Plan, strings.Join(last, "\n"))
 }
 
+// workers is how many schedules run at once.
+const workers = 4
+
 // runMany plays many seeds, some at once, and gives the first failing ones.
-func runMany(profile profile, kind mutation.Kind, first uint64, count int, each func(schedule, outcome)) {
+func runMany(profile profile, first uint64, count int, each func(schedule, outcome)) {
 	var next atomic.Uint64
 	var mutex sync.Mutex
 	var group sync.WaitGroup
@@ -113,7 +113,7 @@
 				if i >= uint64(count) {
 					return
 				}
-				s := schedule{Seed: first + i, Profile: profile, Mutation: kind}
+				s := schedule{Seed: first + i, Profile: profile}
 				found := s.run(false)
 				mutex.Lock()
 				each(s, found)
@@ -134,7 +134,7 @@
 	for _, p := range []profile{tolerated, beyond} {
 		t.Run(p.String(), func(t *testing.T) {
 			sum := newSummary()
-			runMany(p, mutation.None, *firstSeed, *schedules, sum.add)
+			runMany(p, *firstSeed, *schedules, sum.add)
 			t.Log(sum)
 			for _, failed := range sum.failed[:min(3, len(sum.failed))] {
 				t.Error(failed.schedule.report(failed.outcome))
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -4,8 +4,6 @@
 	"log/slog"
 	"slices"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // A view change, run by the member that wants to be the primary of the next view: seal, prepare at the witnesses, give the state to the copies to be, accept at a majority of the witnesses, install at a majority of the new witnesses if they moved.
@@ -123,9 +121,7 @@
 	c.viewChangeDue = false
 	c.confirm.abandonRound()
 	// Invariant: a copy that proposes takes no append of the old view any more. So what is acknowledged after this moment is held here already.
-	if c.mutation != mutation.SkipSeal {
-		c.state.joined = StateTag{}
-	}
+	c.state.joined = StateTag{}
 	if c.state.logBroken {
 		c.change.deadline = c.now + c.timing.SnapshotTimeout
 		c.saveSnapshot(diskJob{kind: repairJob}, c.snapshot(), c.state.tail)
@@ -157,12 +153,8 @@
 	c.lastRound = max(c.lastRound, ballotRound(c.register.Promised)) + 1
 	change.ballot = ballotOf(c.lastRound, c.self.ID)
 	// Invariant: no two lives of a member use one ballot. The ballot is promised on the own disk before anything is offered under it, also if this member is no witness.
-	if c.mutation == mutation.SkipOwnPromise {
-		change.ballotSynced = true
-	} else {
-		c.register.Promised = change.ballot
-		c.registerDirty = true
-	}
+	c.register.Promised = change.ballot
+	c.registerDirty = true
 	c.enterPhase(preparing)
 }
 
@@ -215,11 +207,7 @@
 }
 
 func (c *Core) hasQuorum() bool {
-	needed := c.change.quorum()
-	if c.mutation == mutation.SkipMajority {
-		needed = 1
-	}
-	return len(c.change.granted) >= needed
+	return len(c.change.granted) >= c.change.quorum()
 }
 
 // considerPrepared goes on once a quorum has promised and the own promise is synced.
@@ -228,7 +216,7 @@
 	if change.phase != preparing || !change.ballotSynced || !c.hasQuorum() {
 		return
 	}
-	if change.earlierProposal != nil && c.mutation != mutation.SkipEarlierProposal {
+	if change.earlierProposal != nil {
 		c.enterPhase(finishing) // somebody was here before: its choice is finished first
 		return
 	}
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -4,8 +4,6 @@
 	"log/slog"
 	"slices"
 	"time"
-
-	"shaletrestle/coord/replication/core/internal/mutation"
 )
 
 // write is the order under way. Orders run one at a time, so each one is decided on the state that all earlier ones left.
@@ -80,11 +78,11 @@
 func (c *Core) startCommand(command Command) {
 	data, err := command.Decide()
 	if err != nil {
-		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err})
 		return
 	}
 	if data == nil {
-		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange}, c.mutation == mutation.SkipConfirmOnRefusal)
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange})
 		return
 	}
 	view := c.register.View
@@ -98,10 +96,6 @@
 	c.write = &pendingWrite{command: command, entry: entry, startedAt: c.now}
 	c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})
 	c.sendAppends()
-	if c.mutation == mutation.AnswerBeforeBackups {
-		c.sendResult(command.Token, Committed, nil)
-		c.write.resultSent = true
-	}
 }
 
 func (c *Core) sendAppends() {
@@ -159,7 +153,7 @@
 // Invariant: an acknowledged entry is synced on every copy of its view. No view is made with fewer copies than fewestCopies, so with losses to bear the primary never acknowledges alone.
 func (c *Core) considerCommit() {
 	w := c.write
-	if w == nil || w.carried || !w.synced && c.mutation != mutation.SkipSync {
+	if w == nil || w.carried || !w.synced {
 		return
 	}
 	if len(w.ackedBackups) < len(c.register.View.Backups) {
@@ -260,9 +254,6 @@
 		return
 	}
 	reply.DiskPosition = m.Entry.Position()
-	if c.mutation == mutation.SkipSync {
-		c.send(reply)
-	}
 	c.appendEntry(diskJob{kind: backupAppendJob, entry: m.Entry, reply: reply})
 }
 
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation shows that tests bite: it changes one place of a source file, runs chosen tests of the
-// package on the changed source and wants them to fail. The source on disk stays as it is.
+// Package mutation shows that tests bite: it changes places of source files, runs chosen tests of a package on
+// the changed sources and wants them to fail. The sources on disk stay as they are. Only tests import it.
 package mutation
 
 import (
@@ -7,6 +7,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -20,16 +21,27 @@
 
 var slots = make(chan struct{}, atOnce)
 
-// Mutation is one wrong version of a package.
-type Mutation struct {
-	Name string
+// Replacement is one changed place of a source file.
+type Replacement struct {
 	File string // in the folder of the test's package, or a path relative to it
 	From string // the text that is replaced; it stands in the file exactly once
 	To   string
-	Run  string // the tests that are to find it, as for go test -run
 }
 
-// Found fails the test unless the named tests of the package in the current folder fail on the mutant.
+// Mutation is one wrong version of a package, or of one that it imports.
+type Mutation struct {
+	Name    string
+	File    string // the first place, as in Replacement
+	From    string
+	To      string
+	More    []Replacement // further places, replaced after the first, in their order
+	Package string        // whose tests run, as a path relative to the test's package; empty: that package itself
+	Run     string        // the tests that are to find it, as for go test -run
+	Args    []string      // further arguments of the test binary
+	Shows   string        // what the failing tests have to print; empty: any failure finds the mutant
+}
+
+// Found fails the test unless the named tests fail on the mutant, and logs what they say.
 // A mutant that does not compile is no finding.
 func Found(t *testing.T, m Mutation) {
 	t.Helper()
@@ -37,11 +49,14 @@
 	defer func() { <-slots }()
 	overlay := write(t, m)
 	binary := filepath.Join(t.TempDir(), "mutant.test")
-	build := exec.Command("go", "test", "-c", "-vet=off", "-overlay", overlay, "-o", binary, ".")
+	build := exec.Command("go", "test", "-c", "-vet=off", "-overlay", overlay, "-o", binary, "./"+m.Package)
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s: the mutant does not compile: %s", m.Name, out)
 	}
-	out, err := exec.Command(binary, "-test.run", m.Run, "-test.failfast", "-test.timeout", runTime).CombinedOutput()
+	args := append([]string{"-test.run", m.Run, "-test.failfast", "-test.timeout", runTime}, m.Args...)
+	run := exec.Command(binary, args...)
+	run.Dir = m.Package
+	out, err := run.CombinedOutput()
 	if err == nil {
 		t.Fatalf("%s: no test found it\n%s", m.Name, out)
 	}
@@ -51,29 +66,53 @@
 	if strings.Contains(string(out), "no tests to run") {
 		t.Fatalf("%s: %s names no test", m.Name, m.Run)
 	}
+	if !strings.Contains(string(out), m.Shows) {
+		t.Fatalf("%s: the tests fail, and do not print %q\n%s", m.Name, m.Shows, out)
+	}
+	t.Logf("%s: %s", m.Name, lineWith(string(out), m.Shows))
 }
 
-// write puts the mutant beside an overlay file that names it, and gives the overlay's path.
+// lineWith is the first line that holds a text.
+func lineWith(output, text string) string {
+	for line := range strings.Lines(output) {
+		if strings.Contains(line, text) {
+			return strings.TrimSpace(line)
+		}
+	}
+	return ""
+}
+
+// write puts the mutant's files beside an overlay file that names them, and gives the overlay's path.
 func write(t *testing.T, m Mutation) string {
 	t.Helper()
-	original, err := filepath.Abs(m.File)
-	if err != nil {
-		t.Fatal(err)
-	}
-	source, err := os.ReadFile(original)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if n := strings.Count(string(source), m.From); n != 1 {
-		t.Fatalf("%s: the place stands %d times in %s", m.Name, n, m.File)
-	}
 	dir := t.TempDir()
-	mutant := filepath.Join(dir, "mutant.go")
-	changed := strings.Replace(string(source), m.From, m.To, 1)
-	if err := os.WriteFile(mutant, []byte(changed), 0o600); err != nil {
-		t.Fatal(err)
+	sources := map[string]string{}
+	for _, place := range append([]Replacement{{m.File, m.From, m.To}}, m.More...) {
+		path, err := filepath.Abs(place.File)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, known := sources[path]; !known {
+			source, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			sources[path] = string(source)
+		}
+		if n := strings.Count(sources[path], place.From); n != 1 {
+			t.Fatalf("%s: the place %q stands %d times in %s", m.Name, place.From, n, place.File)
+		}
+		sources[path] = strings.Replace(sources[path], place.From, place.To, 1)
+	}
+	replaced := map[string]string{}
+	for path, source := range sources {
+		mutant := filepath.Join(dir, strconv.Itoa(len(replaced))+filepath.Base(path))
+		if err := os.WriteFile(mutant, []byte(source), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		replaced[path] = mutant
 	}
-	text, err := json.Marshal(map[string]any{"Replace": map[string]string{original: mutant}})
+	text, err := json.Marshal(map[string]any{"Replace": replaced})
 	if err != nil {
 		t.Fatal(err)
 	}
