--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -29,9 +29,9 @@
 	inside := reflect.ValueOf(m.core).Elem()
 	state := inside.FieldByName("state")
 	k := kept{
-		recentBytes: entryBytes(state.FieldByName("recent")),
+		recentBytes: entryBytes(state.FieldByName("cachedEntries")),
 		tailBytes:   entryBytes(state.FieldByName("tail")),
-		orders:      inside.FieldByName("orders").Len(),
+		orders:      inside.FieldByName("commands").Len(),
 	}
 	m.mu.Unlock()
 	m.calls.mu.Lock()
