--- a/coord/attempt/attempt.go
+++ b/coord/attempt/attempt.go
@@ -45,22 +45,22 @@
 	}
 }
 
-// Try sums up the sendings of one try of a caller. Its zero value is a try that was sent nowhere.
-type Try struct {
+// History sums up the sendings of one try of a caller. Its zero value is a try that was sent nowhere.
+type History struct {
 	current     State
 	earlierRuns bool // a sending before the current one may have run
 	sent        int  // sendings of which a byte left
 }
 
-// Begin starts another sending.
-func (t *Try) Begin() {
+// BeginSend starts another sending.
+func (t *History) BeginSend() {
 	t.earlierRuns = t.MayHaveRun()
 	t.current = NotSent
 }
 
-// Move brings the current sending to a state. A state that can't follow the present one is not taken
+// Advance brings the current sending to a state. A state that can't follow the present one is not taken
 // over: what may have run stays so.
-func (t *Try) Move(to State) {
+func (t *History) Advance(to State) {
 	if !to.follows(t.current) {
 		return
 	}
@@ -70,24 +70,24 @@
 	t.current = to
 }
 
-// Elsewhere adds the sendings that another process made for this try.
-func (t *Try) Elsewhere(sent int, mayHaveRun bool) {
+// AddRemote adds the sendings that another process made for this try.
+func (t *History) AddRemote(sent int, mayHaveRun bool) {
 	t.sent += max(0, sent)
 	t.earlierRuns = t.earlierRuns || mayHaveRun
 }
 
-// Sent counts the sendings of which a byte may have left.
-func (t *Try) Sent() int { return t.sent }
+// Sends counts the sendings of which a byte may have left.
+func (t *History) Sends() int { return t.sent }
 
 // Current is the state of the newest sending.
-func (t *Try) Current() State { return t.current }
+func (t *History) Current() State { return t.current }
 
 // MayHaveRun tells whether any sending may have run.
-func (t *Try) MayHaveRun() bool { return t.earlierRuns || t.current.MayHaveRun() }
+func (t *History) MayHaveRun() bool { return t.earlierRuns || t.current.MayHaveRun() }
 
-// MayRepeat tells whether the call may be sent once more: never beyond the limit, and if it is not
+// MayRetry tells whether the call may be sent once more: never beyond the limit, and if it is not
 // repeatable only while no sending may have run.
-func (t *Try) MayRepeat(repeatable bool, limit int) bool {
+func (t *History) MayRetry(repeatable bool, limit int) bool {
 	if t.sent >= limit {
 		return false
 	}
--- a/coord/attempt/attempt_test.go
+++ b/coord/attempt/attempt_test.go
@@ -21,21 +21,21 @@
 }
 
 // every plays all sequences of so many moves and new sendings.
-func every(t *testing.T, left int, try Try, reference int, check func(Try, int)) {
+func every(t *testing.T, left int, try History, reference int, check func(History, int)) {
 	check(try, reference)
 	if left == 0 {
 		return
 	}
 	for _, to := range all {
 		next, sum := try, reference
-		next.Move(to)
+		next.Advance(to)
 		if try.current == NotSent && next.current != NotSent {
 			sum++
 		}
 		every(t, left-1, next, sum, check)
 	}
 	next := try
-	next.Begin()
+	next.BeginSend()
 	every(t, left-1, next, reference, check)
 }
 
@@ -43,17 +43,17 @@
 // sending takes back that it may have run.
 func TestWhatMayHaveRunStaysSo(t *testing.T) {
 	for _, earlier := range []bool{false, true} {
-		start := Try{}
-		start.Elsewhere(1, earlier)
-		every(t, 6, start, 1, func(try Try, sent int) {
-			require.Equal(t, sent, try.Sent())
+		start := History{}
+		start.AddRemote(1, earlier)
+		every(t, 6, start, 1, func(try History, sent int) {
+			require.Equal(t, sent, try.Sends())
 			require.Equal(t, earlier || try.earlierRuns || try.current.MayHaveRun(), try.MayHaveRun())
 			if earlier {
 				require.True(t, try.MayHaveRun())
-				require.False(t, try.MayRepeat(false, 100))
+				require.False(t, try.MayRetry(false, 100))
 			}
-			require.False(t, try.MayRepeat(true, sent), "the limit holds for all")
-			if try.MayRepeat(false, 100) {
+			require.False(t, try.MayRetry(true, sent), "the limit holds for all")
+			if try.MayRetry(false, 100) {
 				require.False(t, try.MayHaveRun())
 			}
 		})
@@ -62,16 +62,16 @@
 
 func TestOnlyAPromiseFreesASending(t *testing.T) {
 	for _, to := range all {
-		try := Try{}
-		try.Move(Sent)
+		try := History{}
+		try.Advance(Sent)
 		require.True(t, try.MayHaveRun())
-		try.Move(to)
+		try.Advance(to)
 		require.Equal(t, to != NotExecuted, try.MayHaveRun(), to.String())
-		try.Begin()
+		try.BeginSend()
 		require.Equal(t, to != NotExecuted, try.MayHaveRun(), "a new sending takes nothing back")
 	}
-	broken := Try{}
-	broken.Move(PartlySent)
-	broken.Move(NotExecuted)
+	broken := History{}
+	broken.Advance(PartlySent)
+	broken.Advance(NotExecuted)
 	require.True(t, broken.MayHaveRun(), "a promise can't come for what was not sent whole")
 }
--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -58,9 +58,9 @@
 	rpc.Open(l.ctx, slowConn{b, l}, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Subscribe:
-			l.feed.Follow(ch, n)
+			l.feed.HandleSubscribe(ch, n)
 		case rpc.UpdateAck:
-			l.feed.Ack(ch, n)
+			l.feed.HandleAck(ch, n)
 		}
 		return nil
 	})
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// Take folds the next change; false means that a snapshot or what is missing must come first.
-func (c *Cursor) Take(at Position, body []byte) bool {
+// Apply folds the next change; false means that a snapshot or what is missing must come first.
+func (c *Cursor) Apply(at Position, body []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.progress.judge(at) {
@@ -51,8 +51,8 @@
 	return true
 }
 
-// Heard marks that the source is in touch with the primary.
-func (c *Cursor) Heard() {
+// MarkContact marks that the source is in touch with the primary.
+func (c *Cursor) MarkContact() {
 	c.mu.Lock()
 	c.heard = time.Now()
 	c.mu.Unlock()
@@ -72,8 +72,8 @@
 	return c.progress.resumeFrom()
 }
 
-// Age is how long ago a source in touch with the primary was last heard.
-func (c *Cursor) Age() time.Duration {
+// SinceContact is how long ago a source in touch with the primary was last heard.
+func (c *Cursor) SinceContact() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.heard)
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -62,11 +62,11 @@
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Subscribe:
-			p.feed.Follow(ch, n)
+			p.feed.HandleSubscribe(ch, n)
 		case rpc.UpdateAck:
 			p.heard.Add(1)
 			p.seats.Add(int64(len(n.Members)))
-			p.feed.Ack(ch, n)
+			p.feed.HandleAck(ch, n)
 		}
 		return nil
 	})
@@ -89,7 +89,7 @@
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, "old", string(got.Snapshot()))
 		n := push("+a")
-		have, of := f.Wait(ctx, n, time.Second)
+		have, of := f.WaitAcked(ctx, n, time.Second)
 		require.Equal(t, 1, have)
 		require.Equal(t, 1, of)
 		require.Equal(t, "old+a", string(got.Snapshot()))
@@ -112,10 +112,10 @@
 		require.Equal(t, uint64(2), ep)
 		require.Equal(t, uint64(1), num)
 		require.Error(t, c.Restore(Position{1, 9}, []byte("stale"), true), "an older life is refused")
-		require.False(t, c.Take(Position{2, 7}, []byte("gap")))
-		require.True(t, c.Take(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
+		require.False(t, c.Apply(Position{2, 7}, []byte("gap")))
+		require.True(t, c.Apply(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
 		require.Equal(t, "old+a+b+c+d", string(got.Snapshot()))
-		require.Len(t, f.Reached(), 1)
+		require.Len(t, f.EndFollowers(), 1)
 	})
 }
 
@@ -138,7 +138,7 @@
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Subscribe:
-			f.Follow(ch, n)
+			f.HandleSubscribe(ch, n)
 		case rpc.UpdateAck:
 			if at == "source" {
 				p.mu.Lock()
@@ -148,7 +148,7 @@
 				}
 				p.mu.Unlock()
 			}
-			f.Ack(ch, n)
+			f.HandleAck(ch, n)
 		}
 		return nil
 	})
@@ -165,9 +165,9 @@
 	p.feeds = map[string]*Feed{"source": src}
 	for i := range relays {
 		var fo *Follower
-		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { fo.Tell() })
+		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { fo.ReportProgress() })
 		p.feeds[fmt.Sprint("relay", i)] = f
-		fo = NewFollower(p.ctx, p, f, rpc.Member{ID: uint64(i) + 1000}, true, func(string) string { return "source" }, f.Reached)
+		fo = NewFollower(p.ctx, p, f, rpc.Member{ID: uint64(i) + 1000}, true, func(string) string { return "source" }, f.EndFollowers)
 		go fo.Run()
 	}
 	push = begin(src, 1)
@@ -215,7 +215,7 @@
 				}
 				time.Sleep(3 * newsLost)
 				got := map[uint64]bool{}
-				for _, s := range src.Reached() {
+				for _, s := range src.EndFollowers() {
 					require.False(t, got[s.ID], "%d is listed twice", s.ID)
 					got[s.ID] = true
 				}
@@ -240,7 +240,7 @@
 		p.up, p.lists = 0, 0
 		p.mu.Unlock()
 		n := push("x")
-		have, of := src.Wait(ctx, n, time.Second)
+		have, of := src.WaitAcked(ctx, n, time.Second)
 		require.Equal(t, [2]int{2, 2}, [2]int{have, of})
 		synctest.Wait()
 		p.mu.Lock()
@@ -253,7 +253,7 @@
 		lists := p.lists
 		p.mu.Unlock()
 		require.Zero(t, lists)
-		require.Len(t, src.Reached(), 60)
+		require.Len(t, src.EndFollowers(), 60)
 	})
 }
 
@@ -319,14 +319,14 @@
 		b := &words{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("s"), true))
-		require.False(t, f.Take(Position{3, 7}, []byte("gap")))
-		require.False(t, f.Take(Position{4, 6}, []byte("another life")))
-		require.True(t, f.Take(Position{3, 6}, []byte("+")))
-		require.True(t, f.Take(Position{3, 6}, []byte("again")))
+		require.False(t, f.Apply(Position{3, 7}, []byte("gap")))
+		require.False(t, f.Apply(Position{4, 6}, []byte("another life")))
+		require.True(t, f.Apply(Position{3, 6}, []byte("+")))
+		require.True(t, f.Apply(Position{3, 6}, []byte("again")))
 		require.Equal(t, "s+", string(b.Snapshot()))
 		require.Error(t, f.Restore(Position{2, 9}, []byte("old"), true))
 		begin(f, 4)
-		require.False(t, f.Take(Position{4, 1}, []byte("x")), "a source takes nothing from others")
+		require.False(t, f.Apply(Position{4, 1}, []byte("x")), "a source takes nothing from others")
 		require.Error(t, f.Restore(Position{4, 9}, []byte("y"), true))
 	})
 }
@@ -340,8 +340,8 @@
 		push := begin(src, 1)
 		up := &pipes{ctx: ctx, feed: src}
 		var relay *Follower
-		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { relay.Tell() })
-		relay = NewFollower(ctx, up, mid, rpc.Member{ID: 1, Address: "relay"}, true, func(string) string { return "src" }, mid.Reached)
+		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { relay.ReportProgress() })
+		relay = NewFollower(ctx, up, mid, rpc.Member{ID: 1, Address: "relay"}, true, func(string) string { return "src" }, mid.EndFollowers)
 		go relay.Run()
 		time.Sleep(time.Second)
 		const many = 30
@@ -350,7 +350,7 @@
 			go NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)}, false, func(string) string { return "mid" }, nil).Run()
 		}
 		time.Sleep(5 * time.Second)
-		require.Len(t, src.Reached(), many)
+		require.Len(t, src.EndFollowers(), many)
 		notes, seats := up.heard.Load(), up.seats.Load()
 		const beats = 50
 		time.Sleep(beats * HeartbeatInterval)
@@ -359,11 +359,11 @@
 		time.Sleep(HeartbeatInterval / 3) // between two beats
 		at := time.Now()
 		n := push("+")
-		have, of := src.Wait(ctx, n, time.Second)
+		have, of := src.WaitAcked(ctx, n, time.Second)
 		require.Equal(t, []int{1, 1}, []int{have, of})
 		require.Zero(t, time.Since(at), "a change that was taken waits for no beat")
 		require.Equal(t, n, mid.Acked())
-		require.Len(t, src.Reached(), many, "seats as before are kept")
+		require.Len(t, src.EndFollowers(), many, "seats as before are kept")
 	})
 }
 
@@ -400,7 +400,7 @@
 			go fo.Run()
 		}
 		time.Sleep(HeartbeatInterval)
-		f.Spread(&rpc.Message{Kind: rpc.LoadSums, Body: []byte("sum")})
+		f.Broadcast(&rpc.Message{Kind: rpc.LoadSums, Body: []byte("sum")})
 		time.Sleep(HeartbeatInterval / 2)
 		require.Equal(t, int64(len(cs)), got.Load())
 		for _, c := range cs {
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -158,8 +158,8 @@
 	f.signal()
 }
 
-// Take folds a change of this process's own source; false means that a snapshot or what is missing must come first.
-func (f *Feed) Take(at Position, body []byte) bool {
+// Apply folds a change of this process's own source; false means that a snapshot or what is missing must come first.
+func (f *Feed) Apply(at Position, body []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.source != nil {
@@ -200,8 +200,8 @@
 	f.wake = make(chan struct{})
 }
 
-// Heard marks that this process's own source is in touch with the primary.
-func (f *Feed) Heard() {
+// MarkContact marks that this process's own source is in touch with the primary.
+func (f *Feed) MarkContact() {
 	f.mu.Lock()
 	f.fresh = time.Now()
 	f.mu.Unlock()
@@ -212,8 +212,8 @@
 	return f.source != nil || time.Since(f.fresh) < relayStale
 }
 
-// Wait waits until all connected followers have taken a number, at most d. It tells how many have and how many there are.
-func (f *Feed) Wait(ctx context.Context, number uint64, d time.Duration) (have, of int) {
+// WaitAcked waits until all connected followers have taken a number, at most d. It tells how many have and how many there are.
+func (f *Feed) WaitAcked(ctx context.Context, number uint64, d time.Duration) (have, of int) {
 	end := time.After(d)
 	for {
 		f.mu.Lock()
@@ -238,8 +238,8 @@
 	}
 }
 
-// Spread sends a note that is no news to all followers: it has no number and may be lost.
-func (f *Feed) Spread(n *rpc.Message) {
+// Broadcast sends a note that is no news to all followers: it has no number and may be lost.
+func (f *Feed) Broadcast(n *rpc.Message) {
 	b := n.Encode()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,8 +248,8 @@
 	}
 }
 
-// Reached lists the end followers: those connected here and those that relays told of.
-func (f *Feed) Reached() []rpc.Member {
+// EndFollowers lists the end followers: those connected here and those that relays told of.
+func (f *Feed) EndFollowers() []rpc.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []rpc.Member
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -18,8 +18,8 @@
 // Sink is where a follower puts what it is told.
 type Sink interface {
 	Restore(at Position, body []byte, current bool) error
-	Take(at Position, body []byte) bool
-	Heard()
+	Apply(at Position, body []byte) bool
+	MarkContact()
 	At() (epoch, number uint64)
 	ResumeFrom() Position
 }
@@ -52,11 +52,11 @@
 // Self is the seat that this follower tells of itself.
 func (f *Follower) Self() rpc.Member { return f.self }
 
-// Source is the address followed now, empty if none.
-func (f *Follower) Source() string { return f.now.Load() }
+// SourceAddress is the address followed now, empty if none.
+func (f *Follower) SourceAddress() string { return f.now.Load() }
 
-// Drop ends the connection held now; the next address is picked.
-func (f *Follower) Drop() {
+// Disconnect ends the connection held now; the next address is picked.
+func (f *Follower) Disconnect() {
 	if ch := f.ch.Load(); ch != nil {
 		ch.Close()
 	}
@@ -125,10 +125,10 @@
 		case <-f.ctx.Done():
 			return
 		case <-t:
-			if ch.Quiet() >= newsLost {
+			if ch.IdleTime() >= newsLost {
 				return
 			}
-			t = time.After(newsLost - ch.Quiet())
+			t = time.After(newsLost - ch.IdleTime())
 		}
 	}
 }
@@ -151,8 +151,8 @@
 	return ch.Call(n, d)
 }
 
-// Tell sends the acknowledgement again if this relay's own followers have moved on or are others.
-func (f *Follower) Tell() {
+// ReportProgress sends the acknowledgement again if this relay's own followers have moved on or are others.
+func (f *Follower) ReportProgress() {
 	if ch := f.ch.Load(); ch != nil {
 		f.ack(ch, true)
 	}
@@ -210,8 +210,8 @@
 		if !n.OK || at.Epoch != epoch || at.Number > number {
 			return false
 		}
-		f.sink.Heard()
+		f.sink.MarkContact()
 		return true
 	}
-	return f.sink.Take(at, n.Body)
+	return f.sink.Apply(at, n.Body)
 }
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -120,14 +120,14 @@
 		time.Sleep(5 * time.Second)
 		epoch, _ := held.At()
 		require.Equal(t, uint64(1), epoch)
-		require.GreaterOrEqual(t, held.Age(), 5*time.Second, "nothing current was heard")
+		require.GreaterOrEqual(t, held.SinceContact(), 5*time.Second, "nothing current was heard")
 
 		empty := NewCursor(&words{})
 		go NewFollower(ctx, p, empty, rpc.Member{ID: 2}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(5 * time.Second)
 		epoch, _ = empty.At()
 		require.Equal(t, uint64(2), epoch, "one that has nothing takes the last that is known")
-		require.GreaterOrEqual(t, empty.Age(), 5*time.Second, "but not as current")
+		require.GreaterOrEqual(t, empty.SinceContact(), 5*time.Second, "but not as current")
 	})
 }
 
@@ -144,7 +144,7 @@
 		go NewFollower(ctx, p, ahead, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
 		time.Sleep(time.Second)
 		for n := uint64(4); n <= 7; n++ {
-			require.True(t, relay.Take(Position{2, n}, []byte(fmt.Sprint("+", n))))
+			require.True(t, relay.Apply(Position{2, n}, []byte(fmt.Sprint("+", n))))
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, "5+6+7", string(got.Snapshot()))
@@ -266,8 +266,8 @@
 	ctx, stop := context.WithCancel(w.ctx)
 	w.lives[name] = stop
 	var up *Follower
-	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(uint64, uint64) { up.Tell() })
-	up = NewFollower(ctx, &webNet{w, name}, feed, rpc.Member{ID: w.r.Uint64()}, true, func(string) string { return w.follows(name) }, feed.Reached)
+	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(uint64, uint64) { up.ReportProgress() })
+	up = NewFollower(ctx, &webNet{w, name}, feed, rpc.Member{ID: w.r.Uint64()}, true, func(string) string { return w.follows(name) }, feed.EndFollowers)
 	w.mu.Lock()
 	w.feeds[name] = feed
 	w.mu.Unlock()
@@ -362,9 +362,9 @@
 	rpc.Open(w.ctx, b, func(ch *rpc.Channel, m *rpc.Message) *rpc.Message {
 		switch m.Kind {
 		case rpc.Subscribe:
-			f.Follow(ch, m)
+			f.HandleSubscribe(ch, m)
 		case rpc.UpdateAck:
-			f.Ack(ch, m)
+			f.HandleAck(ch, m)
 		}
 		return nil
 	})
@@ -391,7 +391,7 @@
 			require.Empty(t, w.faults.all())
 			epoch, number := w.feeds["c1"].At()
 			require.Equal(t, w.epoch, epoch)
-			require.Len(t, w.feeds["c1"].Reached(), webEnds, "all came back to the newest source")
+			require.Len(t, w.feeds["c1"].EndFollowers(), webEnds, "all came back to the newest source")
 			require.Equal(t, number, w.feeds["c1"].Acked())
 		})
 	}
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -32,8 +32,8 @@
 	snapshotBytes int // of the snapshot under way
 }
 
-// Follow takes on a follower: what it lacks is sent, then every change.
-func (f *Feed) Follow(ch *rpc.Channel, n *rpc.Message) {
+// HandleSubscribe takes on a follower: what it lacks is sent, then every change.
+func (f *Feed) HandleSubscribe(ch *rpc.Channel, n *rpc.Message) {
 	s := &subscriber{ch: ch, seat: n.From, relay: role(n.Text) == roleRelay}
 	f.mu.Lock()
 	f.subscribers[ch] = s
@@ -167,7 +167,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.subscribers {
-		if s.ch.Quiet() > f.patience(s) {
+		if s.ch.IdleTime() > f.patience(s) {
 			go s.ch.Close()
 		}
 	}
@@ -202,8 +202,8 @@
 	}
 }
 
-// Ack takes a follower's word on how far it and those below it have come.
-func (f *Feed) Ack(ch *rpc.Channel, n *rpc.Message) {
+// HandleAck takes a follower's word on how far it and those below it have come.
+func (f *Feed) HandleAck(ch *rpc.Channel, n *rpc.Message) {
 	f.mu.Lock()
 	s := f.subscribers[ch]
 	if s != nil {
--- a/coord/fairshare/shares.go
+++ b/coord/fairshare/shares.go
@@ -37,9 +37,9 @@
 	p.mu.Unlock()
 }
 
-// Take lets a user have an amount more if there is room and, when it is crowded,
+// TryAcquire lets a user have an amount more if there is room and, when it is crowded,
 // if that stays inside a fair share.
-func (p *Shares) Take(user string, amount int64) bool {
+func (p *Shares) TryAcquire(user string, amount int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.allows(user, amount) {
@@ -59,15 +59,15 @@
 	return !crowded || p.usedBy[user]+amount <= p.fairShare(user)
 }
 
-// Add books an amount without a check, for what is in use already.
-func (p *Shares) Add(user string, amount int64) {
+// Acquire books an amount without a check, for what is in use already.
+func (p *Shares) Acquire(user string, amount int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.add(user, amount)
 }
 
-// Give returns an amount.
-func (p *Shares) Give(user string, amount int64) {
+// Release returns an amount.
+func (p *Shares) Release(user string, amount int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.add(user, -amount)
@@ -94,15 +94,15 @@
 	return max(1, p.capacity/int64(shares))
 }
 
-// Full tells whether more is used than the capacity.
-func (p *Shares) Full() bool {
+// OverCapacity tells whether more is used than the capacity.
+func (p *Shares) OverCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.used > p.capacity
 }
 
-// Heaviest names the user that holds most; among equals, the first by name.
-func (p *Shares) Heaviest() string {
+// HeaviestUser names the user that holds most; among equals, the first by name.
+func (p *Shares) HeaviestUser() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	heaviest := ""
@@ -115,31 +115,31 @@
 	return heaviest
 }
 
-// Slice is one user's share.
-type Slice struct {
-	Who    string `json:"who"`
-	Used   int64  `json:"used"`
-	Turned int64  `json:"turned_away"` // number of refusals
+// UserShare is one user's share.
+type UserShare struct {
+	User     string `json:"who"`
+	Used     int64  `json:"used"`
+	Rejected int64  `json:"turned_away"` // number of refusals
 }
 
-// Slices lists the users, the heaviest first.
-func (p *Shares) Slices() []Slice {
+// UserShares lists the users, the heaviest first.
+func (p *Shares) UserShares() []UserShare {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var shares []Slice
+	var shares []UserShare
 	for user, amount := range p.usedBy {
-		shares = append(shares, Slice{Who: user, Used: amount, Turned: p.refusedTo[user]})
+		shares = append(shares, UserShare{User: user, Used: amount, Rejected: p.refusedTo[user]})
 	}
 	for user, refusals := range p.refusedTo {
 		if _, listed := p.usedBy[user]; !listed {
-			shares = append(shares, Slice{Who: user, Turned: refusals})
+			shares = append(shares, UserShare{User: user, Rejected: refusals})
 		}
 	}
 	sort.Slice(shares, func(i, j int) bool {
 		if shares[i].Used != shares[j].Used {
 			return shares[i].Used > shares[j].Used
 		}
-		return shares[i].Who < shares[j].Who
+		return shares[i].User < shares[j].User
 	})
 	return shares
 }
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -73,8 +73,8 @@
 	return n.Reply(true)
 }
 
-// Asker asks one grantor.
-type Asker interface {
+// Caller asks one grantor.
+type Caller interface {
 	Call(addr string, n *rpc.Message, d time.Duration) (*rpc.Message, error)
 }
 
@@ -83,7 +83,7 @@
 	ctx   context.Context
 	duty  string
 	self  rpc.Member
-	ask   Asker
+	ask   Caller
 	from  func() []rpc.Member
 	want  func() bool
 	local *Grantor
@@ -97,7 +97,7 @@
 }
 
 // NewHolder makes a holder; from names the grantors of the moment, want says whether the duty is wanted, local is this process's own grantor.
-func NewHolder(ctx context.Context, duty string, self rpc.Member, ask Asker, from func() []rpc.Member, want func() bool, local *Grantor) *Holder {
+func NewHolder(ctx context.Context, duty string, self rpc.Member, ask Caller, from func() []rpc.Member, want func() bool, local *Grantor) *Holder {
 	return &Holder{
 		ctx:   ctx,
 		duty:  duty,
@@ -117,8 +117,8 @@
 	return time.Now().Before(h.until)
 }
 
-// Since tells since when the duty is held without a gap; ok is false if it isn't held now.
-func (h *Holder) Since() (m time.Time, ok bool) {
+// HeldSince tells since when the duty is held without a gap; ok is false if it isn't held now.
+func (h *Holder) HeldSince() (m time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.since, time.Now().Before(h.until)
--- a/coord/loadsum/excess.go
+++ b/coord/loadsum/excess.go
@@ -7,8 +7,8 @@
 // Services tells which service a replica belongs to, and how many replicas each
 // service has.
 type Services struct {
-	Of   map[uint32]string // by the replica's key
-	Size map[string]int
+	ByReplica map[uint32]string // by the replica's key
+	Replicas  map[string]int
 }
 
 // Excess keeps of a sum what stands out: at each replica what is beyond the
@@ -16,15 +16,15 @@
 func Excess(piles []Load, services *Services) []Load {
 	tokens := map[string]float64{} // by service
 	for _, pile := range piles {
-		tokens[services.Of[pile.Key]] += float64(pile.Tokens)
+		tokens[services.ByReplica[pile.Key]] += float64(pile.Tokens)
 	}
 	var excess []Load
 	for _, pile := range piles {
-		service, known := services.Of[pile.Key]
+		service, known := services.ByReplica[pile.Key]
 		if !known {
 			continue
 		}
-		replicas := float64(max(1, services.Size[service]))
+		replicas := float64(max(1, services.Replicas[service]))
 		usual := deckMean*tokens[service]/replicas + deckLeast
 		over := float64(pile.Tokens) - usual
 		if over >= 1 {
--- a/coord/loadsum/sum_bench_test.go
+++ b/coord/loadsum/sum_bench_test.go
@@ -22,10 +22,10 @@
 }
 
 func BenchmarkExcess(b *testing.B) {
-	services := &Services{Of: map[uint32]string{}, Size: map[string]int{"a": 200}}
+	services := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 200}}
 	var piles []Load
 	for key := range uint32(200) {
-		services.Of[key] = "a"
+		services.ByReplica[key] = "a"
 		piles = append(piles, Load{key, 1000 * key})
 	}
 	b.ReportAllocs()
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -78,7 +78,7 @@
 		silent.Close()
 	}
 	channel, err := l.lines.Get(address)
-	if err == nil && channel.Quiet() >= rpc.CallTimeout { // one from before that may be dead
+	if err == nil && channel.IdleTime() >= rpc.CallTimeout { // one from before that may be dead
 		channel.Close()
 		channel, err = l.lines.Get(address)
 	}
@@ -114,7 +114,7 @@
 		return false
 	}
 	now := time.Now()
-	heardAt := now.Add(-k.channel.Quiet())
+	heardAt := now.Add(-k.channel.IdleTime())
 	if k.sentAt.IsZero() || !heardAt.Before(k.sentAt) {
 		k.sentAt = now
 		k.sent = 0
--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -223,8 +223,8 @@
 	ch.mu.Unlock()
 }
 
-// Quiet is how long nothing was heard.
-func (ch *Channel) Quiet() time.Duration {
+// IdleTime is how long nothing was heard.
+func (ch *Channel) IdleTime() time.Duration {
 	return time.Duration(time.Now().UnixNano() - ch.heard.Load())
 }
 
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -213,12 +213,12 @@
 			_, _ = b.Write(whole[:k])
 			whole = whole[k:]
 			time.Sleep(time.Second)
-			require.LessOrEqual(t, ch.Quiet(), time.Second)
+			require.LessOrEqual(t, ch.IdleTime(), time.Second)
 		}
 		synctest.Wait()
 		require.Len(t, got, 1000)
 		time.Sleep(5 * time.Second)
-		require.GreaterOrEqual(t, ch.Quiet(), 5*time.Second)
+		require.GreaterOrEqual(t, ch.IdleTime(), 5*time.Second)
 	})
 }
 
--- a/coord/rpc/net.go
+++ b/coord/rpc/net.go
@@ -25,18 +25,18 @@
 
 // Dial connects, with a bound on how long unacknowledged bytes may wait.
 func (TCP) Dial(addr string, d time.Duration) (net.Conn, error) {
-	x := net.Dialer{Timeout: d, KeepAlive: -1, Control: UserTimeout}
+	x := net.Dialer{Timeout: d, KeepAlive: -1, Control: setUserTimeout}
 	return x.Dial("tcp4", addr)
 }
 
 // Listen accepts connections.
 func (TCP) Listen(addr string) (net.Listener, error) {
-	x := net.ListenConfig{KeepAlive: -1, Control: UserTimeout}
+	x := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout}
 	return x.Listen(context.Background(), "tcp4", addr)
 }
 
-// UserTimeout sets TCP_USER_TIMEOUT on a socket.
-func UserTimeout(_, _ string, c syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	_ = c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout)
 	})
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	a, err := ch.Call(n, d)
-	if err != nil && ch.Quiet() >= d {
+	if err != nil && ch.IdleTime() >= d {
 		ch.Close()
 	}
 	return a, err
--- a/coord/slowness/detector.go
+++ b/coord/slowness/detector.go
@@ -122,8 +122,8 @@
 	d.samples = nil
 }
 
-// Hear takes what another node reported of itself.
-func (d *Detector) Hear(node string, slow bool) {
+// UpdatePeer takes what another node reported of itself.
+func (d *Detector) UpdatePeer(node string, slow bool) {
 	d.peers[node] = peerReport{slow: slow, step: d.step}
 }
 
@@ -149,27 +149,27 @@
 // nodes are.
 func (d *Detector) Slow() bool { return d.slow }
 
-// Out tells whether new connections should go to other nodes.
-func (d *Detector) Out() bool { return d.outSteps > 0 }
+// ShouldRefuseNew tells whether new connections should go to other nodes.
+func (d *Detector) ShouldRefuseNew() bool { return d.outSteps > 0 }
 
-// Shed tells whether open connections should move too: new ones have been turned
+// ShouldShed tells whether open connections should move too: new ones have been turned
 // away long enough for the platform to have noticed.
-func (d *Detector) Shed() bool { return d.outSteps > levelShed }
+func (d *Detector) ShouldShed() bool { return d.outSteps > levelShed }
 
 // State is what the state page shows.
 type State struct {
-	Slow    bool    `json:"slow"`
-	Out     bool    `json:"out"`
-	UsualUs float64 `json:"usual_us"`
-	Heard   int     `json:"heard"` // nodes whose report counts
+	Slow        bool    `json:"slow"`
+	RefusesNew  bool    `json:"out"`
+	UsualUs     float64 `json:"usual_us"`
+	PeerReports int     `json:"heard"` // nodes whose report counts
 }
 
 // State gives the detector's state.
 func (d *Detector) State() State {
 	return State{
-		Slow:    d.slow,
-		Out:     d.Out(),
-		UsualUs: d.usual / 1e3,
-		Heard:   len(d.peers),
+		Slow:        d.slow,
+		RefusesNew:  d.ShouldRefuseNew(),
+		UsualUs:     d.usual / 1e3,
+		PeerReports: len(d.peers),
 	}
 }
--- a/coord/slowness/detector_test.go
+++ b/coord/slowness/detector_test.go
@@ -18,7 +18,7 @@
 		l.Step(10*us, time.Millisecond)
 	}
 	for i := range peers {
-		l.Hear(fmt.Sprint("n", i), false)
+		l.UpdatePeer(fmt.Sprint("n", i), false)
 	}
 	return l
 }
@@ -33,7 +33,7 @@
 func slowly(l *Detector, well int) {
 	steps(l, levelBad+levelAfter, 50*us, 0)
 	for i := range well {
-		l.Hear(fmt.Sprint("n", i), false)
+		l.UpdatePeer(fmt.Sprint("n", i), false)
 	}
 	l.Step(50*us, 0)
 }
@@ -45,35 +45,35 @@
 	l.Step(50*us, time.Millisecond)
 	require.True(t, l.Slow())
 	steps(l, levelAfter, 50*us, time.Millisecond)
-	require.False(t, l.Out(), "what the others said before doesn't count")
-	l.Hear("n1", false)
+	require.False(t, l.ShouldRefuseNew(), "what the others said before doesn't count")
+	l.UpdatePeer("n1", false)
 	l.Step(50*us, time.Millisecond)
-	require.True(t, l.Out())
-	require.False(t, l.Shed(), "the platform must notice first")
+	require.True(t, l.ShouldRefuseNew())
+	require.False(t, l.ShouldShed(), "the platform must notice first")
 	steps(l, levelGood-1, 10*us, 0)
-	require.True(t, l.Out())
+	require.True(t, l.ShouldRefuseNew())
 	l.Step(10*us, 0)
-	require.False(t, l.Out())
+	require.False(t, l.ShouldRefuseNew())
 }
 
 func TestOpenConnectionsMoveOnceThePlatformHasNoticed(t *testing.T) {
 	l := calm(3)
 	slowly(l, 3)
 	for range levelShed {
-		require.False(t, l.Shed())
-		l.Hear("n1", false)
+		require.False(t, l.ShouldShed())
+		l.UpdatePeer("n1", false)
 		l.Step(50*us, 0)
 	}
-	require.True(t, l.Shed())
+	require.True(t, l.ShouldShed())
 	steps(l, levelGood, 10*us, 0)
-	require.False(t, l.Shed())
+	require.False(t, l.ShouldShed())
 }
 
 func TestUsualSpreadAndSingleLateTimersAreNoEvidence(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	l := calm(3)
 	for i := range 4000 {
-		l.Hear("n1", false)
+		l.UpdatePeer("n1", false)
 		late := time.Duration(r.IntN(3000)) * us
 		if i%10 == 0 {
 			late = time.Second
@@ -93,30 +93,30 @@
 	l := calm(3)
 	slowly(l, 0)
 	require.True(t, l.Slow())
-	require.False(t, l.Out(), "nobody was heard")
+	require.False(t, l.ShouldRefuseNew(), "nobody was heard")
 	for i := range 4 {
-		l.Hear(fmt.Sprint("n", i), i == 0)
+		l.UpdatePeer(fmt.Sprint("n", i), i == 0)
 	}
 	l.Step(50*us, 0)
-	require.True(t, l.Out(), "three in four are well: %v", l.peers)
-	l.Hear("n1", true)
-	l.Hear("n2", true)
+	require.True(t, l.ShouldRefuseNew(), "three in four are well: %v", l.peers)
+	l.UpdatePeer("n1", true)
+	l.UpdatePeer("n2", true)
 	l.Step(50*us, 0)
-	require.False(t, l.Out(), "most are slow")
-	l.Hear("n1", false)
+	require.False(t, l.ShouldRefuseNew(), "most are slow")
+	l.UpdatePeer("n1", false)
 	l.Step(50*us, 0)
-	require.True(t, l.Out(), "half are well")
+	require.True(t, l.ShouldRefuseNew(), "half are well")
 	steps(l, levelHeard, 50*us, 0)
-	require.False(t, l.Out(), "their report is old")
+	require.False(t, l.ShouldRefuseNew(), "their report is old")
 }
 
 func TestAMachineByTurnsSlowStaysOut(t *testing.T) {
 	l := calm(3)
 	slowly(l, 3)
 	for range 30 {
-		l.Hear("n1", false)
+		l.UpdatePeer("n1", false)
 		steps(l, levelGood-2, 10*us, 0)
-		require.True(t, l.Out())
+		require.True(t, l.ShouldRefuseNew())
 		steps(l, 2, 50*us, 0)
 	}
 }
@@ -149,8 +149,8 @@
 			if (s+i)%3 == 0 {
 				for d := 1; d <= 2; d++ {
 					j := (i + d*5) % len(ls)
-					l.Hear(fmt.Sprint(j), ls[j].Slow())
-					ls[j].Hear(fmt.Sprint(i), l.Slow())
+					l.UpdatePeer(fmt.Sprint(j), ls[j].Slow())
+					ls[j].UpdatePeer(fmt.Sprint(i), l.Slow())
 				}
 			}
 			w := 10 * us
@@ -158,7 +158,7 @@
 				w *= 5
 			}
 			l.Step(w, 0)
-			if l.Out() {
+			if l.ShouldRefuseNew() {
 				out++
 			}
 		}
--- a/coord/slowness/watch.go
+++ b/coord/slowness/monitor.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Watch steps a detector with what this process measures of itself.
-type Watch struct {
+// Monitor steps a detector with what this process measures of itself.
+type Monitor struct {
 	ctx  context.Context
 	log  *slog.Logger
 	work func() time.Duration
@@ -20,13 +20,13 @@
 	lastLook time.Time
 }
 
-// NewWatch makes a watch. The function work does the piece of work and gives its
+// NewMonitor makes a monitor. The function work does the piece of work and gives its
 // time; nil stands for the usual piece of work.
-func NewWatch(ctx context.Context, log *slog.Logger, work func() time.Duration) *Watch {
+func NewMonitor(ctx context.Context, log *slog.Logger, work func() time.Duration) *Monitor {
 	if work == nil {
 		work = hashingWork()
 	}
-	return &Watch{ctx: ctx, log: log.With("part", "slowness"), work: work, detector: NewDetector()}
+	return &Monitor{ctx: ctx, log: log.With("part", "slowness"), work: work, detector: NewDetector()}
 }
 
 // hashingWork makes the usual piece of work: it hashes a buffer a few times and
@@ -49,21 +49,21 @@
 	}
 }
 
-// Look measures once. It is to be called every LevelEvery; by how much a call is
+// Measure measures once. It is to be called every LevelEvery; by how much a call is
 // late is part of the observation.
-func (w *Watch) Look() {
+func (w *Monitor) Measure() {
 	now := time.Now()
 	work := w.work()
 	w.mu.Lock()
 	late := w.lateness(now)
-	outBefore := w.detector.Out()
+	outBefore := w.detector.ShouldRefuseNew()
 	w.detector.Step(work, late)
 	state := w.detector.State()
 	w.mu.Unlock()
-	if state.Out != outBefore {
+	if state.RefusesNew != outBefore {
 		w.log.Info("own machine",
 			"slow", state.Slow,
-			"out", state.Out,
+			"out", state.RefusesNew,
 			"work_us", work.Microseconds(),
 			"usual_us", int64(state.UsualUs),
 			"late_ms", late.Milliseconds())
@@ -72,7 +72,7 @@
 
 // lateness is by how much a look is late after the one before it; the caller
 // holds the lock.
-func (w *Watch) lateness(now time.Time) time.Duration {
+func (w *Monitor) lateness(now time.Time) time.Duration {
 	previous := w.lastLook
 	w.lastLook = now
 	if previous.IsZero() {
@@ -81,36 +81,36 @@
 	return now.Sub(previous) - Interval
 }
 
-// Hear takes what another node reported of itself.
-func (w *Watch) Hear(node string, slow bool) {
+// UpdatePeer takes what another node reported of itself.
+func (w *Monitor) UpdatePeer(node string, slow bool) {
 	w.mu.Lock()
-	w.detector.Hear(node, slow)
+	w.detector.UpdatePeer(node, slow)
 	w.mu.Unlock()
 }
 
 // Slow tells whether this machine is much slower than usual.
-func (w *Watch) Slow() bool {
+func (w *Monitor) Slow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.detector.Slow()
 }
 
-// Out tells whether new connections should go to other nodes.
-func (w *Watch) Out() bool {
+// ShouldRefuseNew tells whether new connections should go to other nodes.
+func (w *Monitor) ShouldRefuseNew() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.detector.Out()
+	return w.detector.ShouldRefuseNew()
 }
 
-// Shed tells whether open connections should move too.
-func (w *Watch) Shed() bool {
+// ShouldShed tells whether open connections should move too.
+func (w *Monitor) ShouldShed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.detector.Shed()
+	return w.detector.ShouldShed()
 }
 
 // State gives what the state page shows.
-func (w *Watch) State() State {
+func (w *Monitor) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.detector.State()
--- a/coord/slowness/watch_test.go
+++ b/coord/slowness/monitor_test.go
@@ -13,11 +13,11 @@
 func TestAWatchSeesLateLooksAndSlowWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := 10 * us
-		w := NewWatch(context.Background(), slog.New(slog.DiscardHandler), func() time.Duration { return work })
+		w := NewMonitor(context.Background(), slog.New(slog.DiscardHandler), func() time.Duration { return work })
 		look := func(n int, every time.Duration) {
 			for range n {
-				w.Hear("n1", false)
-				w.Look()
+				w.UpdatePeer("n1", false)
+				w.Measure()
 				time.Sleep(every)
 			}
 		}
@@ -29,17 +29,17 @@
 		require.False(t, w.Slow())
 		work *= 5
 		look(levelBad+levelAfter+1, Interval)
-		require.True(t, w.Out())
-		require.False(t, w.Shed())
+		require.True(t, w.ShouldRefuseNew())
+		require.False(t, w.ShouldShed())
 		look(levelShed, Interval)
-		require.True(t, w.Shed())
+		require.True(t, w.ShouldShed())
 		require.InDelta(t, 10, w.State().UsualUs, 0.01)
 	})
 }
 
 func TestTheUsualPieceOfWorkTakesTime(t *testing.T) {
-	w := NewWatch(context.Background(), slog.New(slog.DiscardHandler), nil)
+	w := NewMonitor(context.Background(), slog.New(slog.DiscardHandler), nil)
 	require.Positive(t, w.work())
-	w.Look()
+	w.Measure()
 	require.False(t, w.Slow())
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -95,7 +95,7 @@
 	c.lines = rpc.NewPool(ctx, p.Net, c.handle)
 	c.feed = distribution.NewFeed(ctx, log, c.news, func(uint64, uint64) {
 		if c.follower != nil {
-			c.follower.Tell()
+			c.follower.ReportProgress()
 		}
 	})
 	member, err := replication.New(ctx, log, c.replicationConfig(p.Store))
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	c.replica = currentMember{member}
-	c.follower = distribution.NewFollower(ctx, p.Net, c.feed, member.Self(), true, c.upstream, c.feed.Reached)
+	c.follower = distribution.NewFollower(ctx, p.Net, c.feed, member.Self(), true, c.upstream, c.feed.EndFollowers)
 	c.follower.Carry(c.carry)
 	c.follower.Others(c.spread)
 	c.duty = lease.NewHolder(ctx, "list", member.Self(), c.lines, c.witnesses, c.wantsDuty, c.grantor)
@@ -206,10 +206,10 @@
 	case rpc.Lease:
 		return c.grantor.Handle(n)
 	case rpc.Subscribe:
-		c.feed.Follow(ch, n)
+		c.feed.HandleSubscribe(ch, n)
 	case rpc.UpdateAck:
 		c.hear(n.Body)
-		c.feed.Ack(ch, n)
+		c.feed.HandleAck(ch, n)
 	case rpc.Suspect:
 		c.suspect(n)
 	case rpc.Loan:
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -18,7 +18,7 @@
 	}
 	now := time.Now()
 	c.mu.Lock()
-	for _, s := range c.feed.Reached() {
+	for _, s := range c.feed.EndFollowers() {
 		c.fleet[s.Address] = now
 	}
 	var nodes []string
@@ -56,7 +56,7 @@
 	if n.OK {
 		return
 	}
-	for _, s := range c.feed.Reached() {
+	for _, s := range c.feed.EndFollowers() {
 		if s.Address == n.Text {
 			return
 		}
--- a/internal/controller/lending.go
+++ b/internal/controller/lending.go
@@ -24,7 +24,7 @@
 		}
 		return a
 	}
-	since, held := c.duty.Since()
+	since, held := c.duty.HeldSince()
 	if !held {
 		return n.Reply(false)
 	}
--- a/internal/controller/loadsum.go
+++ b/internal/controller/loadsum.go
@@ -27,7 +27,7 @@
 		}
 		ps = loadsum.Excess(ps, s)
 		if len(ps) > 0 || told {
-			c.feed.Spread(c.deckNote(ps))
+			c.feed.Broadcast(c.deckNote(ps))
 		}
 		told = len(ps) > 0
 		return true
@@ -39,10 +39,10 @@
 }
 
 func services(v *state.View) *loadsum.Services {
-	s := &loadsum.Services{Of: make(map[uint32]string, len(v.Replicas)), Size: map[string]int{}}
+	s := &loadsum.Services{ByReplica: make(map[uint32]string, len(v.Replicas)), Replicas: map[string]int{}}
 	for id, r := range v.Replicas {
-		s.Of[loadsum.Key(id)] = r.Pool
-		s.Size[r.Pool]++
+		s.ByReplica[loadsum.Key(id)] = r.Pool
+		s.Replicas[r.Pool]++
 	}
 	return s
 }
@@ -50,6 +50,6 @@
 // spread passes the primary's word on to this relay's followers.
 func (c *Controller) spread(n *rpc.Message) {
 	if n.Kind == rpc.LoadSums {
-		c.feed.Spread(n)
+		c.feed.Broadcast(n)
 	}
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -95,7 +95,7 @@
 		return
 	}
 	left := time.Until(deadline) - answerMargin
-	c.feed.Wait(ctx, number, max(0, min(ackWait, left)))
+	c.feed.WaitAcked(ctx, number, max(0, min(ackWait, left)))
 }
 
 // Read gives the view that the witnesses confirmed to be the newest after the call.
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -11,7 +11,7 @@
 // begin makes this process the source of the updates of an epoch: orders from its own state, the rest from what
 // it has heard as a relay.
 func (c *Controller) begin(epoch uint64) {
-	c.follower.Drop()
+	c.follower.Disconnect()
 	source := c.feed.Begin(epoch, c.firstView)
 	if c.source.Swap(source) == nil {
 		c.officeFrom.Store(time.Now().UnixNano())
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -105,7 +105,7 @@
 	sharesHeap, _ := cost(func() any {
 		shares := fairshare.New(ample, fairshare.CalmFraction)
 		for i := range routes {
-			shares.Add(componentRoute(i), 1)
+			shares.Acquire(componentRoute(i), 1)
 		}
 		return shares
 	})
--- a/internal/placement/waiting_test.go
+++ b/internal/placement/waiting_test.go
@@ -29,9 +29,9 @@
 		}
 		sum.Put(1, here.Waiting(), time.Now())
 		sum.Put(2, there.Waiting(), time.Now())
-		all := &loadsum.Services{Of: map[uint32]string{}, Size: map[string]int{"p": 9}}
+		all := &loadsum.Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"p": 9}}
 		for id := range here.b {
-			all.Of[loadsum.Key(id)] = "p"
+			all.ByReplica[loadsum.Key(id)] = "p"
 		}
 		here.Hear(loadsum.Decode(loadsum.Encode(loadsum.Excess(sum.Total(time.Now()), all))))
 		next, ok := here.Place(short())
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -17,7 +17,7 @@
 	if owned.Len() == 0 {
 		delete(x.owners, dropped.owner)
 	}
-	x.memory.Give(dropped.owner, 1)
+	x.memory.Release(dropped.owner, 1)
 	x.removeHolder(dropped)
 	x.runs--
 }
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -59,4 +59,4 @@
 }
 
 // Portions lists how many runs each owner holds.
-func (x *Index) Portions() []fairshare.Slice { return x.memory.Slices() }
+func (x *Index) Portions() []fairshare.UserShare { return x.memory.UserShares() }
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -172,7 +172,7 @@
 	runs, _, _ := x.Stats()
 	require.Equal(t, 300, runs, "the whole is never exceeded")
 	ps := x.Portions()
-	require.Equal(t, "ledgers", ps[0].Who)
+	require.Equal(t, "ledgers", ps[0].User)
 	require.Equal(t, int64(200), ps[0].Used, "and the heavy one has all that is left")
 	x.Keep(map[string]bool{})
 	runs, _, _ = x.Stats()
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -36,7 +36,7 @@
 	if len(x.queue) > storeQueue {
 		heap.Remove(&x.queue, x.queue.lowest())
 	}
-	if len(x.queue) >= storeQueue/drainPart || !x.memory.Full() {
+	if len(x.queue) >= storeQueue/drainPart || !x.memory.OverCapacity() {
 		x.drain()
 	}
 }
@@ -95,8 +95,8 @@
 	for cache.used > cache.capacity && cache.recent.Len() > 0 { // the replica's memory: it knows no owners
 		x.evict(cache.oldest())
 	}
-	for x.memory.Full() { // this process's memory: the heaviest owner gives way
-		x.evict(x.owners[x.memory.Heaviest()].Back().Value.(*run))
+	for x.memory.OverCapacity() { // this process's memory: the heaviest owner gives way
+		x.evict(x.owners[x.memory.HeaviestUser()].Back().Value.(*run))
 	}
 	cache.fade()
 }
@@ -123,5 +123,5 @@
 	cache.used += added.tokens
 	cache.stores++
 	x.runs++
-	x.memory.Add(added.owner, 1)
+	x.memory.Acquire(added.owner, 1)
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -146,7 +146,7 @@
 		return false
 	}
 	switch {
-	case failed && q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts):
+	case failed && q.try.MayRetry(q.path.Repeatable(), q.path.Attempts):
 		return true
 	case promise(p.Status):
 		q.giveUp(errkind.UpstreamFailure, "the replica refused after it may have run")
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -25,7 +25,7 @@
 			q.giveUp(errkind.DeadlineExceeded, "time ran out")
 			return
 		}
-		if !q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts) {
+		if !q.try.MayRetry(q.path.Repeatable(), q.path.Attempts) {
 			q.giveUp(errkind.UpstreamFailure, "replicas failed")
 			return
 		}
@@ -36,7 +36,7 @@
 			}
 			continue
 		}
-		if q.try.Sent() == 0 && !letIn(choice, left) {
+		if q.try.Sends() == 0 && !letIn(choice, left) {
 			q.g.yard.Done(q.placed(choice))
 			q.refuse(errkind.Overloaded)
 			return
@@ -90,9 +90,9 @@
 		connection.Back()
 		return true
 	}
-	q.try.Begin()
+	q.try.BeginSend()
 	answer, state, err := connection.Send(q.upstreamRequest(c, at))
-	q.try.Move(state)
+	q.try.Advance(state)
 	if err != nil {
 		return q.sendFailed(c.Replica.ID, connection, state, err)
 	}
@@ -128,7 +128,7 @@
 		}
 		return nil, true
 	}
-	if q.try.Sent() > 0 {
+	if q.try.Sends() > 0 {
 		if !q.g.further(q.pool.Name, left) {
 			connection.Back()
 			q.giveUp(errkind.UpstreamFailure, "no further try is left")
@@ -227,7 +227,7 @@
 // the last.
 func (q *request) again(why string) bool {
 	resumable := !q.began || q.lastID >= 0
-	if resumable && q.try.MayRepeat(q.path.Repeatable(), q.path.Attempts) {
+	if resumable && q.try.MayRetry(q.path.Repeatable(), q.path.Attempts) {
 		return true
 	}
 	q.giveUp(errkind.UpstreamFailure, why)
@@ -236,7 +236,7 @@
 
 // patience is how long a replica may be silent before another one is tried; 0 if none may be.
 func (q *request) patience() time.Duration {
-	if !q.path.Repeatable() || q.try.Sent() >= q.path.Attempts {
+	if !q.path.Repeatable() || q.try.Sends() >= q.path.Attempts {
 		return 0
 	}
 	if q.began {
@@ -324,7 +324,7 @@
 	case upstream.Body:
 		l.head.Bytes = part.Bytes
 	case upstream.End:
-		q.try.Move(part.State)
+		q.try.Advance(part.State)
 		if part.State == attempt.Answered && l.head.Status < http.StatusInternalServerError {
 			q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
 		}
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -76,7 +76,7 @@
 func (g *Router) keep() {
 	n := 0
 	wait.Every(g.ctx, slowness.Interval, func() bool {
-		g.level.Look()
+		g.level.Measure()
 		if n++; n%sweepLooks == 0 {
 			g.sweep()
 		}
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -39,6 +39,6 @@
 	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval
 	g.mu.Unlock()
 	if due {
-		g.follower.Tell()
+		g.follower.ReportProgress()
 	}
 }
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -30,7 +30,7 @@
 		gauge("ready", "1 if the node calls itself ready.", ready),
 		gauge("setup_revision", "Revision of the configuration in force.", float64(v.Config.Revision)),
 		gauge("news_number", "Newest change taken in this life of the news.", float64(num)),
-		gauge("news_heard_ago_seconds", "Time since control was last heard.", g.cursor.Age().Seconds()),
+		gauge("news_heard_ago_seconds", "Time since control was last heard.", g.cursor.SinceContact().Seconds()),
 		gauge("fleet_nodes", "Routers that share the budgets.", float64(v.FleetSize)),
 		gauge("replicas", "Replicas on the list.", float64(len(v.Replicas))),
 		gauge("suspected_nodes", "Watched nodes that do not answer.", float64(len(g.watcher.Suspected()))),
--- a/internal/router/longwork_neighbours.go
+++ b/internal/router/longwork_neighbours.go
@@ -34,7 +34,7 @@
 // bodyMemoryUsed is the memory that bodies hold, in bytes.
 func (l *longWork) bodyMemoryUsed() float64 {
 	used := int64(0)
-	for _, share := range l.gate.bodies.Slices() {
+	for _, share := range l.gate.bodies.UserShares() {
 		used += share.Used
 	}
 	return float64(used)
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -201,7 +201,7 @@
 
 // broken gives the request up: its answer can't be used, and it has run.
 func (j *offeredJob) broken(why string) jobState {
-	j.request.try.Elsewhere(0, true)
+	j.request.try.AddRemote(0, true)
 	j.request.giveUp(errkind.UpstreamFailure, why)
 	return jobAnswered
 }
@@ -221,14 +221,14 @@
 		work.counters.lost++
 		work.log.Warn("a neighbour was lost, its job is placed anew", "node", j.node, "request", q.id)
 	}
-	q.try.Elsewhere(q.path.Attempts-attemptsLeft-q.try.Sent(), lost)
+	q.try.AddRemote(q.path.Attempts-attemptsLeft-q.try.Sends(), lost)
 	return true
 }
 
 // ended takes the outcome of a job that does not come back.
 func (j *offeredJob) ended(effect handoff.Effect) jobState {
 	q := j.request
-	q.try.Elsewhere(effect.Message.Shots, effect.Outcome != handoff.Refused)
+	q.try.AddRemote(effect.Message.Shots, effect.Outcome != handoff.Refused)
 	switch effect.Outcome {
 	case handoff.Whole:
 		return j.completed()
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -132,7 +132,7 @@
 	defer work.mu.Unlock()
 	queue := work.queue(q.ask.Pool)
 	until := work.now() + min(time.Until(q.refuseAt()), time.Until(q.deadline))
-	if q.try.Sent() > 0 {
+	if q.try.Sends() > 0 {
 		queue.handoff.Enter()
 		return true, nil
 	}
--- a/internal/router/longwork_taken.go
+++ b/internal/router/longwork_taken.go
@@ -66,7 +66,7 @@
 	result := handoff.Returned
 	if r.request != nil {
 		r.request.release()
-		attempts = r.request.try.Sent()
+		attempts = r.request.try.Sends()
 		result = r.outcome(cause != nil)
 	}
 	work, ticket := r.work, r.writer.ticket
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -35,7 +35,7 @@
 		"channels_made": &g.made,
 		"budget_left":   g.budgetSection(),
 		"index":         g.indexSection(),
-		"bodies":        g.bodies.Slices(),
+		"bodies":        g.bodies.UserShares(),
 		"yard":          g.yard.Stats(),
 		"suspected":     g.watcher.Suspected(),
 		"machine":       g.level.State(),
@@ -48,8 +48,8 @@
 	return map[string]any{
 		"epoch":        epoch,
 		"number":       number,
-		"source":       g.follower.Source(),
-		"heard_ago_ms": g.cursor.Age().Milliseconds(),
+		"source":       g.follower.SourceAddress(),
+		"heard_ago_ms": g.cursor.SinceContact().Milliseconds(),
 	}
 }
 
--- a/internal/router/readiness.go
+++ b/internal/router/readiness.go
@@ -25,7 +25,7 @@
 		if err != nil || !a.OK {
 			return false
 		}
-		g.level.Hear(node, a.Text == slowWord)
+		g.level.UpdatePeer(node, a.Text == slowWord)
 		g.long.roomOf(node, a)
 		return true
 	}
@@ -41,7 +41,7 @@
 		return nil
 	}
 	if n.From.Address != "" {
-		g.level.Hear(n.From.Address, n.Text == slowWord)
+		g.level.UpdatePeer(n.From.Address, n.Text == slowWord)
 	}
 	a := n.Reply(true)
 	a.Text = g.word()
@@ -49,10 +49,12 @@
 }
 
 // takesNew tells whether the platform may send new connections here.
-func (g *Router) takesNew() bool { return g.ready.Load() && !g.leaving.Load() && !g.level.Out() }
+func (g *Router) takesNew() bool {
+	return g.ready.Load() && !g.leaving.Load() && !g.level.ShouldRefuseNew()
+}
 
 // letsGo tells whether clients should take their open connections elsewhere.
-func (g *Router) letsGo() bool { return g.leaving.Load() || g.level.Shed() }
+func (g *Router) letsGo() bool { return g.leaving.Load() || g.level.ShouldShed() }
 
 func (g *Router) readiness(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && r.URL.Path == "/v1/readiness" {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -41,14 +41,14 @@
 	body     []byte
 	head     http.Header
 	ask      *placement.Request
-	try      attempt.Try // what may be said of it
-	began    bool        // the client has the head of an answer
-	lastID   int64       // of the newest event that the client has, -1 before the first
-	step     int64       // between the ids of two events
-	held     int64       // bytes booked for the body
-	long     bool        // long work (longwork_offer.go)
-	taken    bool        // it is run for another router
-	place    string      // the service among whose long work it runs
+	try      attempt.History // what may be said of it
+	began    bool            // the client has the head of an answer
+	lastID   int64           // of the newest event that the client has, -1 before the first
+	step     int64           // between the ids of two events
+	held     int64           // bytes booked for the body
+	long     bool            // long work (longwork_offer.go)
+	taken    bool            // it is run for another router
+	place    string          // the service among whose long work it runs
 }
 
 func newRequest(g *Router, w http.ResponseWriter, r *http.Request) *request {
@@ -205,7 +205,7 @@
 // hold books memory for a body; when it is crowded, a path that has its portion is refused and the
 // others are not.
 func (q *request) hold(n int64) bool {
-	if !q.g.bodies.Take(q.path.Name, n) {
+	if !q.g.bodies.TryAcquire(q.path.Name, n) {
 		q.w.Header().Set("Connection", "close")
 		q.refuse(errkind.Overloaded)
 		return false
@@ -217,7 +217,7 @@
 func (q *request) release() {
 	q.leavePlace()
 	if q.held > 0 {
-		q.g.bodies.Give(q.path.Name, q.held)
+		q.g.bodies.Release(q.path.Name, q.held)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -50,7 +50,7 @@
 	follower  *distribution.Follower
 	front     *frontend.Front
 	watcher   *failuredetector.Watcher
-	level     *slowness.Watch
+	level     *slowness.Monitor
 	index     *prefixindex.Index
 	yard      *placement.Placer
 	budget    *Budget
@@ -111,7 +111,7 @@
 	g.cursor = distribution.NewCursor(g.book)
 	seat := rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone}
 	g.follower = distribution.NewFollower(ctx, p.Net, g.cursor, seat, false, g.pick, nil)
-	g.level = slowness.NewWatch(ctx, log, p.Work)
+	g.level = slowness.NewMonitor(ctx, log, p.Work)
 	g.long = newLongWork(g)
 	g.watcher = g.newWatcher(self)
 	g.follower.Carry(g.words)
--- a/internal/router/source.go
+++ b/internal/router/source.go
@@ -50,7 +50,7 @@
 
 // nearer changes over to the own locality's controller once it is known, unless it failed lately.
 func (g *Router) nearer(v *state.View) {
-	src := g.follower.Source()
+	src := g.follower.SourceAddress()
 	if src == "" {
 		return
 	}
@@ -65,7 +65,7 @@
 	for _, h := range v.Controllers {
 		if h.Zone == e.Zone && time.Since(g.bad[h.Address]) >= 2*e.Contact() {
 			g.dropped = src
-			go g.follower.Drop()
+			go g.follower.Disconnect()
 			return
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -116,7 +116,7 @@
 			p.mu.Unlock()
 			return nil, errkind.New(errkind.Overloaded, "no share of the replica's connections")
 		}
-		if p.pie.Take(owner, 1) {
+		if p.pie.TryAcquire(owner, 1) {
 			had := len(p.free)
 			if ch := p.idle(wary); ch != nil {
 				ch.owner = owner
@@ -141,7 +141,7 @@
 				p.mu.Unlock()
 				return p.dial(owner, end)
 			}
-			p.pie.Give(owner, 1)
+			p.pie.Release(owner, 1)
 		}
 		w := make(chan struct{}, 1)
 		p.wait = append(p.wait, w)
@@ -195,7 +195,7 @@
 	if err != nil {
 		p.mu.Lock()
 		p.open--
-		p.pie.Give(owner, 1)
+		p.pie.Release(owner, 1)
 		p.signal()
 		p.mu.Unlock()
 		return nil, errkind.Wrap(errkind.UpstreamFailure, err, "dial")
@@ -217,7 +217,7 @@
 // release ends an owner's use of a connection; the caller holds the pool.
 func (p *Pool) release(ch *Connection) {
 	if ch.owner != "" {
-		p.pie.Give(ch.owner, 1)
+		p.pie.Release(ch.owner, 1)
 		ch.owner = ""
 	}
 }
