--- a/internal/sim/net.go
+++ b/internal/simtest/net.go
@@ -1,5 +1,4 @@
-// Package sim is the simulated world of the tests: a network with delay, cuts and resets, disks with faults, and stand-ins for platform, replicas, operator and clients that judge what they see.
-package sim
+package simtest
 
 import (
 	"net"
--- a/internal/sim/replica.go
+++ b/internal/simtest/replica.go
@@ -1,4 +1,4 @@
-package sim
+package simtest
 
 import (
 	"hash/crc32"
--- a/internal/sim/rule_drain.go
+++ b/internal/simtest/rule_drain.go
@@ -1,4 +1,4 @@
-package sim
+package simtest
 
 // checkDrain holds an arrival against the time since the platform's list showed the replica as leaving. The time stands still while the platform is down. It runs while the core isn't settled, and binds a machine as soon as that is in touch; scenarios that don't ask for this are held to the time out of touch too.
 func checkDrain(a *arrival) string {
--- a/internal/sim/rule_lost.go
+++ b/internal/simtest/rule_lost.go
@@ -1,4 +1,4 @@
-package sim
+package simtest
 
 // checkLost holds an exchange without a complete answer against the planned work around it: it must not be why the connection ended.
 func checkLost(w *World, x *exchange) string {
