--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -13,6 +13,6 @@
 
 func main() {
 	settings.Main("router", "Carries clients' requests to model replicas.", settings.Need{Front: true}, func(ctx context.Context, log *slog.Logger, e *settings.Settings) (settings.Daemon, error) {
-		return router.New(ctx, log, router.Plan{Env: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}}), nil
+		return router.New(ctx, log, router.Options{Settings: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}}), nil
 	})
 }
--- a/coord/handoff/class.go
+++ b/coord/handoff/class.go
@@ -4,32 +4,32 @@
 	"time"
 )
 
-// Marks draw the line between long work and prompt work, in aims of the route.
-type Marks struct {
+// Thresholds draw the line between long work and prompt work, in aims of the route.
+type Thresholds struct {
 	Patient float64 // a route whose timeout is this many aims or more has people who can wait
 	Heavy   float64 // a request that runs for this many aims or more is long work
 }
 
-// Ask is what the configuration and a request's own heads tell of it.
-type Ask struct {
-	Stream   bool          // the route answers with events
-	Aim      time.Duration // target_latency_ms
-	Timeout  time.Duration // timeout_ms
-	Gap      time.Duration // target_gap_ms: the longest pause between events
-	Stride   float64       // tokens an event may carry
-	In, Out  int           // Token-Counts
-	PerToken time.Duration // time to read one token of a prompt
+// Demand is what the configuration and a request's own heads tell of it.
+type Demand struct {
+	Stream                     bool          // the route answers with events
+	Aim                        time.Duration // target_latency_ms
+	Timeout                    time.Duration // timeout_ms
+	Gap                        time.Duration // target_gap_ms: the longest pause between events
+	Stride                     float64       // tokens an event may carry
+	PromptTokens, OutputTokens int           // Token-Counts
+	PerToken                   time.Duration // time to read one token of a prompt
 }
 
-// Long tells whether a request is long work: people can wait for it, and it runs long. Where the configuration or the request does not say enough, it is prompt work.
-func (m Marks) Long(a Ask) bool {
-	if !a.Stream || a.Aim <= 0 || a.Out <= 0 || float64(a.Timeout) < m.Patient*float64(a.Aim) {
+// IsLong tells whether a request is long work: people can wait for it, and it runs long. Where the configuration or the request does not say enough, it is prompt work.
+func (m Thresholds) IsLong(a Demand) bool {
+	if !a.Stream || a.Aim <= 0 || a.OutputTokens <= 0 || float64(a.Timeout) < m.Patient*float64(a.Aim) {
 		return false
 	}
 	gap := a.Gap
 	if gap <= 0 {
 		gap = a.Aim
 	}
-	run := float64(a.In)*float64(a.PerToken) + float64(a.Out)/max(1, a.Stride)*float64(gap)
+	run := float64(a.PromptTokens)*float64(a.PerToken) + float64(a.OutputTokens)/max(1, a.Stride)*float64(gap)
 	return run >= m.Heavy*float64(a.Aim)
 }
--- a/coord/handoff/compatibility_test.go
+++ b/coord/handoff/compatibility_test.go
@@ -15,7 +15,7 @@
 		"drop":     Drop,
 		"accept":   Accept,
 		"decline":  Decline,
-		"begun":    Begun,
+		"begun":    Started,
 		"part":     Part,
 		"done":     Done,
 		"returned": Returned,
--- a/coord/handoff/message.go
+++ b/coord/handoff/message.go
@@ -15,7 +15,7 @@
 	Drop                     // the owner has no more use for it
 	Accept                   // yes, under this ticket, if the go-ahead comes within the lease
 	Decline                  // no
-	Begun                    // it runs
+	Started                  // it runs
 	Part                     // a piece of the answer
 	Done                     // the answer is whole
 	Returned                 // no replica has run it, and none will under this ticket
@@ -44,33 +44,33 @@
 
 // Ticket names one acceptance: the taker's life and a number that this life gives out once.
 type Ticket struct {
-	Life, Number uint64
+	Incarnation, Number uint64
 }
 
 // Message is what owner and taker tell each other.
 type Message struct {
-	Kind   Kind
-	Peer   string // whom it goes to, or whom it came from
-	Owner  uint64 // the owner's life
-	Job    uint64 // the owner's number for the job
-	Turn   uint64 // the job's offers are counted
-	Ticket Ticket
-	Number uint64 // of a part; with Done, how many parts there were
-	Shots  int    // Offer: replicas it may be sent to; Returned, Failed: replicas it was sent to
-	Body   []byte
+	Kind        Kind
+	Peer        string // whom it goes to, or whom it came from
+	Owner       uint64 // the owner's life
+	Job         uint64 // the owner's number for the job
+	OfferNumber uint64 // the job's offers are counted
+	Ticket      Ticket
+	Number      uint64 // of a part; with Done, how many parts there were
+	Attempts    int    // Offer: replicas it may be sent to; Returned, Failed: replicas it was sent to
+	Body        []byte
 }
 
-// Do says what is to be done for an effect.
-type Do uint8
+// Action says what is to be done for an effect.
+type Action uint8
 
 // The effects.
 const (
-	Send    Do = iota + 1 // Message goes out
-	Begin                 // taker: start the run under Ticket
-	Stop                  // taker: break off the run under Ticket
-	Deliver               // owner: pass a part of the answer on to the client
-	Back                  // owner: the job is held again: place it anew or give it up
-	End                   // owner: the final answer, by Outcome
+	Send    Action = iota + 1 // Message goes out
+	Begin                     // taker: start the run under Ticket
+	Stop                      // taker: break off the run under Ticket
+	Deliver                   // owner: pass a part of the answer on to the client
+	Requeue                   // owner: the job is held again: place it anew or give it up
+	End                       // owner: the final answer, by Outcome
 )
 
 // Outcome is how a job ends for the client.
@@ -78,15 +78,15 @@
 
 // The outcomes.
 const (
-	Whole   Outcome = iota + 1 // the answer came whole
-	Refused                    // promised: nothing has run it, nothing will
-	Broken                     // something may have run it
-	Late                       // the time ran out and something may have run it
+	Complete         Outcome = iota + 1 // the answer came whole
+	Rejected                            // promised: nothing has run it, nothing will
+	Indeterminate                       // something may have run it
+	DeadlineExceeded                    // the time ran out and something may have run it
 )
 
 // Effect is one thing that a machine wants done.
 type Effect struct {
-	Do      Do
+	Action  Action
 	Message Message
 	Job     uint64
 	Ticket  Ticket
@@ -96,9 +96,9 @@
 
 // Bounds are the spans and counts that owner and taker keep to.
 type Bounds struct {
-	Answer time.Duration // an offer not answered for so long is void
-	Accept time.Duration // an accepted job waits so long for its go-ahead
-	Renew  time.Duration // the go-ahead is repeated this often
-	Lease  time.Duration // so long without a word, and the other side counts as lost
-	Graves int           // ended jobs that a taker remembers, so as to answer for them
+	AnswerTimeout time.Duration // an offer not answered for so long is void
+	AcceptTimeout time.Duration // an accepted job waits so long for its go-ahead
+	RenewInterval time.Duration // the go-ahead is repeated this often
+	Lease         time.Duration // so long without a word, and the other side counts as lost
+	Tombstones    int           // ended jobs that a taker remembers, so as to answer for them
 }
--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -25,7 +25,7 @@
 var (
 	modelFaults   = flag.Int("model.faults", 0, "explore so many faults beside one death or freeze, instead of the usual sizes")
 	modelDeadline = time.Duration(3)
-	modelBounds   = Bounds{Answer: 1, Accept: 1, Renew: 1, Lease: 2, Graves: 1}
+	modelBounds   = Bounds{AnswerTimeout: 1, AcceptTimeout: 1, RenewInterval: 1, Lease: 2, Tombstones: 1}
 )
 
 type flight struct {
@@ -97,9 +97,9 @@
 func (m *model) key() uint64 {
 	rel := func(x time.Duration) byte { return byte(max(-4, min(x-m.now, 12)) + 4) }
 	b := []byte{bits(m.ownerDead, m.frozen[0], m.frozen[1], m.held), byte(m.troubles), byte(m.resets), byte(m.owner.life), byte(m.faults), byte(m.turns), byte(m.outcome),
-		byte(m.lastFrom.Life), byte(m.lastFrom.Number), byte(m.delivered), byte(m.taker.life), byte(m.taker.next)}
+		byte(m.lastFrom.Incarnation), byte(m.lastFrom.Number), byte(m.delivered), byte(m.taker.life), byte(m.taker.next)}
 	for _, j := range m.owner.jobs {
-		b = append(b, byte(j.shots), byte(j.lent), bits(j.lost), byte(j.stage), byte(j.turn), byte(j.ticket.Life), byte(j.ticket.Number), byte(j.parts), rel(j.deadline))
+		b = append(b, byte(j.shots), byte(j.lent), bits(j.lost), byte(j.stage), byte(j.turn), byte(j.ticket.Incarnation), byte(j.ticket.Number), byte(j.parts), rel(j.deadline))
 		switch j.stage {
 		case offered:
 			b = append(b, rel(j.until))
@@ -121,12 +121,12 @@
 	}
 	b = append(b, 254)
 	for _, r := range m.runs {
-		b = append(b, byte(r.owner), byte(r.ticket.Life), byte(r.ticket.Number), bits(r.open, r.ran), byte(r.parts))
+		b = append(b, byte(r.owner), byte(r.ticket.Incarnation), byte(r.ticket.Number), bits(r.open, r.ran), byte(r.parts))
 	}
 	b = append(b, 254)
 	fs := make([][8]byte, len(m.net))
 	for i, f := range m.net {
-		fs[i] = [8]byte{bits(f.late, f.toOwner, f.fresh), byte(f.m.Owner), byte(f.m.Kind), byte(f.m.Turn), byte(f.m.Ticket.Life), byte(f.m.Ticket.Number), byte(f.m.Number), byte(f.m.Shots)}
+		fs[i] = [8]byte{bits(f.late, f.toOwner, f.fresh), byte(f.m.Owner), byte(f.m.Kind), byte(f.m.OfferNumber), byte(f.m.Ticket.Incarnation), byte(f.m.Ticket.Number), byte(f.m.Number), byte(f.m.Attempts)}
 	}
 	slices.SortStableFunc(fs, func(x, y [8]byte) int { // late ones are a set, the others keep their order by direction
 		if x[0]>>1 != y[0]>>1 || x[0]>>2 == 0 {
@@ -154,10 +154,10 @@
 			m.fail("one ticket run twice")
 		}
 	}
-	if owner == m.owner.life && m.outcome == Refused {
+	if owner == m.owner.life && m.outcome == Rejected {
 		m.fail("run after the promise")
 	}
-	if owner == m.owner.life && m.now >= m.deadline+modelBounds.Accept {
+	if owner == m.owner.life && m.now >= m.deadline+modelBounds.AcceptTimeout {
 		m.fail("begun after its deadline")
 	}
 	m.runs = append(m.runs, runState{owner: owner, ticket: t, open: true, ran: t == Ticket{}})
@@ -168,7 +168,7 @@
 		m.fail("two final answers")
 	}
 	m.outcome = as
-	if as == Refused {
+	if as == Rejected {
 		for _, r := range m.runs {
 			if r.owner == m.owner.life && (r.open || r.ran) {
 				m.fail("a promise that does not hold")
@@ -179,7 +179,7 @@
 
 func (m *model) do(fx []Effect, byOwner bool) {
 	for _, f := range fx {
-		switch f.Do {
+		switch f.Action {
 		case Send:
 			if byOwner || !m.ownerDead {
 				m.net = append(m.net, flight{m: f.Message, toOwner: !byOwner, fresh: m.faults > 0})
@@ -192,7 +192,7 @@
 					m.runs[i].open, m.runs[i].ran = false, true // it may have begun
 				}
 			}
-		case Back:
+		case Requeue:
 			m.held = true
 		case Deliver:
 			if m.outcome != 0 {
@@ -209,7 +209,7 @@
 				m.fail("a part out of order")
 			}
 		case End:
-			if f.Outcome == Whole && (m.lastFrom != f.Message.Ticket || m.delivered != modelParts) {
+			if f.Outcome == Complete && (m.lastFrom != f.Message.Ticket || m.delivered != modelParts) {
 				m.fail("a whole answer with a part missing")
 			}
 			m.end(f.Outcome)
@@ -233,14 +233,14 @@
 	}
 	m.net = slices.DeleteFunc(m.net, func(f flight) bool {
 		if f.toOwner {
-			drops := f.m.Kind == Accept || f.m.Kind == Begun || f.m.Kind == Part
-			return m.ownerDead || f.m.Owner != m.owner.life || !drops && (j == nil || f.m.Turn < j.turn)
+			drops := f.m.Kind == Accept || f.m.Kind == Started || f.m.Kind == Part
+			return m.ownerDead || f.m.Owner != m.owner.life || !drops && (j == nil || f.m.OfferNumber < j.turn)
 		}
 		if f.m.Kind != Drop || f.m.Ticket == (Ticket{}) {
 			return false
 		}
 		e := m.taker.find(f.m.Ticket.Number)
-		return f.m.Ticket.Life != m.taker.life || e == nil || e.status == over
+		return f.m.Ticket.Incarnation != m.taker.life || e == nil || e.status == over
 	})
 }
 
@@ -302,7 +302,7 @@
 		}
 		try(func(c *model) {
 			c.held = false
-			lost, _, ok := c.owner.Here(c.now, 1)
+			lost, _, ok := c.owner.Reclaim(c.now, 1)
 			if !ok {
 				c.do(c.owner.GiveUp(1), true)
 				return
@@ -312,30 +312,30 @@
 			}
 			c.begin(c.owner.life, Ticket{})
 			c.lastFrom = Ticket{}
-			c.end(Whole)
+			c.end(Complete)
 		})
 		try(func(c *model) { c.held = false; c.do(c.owner.GiveUp(1), true) })
 	}
 	for i, r := range m.runs {
-		if !r.open || r.ticket == (Ticket{}) || r.ticket.Life != m.taker.life || m.frozen[1] {
+		if !r.open || r.ticket == (Ticket{}) || r.ticket.Incarnation != m.taker.life || m.frozen[1] {
 			continue
 		}
 		if r.parts < modelParts {
 			try(func(c *model) {
 				c.runs[i].parts++
 				c.runs[i].ran = true
-				c.do(c.taker.Piece(r.ticket.Number, nil), false)
+				c.do(c.taker.SendPart(r.ticket.Number, nil), false)
 			})
 		} else {
 			try(func(c *model) {
 				c.runs[i].open = false
-				c.do(c.taker.Ended(r.ticket.Number, Done, 1), false)
+				c.do(c.taker.Finish(r.ticket.Number, Done, 1), false)
 			})
 		}
 		if !r.ran {
 			try(func(c *model) {
 				c.runs[i].open = false
-				c.do(c.taker.Ended(r.ticket.Number, Returned, 1), false)
+				c.do(c.taker.Finish(r.ticket.Number, Returned, 1), false)
 			})
 		}
 	}
@@ -375,7 +375,7 @@
 						c.fail("a job is kept beyond its lease")
 					}
 				}
-				if len(c.taker.graves) > modelBounds.Graves || len(c.taker.entries) > modelBounds.Graves+c.taker.room {
+				if len(c.taker.graves) > modelBounds.Tombstones || len(c.taker.entries) > modelBounds.Tombstones+c.taker.room {
 					c.fail("more is remembered than the bound")
 				}
 			}
@@ -408,7 +408,7 @@
 	}
 	try(func(c *model) {
 		c.taker = NewTaker(c.taker.life+1, modelBounds)
-		c.taker.Room(1)
+		c.taker.SetCapacity(1)
 		c.frozen[1] = false
 		for i := range c.runs {
 			if c.runs[i].open { // its replica may go on
@@ -429,7 +429,7 @@
 func explore(t *testing.T, again bool, faults, troubles, resets int) {
 	first := &model{again: again, owner: NewOwner(7, modelBounds), taker: NewTaker(100, modelBounds), faults: faults, troubles: troubles, resets: resets,
 		deadline: modelDeadline, held: true}
-	first.taker.Room(1)
+	first.taker.SetCapacity(1)
 	require.Equal(t, uint64(1), first.owner.Take(modelDeadline, again, 2))
 	seen := map[uint64]bool{first.key(): true}
 	ends := map[Outcome]int{}
@@ -453,7 +453,7 @@
 		}
 	}
 	t.Logf("again=%v faults=%d troubles=%d resets=%d: %d states, ends %v", again, faults, troubles, resets, len(seen), ends)
-	for _, o := range []Outcome{Whole, Refused, Broken, Late} {
+	for _, o := range []Outcome{Complete, Rejected, Indeterminate, DeadlineExceeded} {
 		require.NotZero(t, ends[o], "outcome %d is never reached", o)
 	}
 }
--- a/coord/handoff/mutation_test.go
+++ b/coord/handoff/mutation_test.go
@@ -21,7 +21,7 @@
 		{Name: "a lost run is forgotten", File: "owner.go", From: "\tj.lost = true\n", To: "", Run: "EveryOrder"},
 		{Name: "a promise while a go-ahead is open", File: "owner.go", From: "j.stage != gone && !j.lost", To: "!j.lost", Run: "EveryOrder"},
 		{Name: "parts with a gap", File: "owner.go", From: "m.Number == j.parts+1", To: "m.Number > j.parts", Run: "Schedules"},
-		{Name: "an acceptance for an earlier offer", File: "owner.go", From: "j.to == m.Peer && j.turn == m.Turn\n}", To: "j.to == m.Peer\n}", Run: "EveryOrder"},
+		{Name: "an acceptance for an earlier offer", File: "owner.go", From: "j.to == m.Peer && j.turn == m.OfferNumber\n}", To: "j.to == m.Peer\n}", Run: "EveryOrder"},
 	} {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -44,8 +44,8 @@
 	return &Owner{life: life, b: b}
 }
 
-// Life is the life of the process that owns the jobs.
-func (o *Owner) Life() uint64 { return o.life }
+// Incarnation is the life of the process that owns the jobs.
+func (o *Owner) Incarnation() uint64 { return o.life }
 
 func (o *Owner) find(number uint64) (at int, j *job) {
 	at = sort.Search(len(o.jobs), func(i int) bool { return o.jobs[i].number >= number })
@@ -75,18 +75,18 @@
 		return nil
 	}
 	j.turn++
-	j.stage, j.to, j.until, j.parts, j.ticket = offered, to, now+o.b.Answer, 0, Ticket{}
+	j.stage, j.to, j.until, j.parts, j.ticket = offered, to, now+o.b.AnswerTimeout, 0, Ticket{}
 	j.lent = j.shots
 	if j.again && j.shots > 1 {
 		j.lent--
 	}
 	m := o.message(j, Offer)
-	m.Shots, m.Body = j.lent, body
-	return []Effect{{Do: Send, Message: m}}
+	m.Attempts, m.Body = j.lent, body
+	return []Effect{{Action: Send, Message: m}}
 }
 
-// Here lets the owner run a held job itself; false if it is not held or its time is over. The job leaves the machine: nothing is open elsewhere. lost tells that an earlier run may have begun, shots how many replicas are left.
-func (o *Owner) Here(now time.Duration, number uint64) (lost bool, shots int, ok bool) {
+// Reclaim lets the owner run a held job itself; false if it is not held or its time is over. The job leaves the machine: nothing is open elsewhere. lost tells that an earlier run may have begun, shots how many replicas are left.
+func (o *Owner) Reclaim(now time.Duration, number uint64) (lost bool, shots int, ok bool) {
 	_, j := o.find(number)
 	if j == nil || j.stage != held || j.shots < 1 || now >= j.deadline {
 		return false, 0, false
@@ -102,11 +102,11 @@
 	if j == nil {
 		return nil
 	}
-	return o.end(j, Broken)
+	return o.end(j, Indeterminate)
 }
 
-// Leave forgets a job whose client is gone.
-func (o *Owner) Leave(number uint64) []Effect {
+// Abandon forgets a job whose client is gone.
+func (o *Owner) Abandon(number uint64) []Effect {
 	_, j := o.find(number)
 	if j == nil {
 		return nil
@@ -126,27 +126,27 @@
 			return nil
 		}
 		switch m.Kind {
-		case Accept, Begun, Part: // it still holds room, or runs, for nothing
+		case Accept, Started, Part: // it still holds room, or runs, for nothing
 			m.Kind, m.Body = Drop, nil
-			return []Effect{{Do: Send, Message: m}}
+			return []Effect{{Action: Send, Message: m}}
 		}
 		return nil
 	}
 	switch m.Kind {
 	case Decline:
-		if j.stage == offered && j.to == m.Peer && j.turn == m.Turn {
+		if j.stage == offered && j.to == m.Peer && j.turn == m.OfferNumber {
 			return o.back(j)
 		}
 	case Accept:
 		j.stage, j.ticket, j.heard, j.told = gone, m.Ticket, now, now
-		return []Effect{{Do: Send, Message: o.message(j, Go)}}
-	case Begun:
+		return []Effect{{Action: Send, Message: o.message(j, Go)}}
+	case Started:
 		j.heard = now
 	case Part:
 		j.heard = now
 		if m.Number == j.parts+1 {
 			j.parts++
-			return []Effect{{Do: Deliver, Job: j.number, Message: m}}
+			return []Effect{{Action: Deliver, Job: j.number, Message: m}}
 		}
 		if m.Number > j.parts { // one was lost: the rest can't be joined to it
 			return o.lose(j)
@@ -154,14 +154,14 @@
 	case Done:
 		if m.Number == j.parts {
 			o.forget(j.number)
-			return []Effect{{Do: End, Job: j.number, Outcome: Whole, Message: m}}
+			return []Effect{{Action: End, Job: j.number, Outcome: Complete, Message: m}}
 		}
 		return o.lose(j)
 	case Returned:
 		if j.parts > 0 {
 			return o.lose(j)
 		}
-		j.shots -= min(max(m.Shots, 0), j.lent)
+		j.shots -= min(max(m.Attempts, 0), j.lent)
 		return o.back(j)
 	case Failed, Unknown:
 		return o.lose(j)
@@ -175,7 +175,7 @@
 	if now >= j.until || now >= j.deadline {
 		return false
 	}
-	return j.stage == offered && j.to == m.Peer && j.turn == m.Turn
+	return j.stage == offered && j.to == m.Peer && j.turn == m.OfferNumber
 }
 
 // Tick does what has fallen due.
@@ -183,14 +183,14 @@
 	for _, j := range append([]*job{}, o.jobs...) {
 		switch {
 		case now >= j.deadline:
-			fx = append(fx, o.end(j, Late)...)
+			fx = append(fx, o.end(j, DeadlineExceeded)...)
 		case j.stage == offered && now >= j.until:
 			fx = append(append(fx, o.drop(j)...), o.back(j)...)
 		case j.stage == gone && now-j.heard >= o.b.Lease:
 			fx = append(fx, o.lose(j)...)
-		case j.stage == gone && now-j.told >= o.b.Renew:
+		case j.stage == gone && now-j.told >= o.b.RenewInterval:
 			j.told = now
-			fx = append(fx, Effect{Do: Send, Message: o.message(j, Go)})
+			fx = append(fx, Effect{Action: Send, Message: o.message(j, Go)})
 		}
 	}
 	return fx
@@ -212,19 +212,19 @@
 }
 
 func (o *Owner) message(j *job, k Kind) Message {
-	return Message{Kind: k, Peer: j.to, Owner: o.life, Job: j.number, Turn: j.turn, Ticket: j.ticket}
+	return Message{Kind: k, Peer: j.to, Owner: o.life, Job: j.number, OfferNumber: j.turn, Ticket: j.ticket}
 }
 
 func (o *Owner) drop(j *job) []Effect {
 	if j.stage != offered && j.stage != gone {
 		return nil
 	}
-	return []Effect{{Do: Send, Message: o.message(j, Drop)}}
+	return []Effect{{Action: Send, Message: o.message(j, Drop)}}
 }
 
 func (o *Owner) back(j *job) []Effect {
 	j.stage, j.ticket = held, Ticket{}
-	return []Effect{{Do: Back, Job: j.number}}
+	return []Effect{{Action: Requeue, Job: j.number}}
 }
 
 // lose deals with a run that may have begun and of which nothing more is to be expected.
@@ -236,14 +236,14 @@
 		return append(fx, o.back(j)...)
 	}
 	j.stage = held // the drop is said
-	return append(fx, o.end(j, Broken)...)
+	return append(fx, o.end(j, Indeterminate)...)
 }
 
 func (o *Owner) end(j *job, as Outcome) []Effect {
 	o.forget(j.number)
 	fx := o.drop(j)
 	if j.stage != gone && !j.lost {
-		as = Refused
+		as = Rejected
 	}
-	return append(fx, Effect{Do: End, Job: j.number, Outcome: as})
+	return append(fx, Effect{Action: End, Job: j.number, Outcome: as})
 }
--- a/coord/handoff/queue.go
+++ b/coord/handoff/queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Shares are what the queue learns with: by measurement of prompt work, never by a fixed part of the slots.
-type Shares struct {
-	Waiting int           // long jobs that may wait at once
-	Late    float64       // a prompt answer is late if its first event took more than this part of its aim
-	Most    float64       // so many of them may be late: some are, whatever long work does
-	Weight  float64       // of the newest in that share
-	Cut     float64       // the room for long work is cut to this part when more are late
-	Grow    float64       // and grows by so much for each prompt answer in time
-	Pause   time.Duration // between two cuts: what a cut does is seen only after it
+// QueueOptions are what the queue learns with: by measurement of prompt work, never by a fixed part of the slots.
+type QueueOptions struct {
+	MaxWaiting   int           // long jobs that may wait at once
+	LateFraction float64       // a prompt answer is late if its first event took more than this part of its aim
+	MaxLateShare float64       // so many of them may be late: some are, whatever long work does
+	Weight       float64       // of the newest in that share
+	Cut          float64       // the room for long work is cut to this part when more are late
+	Grow         float64       // and grows by so much for each prompt answer in time
+	Pause        time.Duration // between two cuts: what a cut does is seen only after it
 }
 
 type waiter struct {
@@ -23,7 +23,7 @@
 
 // Queue lets long work of this process go to replicas: as much at once as leaves prompt work in time, the rest waits shortly.
 type Queue struct {
-	s       Shares
+	s       QueueOptions
 	next    uint64
 	room    float64 // long jobs that may run at once, learned
 	runs    int
@@ -34,7 +34,7 @@
 }
 
 // NewQueue makes a queue that starts with room for so many jobs.
-func NewQueue(room float64, s Shares) *Queue { return &Queue{s: s, room: room} }
+func NewQueue(room float64, s QueueOptions) *Queue { return &Queue{s: s, room: room} }
 
 // Join asks for a place until a moment. now true: it may run at once. ok false: the queue is full.
 func (q *Queue) Join(until time.Duration, idle bool) (number uint64, now, ok bool) {
@@ -42,7 +42,7 @@
 		q.runs++
 		return 0, true, true
 	}
-	if len(q.waiting) >= q.s.Waiting {
+	if len(q.waiting) >= q.s.MaxWaiting {
 		return 0, false, false
 	}
 	q.next++
@@ -66,11 +66,11 @@
 	}
 }
 
-// Ended notes that a job that ran has ended.
-func (q *Queue) Ended() { q.runs = max(0, q.runs-1) }
+// Release notes that a job that ran has ended.
+func (q *Queue) Release() { q.runs = max(0, q.runs-1) }
 
-// Next names the jobs that may run now, those whose time ends first before others; what waited too long is given too, as late.
-func (q *Queue) Next(now time.Duration, idle bool) (run, late []uint64) {
+// Admit names the jobs that may run now, those whose time ends first before others; what waited too long is given too, as late.
+func (q *Queue) Admit(now time.Duration, idle bool) (run, late []uint64) {
 	for len(q.waiting) > 0 {
 		w := q.waiting[0]
 		switch {
@@ -87,9 +87,9 @@
 	return run, late
 }
 
-// Prompt takes what was measured of one prompt answer: the part of its aim that the first event took.
-func (q *Queue) Prompt(now time.Duration, part float64) {
-	if part <= q.s.Late {
+// RecordPrompt takes what was measured of one prompt answer: the part of its aim that the first event took.
+func (q *Queue) RecordPrompt(now time.Duration, part float64) {
+	if part <= q.s.LateFraction {
 		q.late -= q.s.Weight * q.late
 		if float64(q.runs) >= q.room-1 { // room that nobody uses is not known to be there
 			q.room += q.s.Grow
@@ -97,7 +97,7 @@
 		return
 	}
 	q.late += q.s.Weight * (1 - q.late)
-	if q.late <= q.s.Most {
+	if q.late <= q.s.MaxLateShare {
 		return
 	}
 	if q.cuts == 0 || now-q.cutAt >= q.s.Pause {
@@ -108,5 +108,5 @@
 	}
 }
 
-// Seen tells what runs, what waits, and the learned room.
-func (q *Queue) Seen() (runs, waiting int, room float64) { return q.runs, len(q.waiting), q.room }
+// Stats tells what runs, what waits, and the learned room.
+func (q *Queue) Stats() (runs, waiting int, room float64) { return q.runs, len(q.waiting), q.room }
--- a/coord/handoff/queue_test.go
+++ b/coord/handoff/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var shares = Shares{Waiting: 2, Late: 0.5, Most: 0.15, Weight: 0.1, Cut: 0.7, Grow: 0.1, Pause: time.Second}
+var shares = QueueOptions{MaxWaiting: 2, LateFraction: 0.5, MaxLateShare: 0.15, Weight: 0.1, Cut: 0.7, Grow: 0.1, Pause: time.Second}
 
 func TestQueueIsBounded(t *testing.T) {
 	q := NewQueue(1, shares)
@@ -19,18 +19,18 @@
 	require.True(t, !now && ok)
 	_, _, ok = q.Join(40, false)
 	require.False(t, ok, "a third waits")
-	run, late := q.Next(15, false)
+	run, late := q.Admit(15, false)
 	require.Empty(t, run)
 	require.Empty(t, late)
-	run, late = q.Next(20, false)
+	run, late = q.Admit(20, false)
 	require.Empty(t, run)
 	require.Equal(t, []uint64{b}, late, "what can't run in time is told at once")
 	q.Enter()
-	q.Ended()
-	run, _ = q.Next(21, false)
+	q.Release()
+	run, _ = q.Admit(21, false)
 	require.Empty(t, run, "one that could not be held back took the place")
-	q.Ended()
-	run, _ = q.Next(21, false)
+	q.Release()
+	run, _ = q.Admit(21, false)
 	require.Equal(t, []uint64{a}, run)
 }
 
@@ -42,7 +42,7 @@
 	}
 	n, _, _ := q.Join(10, false)
 	require.NotZero(t, n)
-	run, _ := q.Next(5, true)
+	run, _ := q.Admit(5, true)
 	require.Equal(t, []uint64{n}, run, "idle replicas run what waits")
 }
 
@@ -51,36 +51,36 @@
 	for range 20 {
 		q.Join(0, false)
 	}
-	q.Prompt(time.Second, 0.9)
-	_, _, room := q.Seen()
+	q.RecordPrompt(time.Second, 0.9)
+	_, _, room := q.Stats()
 	require.InDelta(t, 20, room, 1e-9, "a single late one proves nothing")
-	q.Prompt(time.Second, 0.9)
-	_, _, room = q.Seen()
+	q.RecordPrompt(time.Second, 0.9)
+	_, _, room = q.Stats()
 	require.InDelta(t, 14, room, 1e-9)
-	q.Prompt(time.Second+1, 0.9)
-	q.Prompt(time.Second+2, 0.9)
-	_, _, room = q.Seen()
+	q.RecordPrompt(time.Second+1, 0.9)
+	q.RecordPrompt(time.Second+2, 0.9)
+	_, _, room = q.Stats()
 	require.InDelta(t, 14, room, 1e-9, "a cut has time to work")
-	q.Prompt(5*time.Second, 0.9)
-	_, _, room = q.Seen()
+	q.RecordPrompt(5*time.Second, 0.9)
+	_, _, room = q.Stats()
 	require.InDelta(t, 9.8, room, 1e-9, "new late ones cut it again")
 	for range 10 {
-		q.Prompt(2*time.Second, 0.2)
+		q.RecordPrompt(2*time.Second, 0.2)
 	}
-	_, _, room = q.Seen()
+	_, _, room = q.Stats()
 	require.InDelta(t, 10.8, room, 1e-9)
 	for i := range 40 {
-		q.Prompt(time.Duration(i+3)*2*time.Second, 2)
+		q.RecordPrompt(time.Duration(i+3)*2*time.Second, 2)
 	}
-	_, _, room = q.Seen()
+	_, _, room = q.Stats()
 	require.GreaterOrEqual(t, room, 1.0, "long work never starves")
 }
 
 func TestQueueGrowsOnlyWhereUsed(t *testing.T) {
 	q := NewQueue(20, shares)
 	for i := range 100 {
-		q.Prompt(time.Duration(i), 0.1)
+		q.RecordPrompt(time.Duration(i), 0.1)
 	}
-	_, _, room := q.Seen()
+	_, _, room := q.Stats()
 	require.InDelta(t, 20, room, 1e-9)
 }
--- a/coord/handoff/schedule_test.go
+++ b/coord/handoff/schedule_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var townBounds = Bounds{Answer: 20, Accept: 30, Renew: 15, Lease: 50, Graves: 4}
+var townBounds = Bounds{AnswerTimeout: 20, AcceptTimeout: 30, RenewInterval: 15, Lease: 50, Tombstones: 4}
 
 // townRun is one run of a job, as the judge sees it.
 type townRun struct {
@@ -64,7 +64,7 @@
 func (w *town) born(i int) {
 	w.lives++
 	n := &townNode{life: w.lives, owner: NewOwner(w.lives, townBounds), taker: NewTaker(w.lives, townBounds), jobs: map[uint64]*townJob{}}
-	n.taker.Room(2)
+	n.taker.SetCapacity(2)
 	w.nodes[i] = n
 }
 
@@ -72,7 +72,7 @@
 	for _, r := range j.runs {
 		require.True(w.t, j.again || !r.open && !r.ran, "a second run")
 	}
-	require.NotEqual(w.t, Refused, j.outcome, "a run after the promise")
+	require.NotEqual(w.t, Rejected, j.outcome, "a run after the promise")
 	r := &townRun{ticket: t, open: true, length: uint64(w.r.IntN(4))}
 	j.runs = append(j.runs, r)
 	return r
@@ -81,7 +81,7 @@
 func (w *town) end(j *townJob, as Outcome) {
 	require.Zero(w.t, j.outcome, "two final answers")
 	j.outcome = as
-	if as == Refused {
+	if as == Rejected {
 		for _, r := range j.runs {
 			require.False(w.t, r.open || r.ran, "a promise that does not hold")
 		}
@@ -91,7 +91,7 @@
 func (w *town) do(i int, fx []Effect) {
 	n := w.nodes[i]
 	for _, f := range fx {
-		switch f.Do {
+		switch f.Action {
 		case Send:
 			m := f.Message
 			to := 0
@@ -116,11 +116,11 @@
 			}
 			require.NotNil(w.t, j, "a run of no job")
 			require.Nil(w.t, w.runs[f.Ticket], "one ticket run twice")
-			require.Less(w.t, time.Duration(w.now), j.deadline+townBounds.Accept, "begun after its deadline")
+			require.Less(w.t, time.Duration(w.now), j.deadline+townBounds.AcceptTimeout, "begun after its deadline")
 			w.runs[f.Ticket] = w.begin(j, f.Ticket)
 		case Stop:
 			w.runs[f.Ticket].open, w.runs[f.Ticket].ran = false, true
-		case Back:
+		case Requeue:
 			n.jobs[f.Job].held = true
 		case Deliver:
 			j := n.jobs[f.Job]
@@ -133,7 +133,7 @@
 			require.Equal(w.t, j.delivered, f.Message.Number, "a part out of order")
 		case End:
 			j := n.jobs[f.Job]
-			if f.Outcome == Whole {
+			if f.Outcome == Complete {
 				got := uint64(0)
 				if j.from == f.Message.Ticket {
 					got = j.delivered
@@ -177,7 +177,7 @@
 				j.gone = true
 			}
 			for t, r := range w.runs {
-				if t.Life == n.life && r.open {
+				if t.Incarnation == n.life && r.open {
 					r.open, r.ran = false, true
 				}
 			}
@@ -199,10 +199,10 @@
 			}
 			w.do(j.owner, fx)
 		case k == 6:
-			if lost, _, ok := n.owner.Here(now, j.number); ok {
+			if lost, _, ok := n.owner.Reclaim(now, j.number); ok {
 				require.True(w.t, j.again || !lost, "run here after a loss")
 				w.begin(j, Ticket{}).ran = true
-				w.end(j, Whole)
+				w.end(j, Complete)
 			}
 		case k == 7:
 			w.do(j.owner, n.owner.GiveUp(j.number))
@@ -223,17 +223,17 @@
 			switch {
 			case !r.ran && w.r.IntN(6) == 0:
 				r.open = false
-				w.do(i, n.taker.Ended(e.ticket, Returned, 1))
+				w.do(i, n.taker.Finish(e.ticket, Returned, 1))
 			case r.ran && w.r.IntN(20) == 0:
 				r.open = false
-				w.do(i, n.taker.Ended(e.ticket, Failed, 1))
+				w.do(i, n.taker.Finish(e.ticket, Failed, 1))
 			case r.parts < r.length:
 				r.parts++
 				r.ran = true
-				w.do(i, n.taker.Piece(e.ticket, nil))
+				w.do(i, n.taker.SendPart(e.ticket, nil))
 			default:
 				r.open, r.ran = false, true
-				w.do(i, n.taker.Ended(e.ticket, Done, 1))
+				w.do(i, n.taker.Finish(e.ticket, Done, 1))
 			}
 		}
 	}
@@ -267,11 +267,11 @@
 			}
 		}
 		for _, n := range w.nodes {
-			require.LessOrEqual(t, len(n.taker.entries), 2+townBounds.Graves, "seed %d: more is remembered than the bound", seed)
+			require.LessOrEqual(t, len(n.taker.entries), 2+townBounds.Tombstones, "seed %d: more is remembered than the bound", seed)
 		}
 	}
 	t.Logf("ends %v", ends)
-	for _, o := range []Outcome{Whole, Refused, Broken, Late} {
+	for _, o := range []Outcome{Complete, Rejected, Indeterminate, DeadlineExceeded} {
 		require.Greater(t, ends[o], 20, "outcome %d is hardly reached", o)
 	}
 }
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Room sets how many jobs of others may be here at once.
-func (t *Taker) Room(n int) { t.room = n }
+// SetCapacity sets how many jobs of others may be here at once.
+func (t *Taker) SetCapacity(n int) { t.room = n }
 
 // Jobs tells how many jobs await their go-ahead and how many run.
 func (t *Taker) Jobs() (waiting, runs int) {
@@ -86,8 +86,8 @@
 	}
 	e := t.find(m.Ticket.Number)
 	if m.Kind == Drop && m.Ticket == (Ticket{}) { // a void offer: its acceptance never reached the owner
-		e = t.at(place{m.Owner, m.Job, m.Turn})
-	} else if e == nil || m.Ticket.Life != t.life || e.place != (place{m.Owner, m.Job, m.Turn}) {
+		e = t.at(place{m.Owner, m.Job, m.OfferNumber})
+	} else if e == nil || m.Ticket.Incarnation != t.life || e.place != (place{m.Owner, m.Job, m.OfferNumber}) {
 		e = nil
 	}
 	if e == nil {
@@ -95,7 +95,7 @@
 			return nil
 		}
 		m.Kind, m.Body = Unknown, nil
-		return []Effect{{Do: Send, Message: m}}
+		return []Effect{{Action: Send, Message: m}}
 	}
 	e.peer = m.Peer
 	switch m.Kind {
@@ -108,19 +108,19 @@
 }
 
 func (t *Taker) offer(now time.Duration, m Message) []Effect {
-	at := place{m.Owner, m.Job, m.Turn}
+	at := place{m.Owner, m.Job, m.OfferNumber}
 	e := t.at(at)
 	if e == nil {
 		if w, r := t.Jobs(); w+r >= t.room {
-			return []Effect{{Do: Send, Message: Message{Kind: Decline, Peer: m.Peer, Owner: m.Owner, Job: m.Job, Turn: m.Turn}}}
+			return []Effect{{Action: Send, Message: Message{Kind: Decline, Peer: m.Peer, Owner: m.Owner, Job: m.Job, OfferNumber: m.OfferNumber}}}
 		}
 		t.next++
-		e = &entry{place: at, peer: m.Peer, ticket: t.next, came: now, until: now + t.b.Accept, offer: m}
+		e = &entry{place: at, peer: m.Peer, ticket: t.next, came: now, until: now + t.b.AcceptTimeout, offer: m}
 		t.entries = append(t.entries, e)
 	} else if e.status == over {
 		return nil
 	}
-	return []Effect{{Do: Send, Message: t.message(e, Accept)}}
+	return []Effect{{Action: Send, Message: t.message(e, Accept)}}
 }
 
 func (t *Taker) goAhead(now time.Duration, e *entry) []Effect {
@@ -131,14 +131,14 @@
 		}
 		m := e.offer
 		e.status, e.heard, e.offer = running, now, Message{}
-		return []Effect{{Do: Begin, Ticket: Ticket{t.life, e.ticket}, Message: m, Since: e.came}, {Do: Send, Message: t.message(e, Begun)}}
+		return []Effect{{Action: Begin, Ticket: Ticket{t.life, e.ticket}, Message: m, Since: e.came}, {Action: Send, Message: t.message(e, Started)}}
 	case running:
 		e.heard = now
-		return []Effect{{Do: Send, Message: t.message(e, Begun)}}
+		return []Effect{{Action: Send, Message: t.message(e, Started)}}
 	}
 	m := e.last
 	m.Peer = e.peer
-	return []Effect{{Do: Send, Message: m}}
+	return []Effect{{Action: Send, Message: m}}
 }
 
 func (t *Taker) drop(e *entry) []Effect {
@@ -147,13 +147,13 @@
 		t.finish(e, Returned, 0) // the owner does not wait for it
 	case running:
 		t.finish(e, Failed, 0)
-		return []Effect{{Do: Stop, Ticket: Ticket{t.life, e.ticket}}}
+		return []Effect{{Action: Stop, Ticket: Ticket{t.life, e.ticket}}}
 	}
 	return nil
 }
 
-// Piece sends a part of the answer of a run.
-func (t *Taker) Piece(ticket uint64, body []byte) []Effect {
+// SendPart sends a part of the answer of a run.
+func (t *Taker) SendPart(ticket uint64, body []byte) []Effect {
 	e := t.find(ticket)
 	if e == nil || e.status != running {
 		return nil
@@ -161,11 +161,11 @@
 	e.parts++
 	m := t.message(e, Part)
 	m.Number, m.Body = e.parts, body
-	return []Effect{{Do: Send, Message: m}}
+	return []Effect{{Action: Send, Message: m}}
 }
 
-// Ended tells how a run ended: Done, Failed, or Returned if no replica has run it. shots is how many it was sent to.
-func (t *Taker) Ended(ticket uint64, as Kind, shots int) []Effect {
+// Finish tells how a run ended: Done, Failed, or Returned if no replica has run it. shots is how many it was sent to.
+func (t *Taker) Finish(ticket uint64, as Kind, shots int) []Effect {
 	e := t.find(ticket)
 	if e == nil || e.status != running {
 		return nil
@@ -176,8 +176,8 @@
 	return t.finish(e, as, shots)
 }
 
-// Empty gives back what waits for its go-ahead; a leaving node takes no more.
-func (t *Taker) Empty() (fx []Effect) {
+// ReturnAccepted gives back what waits for its go-ahead; a leaving node takes no more.
+func (t *Taker) ReturnAccepted() (fx []Effect) {
 	t.room = 0
 	for _, e := range append([]*entry{}, t.entries...) {
 		if e.status == accepted {
@@ -201,22 +201,22 @@
 }
 
 func (t *Taker) message(e *entry, k Kind) Message {
-	return Message{Kind: k, Peer: e.peer, Owner: e.place.owner, Job: e.place.job, Turn: e.place.turn, Ticket: Ticket{t.life, e.ticket}}
+	return Message{Kind: k, Peer: e.peer, Owner: e.place.owner, Job: e.place.job, OfferNumber: e.place.turn, Ticket: Ticket{t.life, e.ticket}}
 }
 
 // finish ends an entry and remembers it among the newest; a forgotten ticket is never begun.
 func (t *Taker) finish(e *entry, as Kind, shots int) []Effect {
 	m := t.message(e, as)
-	m.Shots = shots
+	m.Attempts = shots
 	if as == Done {
 		m.Number = e.parts
 	}
 	e.status, e.last, e.offer = over, m, Message{}
 	t.graves = append(t.graves, e.ticket)
-	for len(t.graves) > t.b.Graves {
+	for len(t.graves) > t.b.Tombstones {
 		old := t.graves[0]
 		t.graves = t.graves[1:]
 		t.entries = slices.DeleteFunc(t.entries, func(x *entry) bool { return x.ticket == old })
 	}
-	return []Effect{{Do: Send, Message: m}}
+	return []Effect{{Action: Send, Message: m}}
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -188,8 +188,8 @@
 	left := time.Until(r.deadline).Milliseconds()
 	request.ContentLength = int64(len(r.body))
 	request.Host = testHost
-	request.Header.Set(upstream.HeadID, id)
-	request.Header.Set(upstream.HeadBudget, strconv.FormatInt(max(1, left), 10))
+	request.Header.Set(upstream.HeaderAttemptID, id)
+	request.Header.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left), 10))
 	if r.prefix != "" {
 		request.Header.Set(headerPromptPrefix, r.prefix)
 	}
@@ -203,7 +203,7 @@
 	}
 	request.Header.Set(headerAccept, eventStream)
 	if r.events > 0 {
-		request.Header.Set(upstream.HeadLastID, strconv.Itoa(r.events))
+		request.Header.Set(upstream.HeaderLastEventID, strconv.Itoa(r.events))
 	}
 }
 
@@ -229,7 +229,7 @@
 	}
 	status := response.StatusCode
 	if status == http.StatusOK {
-		rules.succeeded(id, response.Header.Get(upstream.HeadSeal), string(body) == answerTo(id))
+		rules.succeeded(id, response.Header.Get(upstream.HeaderSeal), string(body) == answerTo(id))
 		return attemptResult{status: status}
 	}
 	if isPromise(status) {
--- a/internal/emulator/client_stream.go
+++ b/internal/emulator/client_stream.go
@@ -22,7 +22,7 @@
 	if err := r.readEvents(response.Body); err != nil {
 		return r.broken(err)
 	}
-	r.traffic.rules.succeeded(id, response.Header.Get(upstream.HeadSeal), true)
+	r.traffic.rules.succeeded(id, response.Header.Get(upstream.HeaderSeal), true)
 	return attemptResult{status: response.StatusCode}
 }
 
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -49,7 +49,7 @@
 			return err
 		}
 	} else {
-		d.program = router.New(d.ctx, d.log, router.Plan{Env: env, Net: network, Dialer: network})
+		d.program = router.New(d.ctx, d.log, router.Options{Settings: env, Net: network, Dialer: network})
 	}
 	d.done = make(chan error, 1)
 	go func() { d.done <- d.program.Run() }()
--- a/internal/emulator/replica_http.go
+++ b/internal/emulator/replica_http.go
@@ -56,7 +56,7 @@
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	w.Header().Set(upstream.HeadLoad, fmt.Sprintf("%d,%d,%d", view.load.Active, view.load.Queued, r.service.Slots))
+	w.Header().Set(upstream.HeaderLoad, fmt.Sprintf("%d,%d,%d", view.load.Active, view.load.Queued, r.service.Slots))
 	if view.draining {
 		w.Header().Set("Connection", "close")
 	}
@@ -83,9 +83,9 @@
 	if err != nil {
 		return
 	}
-	id := request.Header.Get(upstream.HeadID)
-	w.Header().Set(upstream.HeadID, id)
-	if expected := request.Header.Get(upstream.HeadExpect); expected != "" && expected != view.id {
+	id := request.Header.Get(upstream.HeaderAttemptID)
+	w.Header().Set(upstream.HeaderAttemptID, id)
+	if expected := request.Header.Get(upstream.HeaderExpectedReplica); expected != "" && expected != view.id {
 		w.Header().Set(headerReplicaID, view.id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -225,8 +225,8 @@
 // client has already; they are read like a part of the prompt.
 func jobOf(request *http.Request, id string) (job replicamodel.Job, received int) {
 	in, out := parseTokenCounts(request.Header.Get(headerTokenCounts))
-	received, _ = strconv.Atoi(request.Header.Get(upstream.HeadLastID))
-	urgency, err := strconv.Atoi(request.Header.Get(upstream.HeadUrgency))
+	received, _ = strconv.Atoi(request.Header.Get(upstream.HeaderLastEventID))
+	urgency, err := strconv.Atoi(request.Header.Get(upstream.HeaderUrgency))
 	if err != nil {
 		urgency = usualUrgency
 	}
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -22,8 +22,8 @@
 
 type tapKey struct{}
 
-// Doubtful tells whether an inquiry's framing could be read in two ways.
-func Doubtful(r *http.Request) bool {
+// AmbiguousFraming tells whether an inquiry's framing could be read in two ways.
+func AmbiguousFraming(r *http.Request) bool {
 	if len(r.TransferEncoding) == 0 {
 		return false
 	}
@@ -59,8 +59,8 @@
 	l *line
 }
 
-// Front accepts clients. A change of limits makes a new server for the connections that come later.
-type Front struct {
+// Server accepts clients. A change of limits makes a new server for the connections that come later.
+type Server struct {
 	ctx context.Context
 	log *slog.Logger
 	ln  net.Listener
@@ -74,7 +74,7 @@
 }
 
 // New makes the front over a listener.
-func New(ctx context.Context, log *slog.Logger, ln net.Listener, h http.Handler) *Front {
+func New(ctx context.Context, log *slog.Logger, ln net.Listener, h http.Handler) *Server {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	all := func(c echo.Context) error {
@@ -87,13 +87,13 @@
 	}
 	e.RouteNotFound("/*", all)
 	e.Any("/*", all)
-	f := &Front{ctx: ctx, log: log.With("part", "frontend"), ln: ln, h: e}
-	f.Limit(routing.Limits{})
+	f := &Server{ctx: ctx, log: log.With("part", "frontend"), ln: ln, h: e}
+	f.SetLimits(routing.Limits{})
 	return f
 }
 
-// Limit puts the limits of a setup in force for new connections.
-func (f *Front) Limit(l routing.Limits) {
+// SetLimits puts the limits of a setup in force for new connections.
+func (f *Server) SetLimits(l routing.Limits) {
 	if l.Head <= 0 {
 		l.Head = settings.HeaderBytes
 	}
@@ -122,7 +122,7 @@
 
 // httpServer makes the server for connections under the same limits. It has no idle limit of its own: a
 // connection that rests is closed by its tap.
-func (f *Front) httpServer(l routing.Limits) *http.Server {
+func (f *Server) httpServer(l routing.Limits) *http.Server {
 	return &http.Server{
 		Handler:                      f.h,
 		MaxHeaderBytes:               l.Head,
@@ -141,7 +141,7 @@
 }
 
 // Run accepts until the listener closes.
-func (f *Front) Run() {
+func (f *Server) Run() {
 	for {
 		c, err := f.ln.Accept()
 		if err != nil {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (f *Front) hand(c net.Conn) {
+func (f *Server) hand(c net.Conn) {
 	for {
 		f.mu.Lock()
 		s := f.now
@@ -176,10 +176,10 @@
 }
 
 // Close ends the front at once.
-func (f *Front) Close() { f.Finish(0) }
+func (f *Server) Close() { f.Shutdown(0) }
 
-// Finish takes no more connections and waits for what is held, at most d.
-func (f *Front) Finish(d time.Duration) {
+// Shutdown takes no more connections and waits for what is held, at most d.
+func (f *Server) Shutdown(d time.Duration) {
 	_ = f.ln.Close()
 	f.mu.Lock()
 	all := append(append([]*server{}, f.old...), f.now)
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -123,7 +123,7 @@
 	switch {
 	case p.Status == http.StatusMisdirectedRequest:
 		q.g.yard.Wrong(id)
-	case p.Status != http.StatusBadRequest && !full(p.Head.Get(upstream.HeadLoad)):
+	case p.Status != http.StatusBadRequest && !full(p.Header.Get(upstream.HeaderLoad)):
 		q.blame(id, outlier.Shed)
 	}
 	if p.Status == http.StatusBadRequest && !q.try.MayHaveRun() && !q.began {
@@ -168,7 +168,7 @@
 
 // answer passes a replica's whole answer on, its status and seal unchanged.
 func (q *request) answer(p *upstream.Part) {
-	passBack(q.w.Header(), p.Head)
+	passBack(q.w.Header(), p.Header)
 	q.w.Header().Set("Content-Length", strconv.Itoa(len(p.Bytes)))
 	q.w.WriteHeader(p.Status)
 	_ = q.rc.SetWriteDeadline(time.Now().Add(writeWait))
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -87,7 +87,7 @@
 	}
 	at := time.Now()
 	if time.Until(q.deadline) <= budgetReserve {
-		connection.Back()
+		connection.Release()
 		return true
 	}
 	q.try.BeginSend()
@@ -96,7 +96,7 @@
 	if err != nil {
 		return q.sendFailed(c.Replica.ID, connection, state, err)
 	}
-	defer answer.Drop()
+	defer answer.Close()
 	if q.ask.Chain != nil {
 		q.g.index.Sent(c.Replica.ID, q.ask.Capacity, q.ask.Chain, q.path.Name)
 	}
@@ -114,7 +114,7 @@
 	connection, err := q.g.pool(c.Replica, q.table).Get(q.path.Name, wait, !q.path.Repeatable(), q.r.Context().Done())
 	if q.r.Context().Err() != nil {
 		if connection != nil {
-			connection.Back()
+			connection.Release()
 		}
 		q.abandon()
 		return nil, false
@@ -130,19 +130,19 @@
 	}
 	if q.try.Sends() > 0 {
 		if !q.g.further(q.pool.Name, left) {
-			connection.Back()
+			connection.Release()
 			q.giveUp(errkind.UpstreamFailure, "no further try is left")
 			return nil, false
 		}
 		if q.r.Context().Err() != nil {
-			connection.Back()
+			connection.Release()
 			q.abandon()
 			return nil, false
 		}
 		q.g.count.further.Inc()
 	}
 	if !q.g.yard.May(id) {
-		connection.Back()
+		connection.Release()
 		return nil, true
 	}
 	return connection, false
@@ -153,28 +153,28 @@
 func (q *request) upstreamRequest(c placement.Choice, now time.Time) *upstream.Request {
 	left := q.deadline.Sub(now) - budgetReserve
 	head := q.head.Clone()
-	head.Set(upstream.HeadExpect, c.Replica.ID)
-	head.Set(upstream.HeadBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	head.Set(upstream.HeaderExpectedReplica, c.Replica.ID)
+	head.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	if q.ask.Chain != nil {
-		head.Set(upstream.HeadUrgency, strconv.Itoa(q.urgency(c.Alone)))
+		head.Set(upstream.HeaderUrgency, strconv.Itoa(q.urgency(c.Alone)))
 	}
 	if q.lastID >= 0 {
-		head.Set(upstream.HeadLastID, strconv.FormatInt(q.lastID, 10))
+		head.Set(upstream.HeaderLastEventID, strconv.FormatInt(q.lastID, 10))
 	}
 	notAfter := now.Add(sendStale)
 	if q.deadline.Before(notAfter) {
 		notAfter = q.deadline
 	}
 	return &upstream.Request{
-		Method:   q.r.Method,
-		Target:   q.r.RequestURI,
-		Host:     q.r.Host,
-		Header:   head,
-		Body:     q.body,
-		ID:       q.id,
-		Events:   q.path.Kind == routing.Stream,
-		NotAfter: notAfter,
-		Deadline: q.deadline,
+		Method:    q.r.Method,
+		Target:    q.r.RequestURI,
+		Host:      q.r.Host,
+		Header:    head,
+		Body:      q.body,
+		AttemptID: q.id,
+		Events:    q.path.Kind == routing.Stream,
+		NotAfter:  notAfter,
+		Deadline:  q.deadline,
 	}
 }
 
@@ -212,13 +212,13 @@
 // likely forgotten: that says little, and the same replica may be tried again on another; after silence
 // the other idle connections are in doubt too.
 func (q *request) ended(id string, c *upstream.Connection, k outlier.Kind, reset bool) {
-	if reset && c.Forgotten() {
+	if reset && c.WasStale() {
 		q.g.blame(id, outlier.Stale)
 		return
 	}
 	q.blame(id, k)
 	if k == outlier.Silent {
-		c.Doubt()
+		c.MarkUncertain()
 	}
 }
 
@@ -249,7 +249,7 @@
 type listener struct {
 	q          *request
 	connection *upstream.Connection
-	answer     *upstream.Answer
+	answer     *upstream.Response
 	choice     placement.Choice
 	end        *placement.End
 	at         time.Time // the attempt was sent
@@ -312,18 +312,18 @@
 func (l *listener) take(part *upstream.Part) (again, done bool) {
 	q, id := l.q, l.choice.Replica.ID
 	switch part.Kind {
-	case upstream.Head:
-		q.told(id, part.Head.Get(upstream.HeadLoad))
+	case upstream.PartHead:
+		q.told(id, part.Header.Get(upstream.HeaderLoad))
 		l.head = *part
-	case upstream.Event:
+	case upstream.PartEvent:
 		q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
-		if !q.event(part, l.head.Head, &l.joined) {
+		if !q.event(part, l.head.Header, &l.joined) {
 			q.blame(id, outlier.Cut)
 			return q.again("events out of order"), true
 		}
-	case upstream.Body:
+	case upstream.PartBody:
 		l.head.Bytes = part.Bytes
-	case upstream.End:
+	case upstream.PartEnd:
 		q.try.Advance(part.State)
 		if part.State == attempt.Answered && l.head.Status < http.StatusInternalServerError {
 			q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
@@ -332,9 +332,9 @@
 			return q.turnedAway(&l.head, id), true
 		}
 		return q.whole(&l.head, id), true
-	case upstream.Fail:
+	case upstream.PartFailure:
 		l.failed(part)
-		return q.again(part.Why), true
+		return q.again(part.Cause), true
 	}
 	return false, false
 }
@@ -345,7 +345,7 @@
 	switch {
 	case part.Reset:
 		l.q.ended(id, l.connection, outlier.Reset, true)
-	case part.Lost:
+	case part.ConnectionLost:
 		l.q.ended(id, l.connection, outlier.Silent, false)
 	default:
 		l.q.blame(id, outlier.Cut)
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -54,24 +54,24 @@
 	return a
 }
 
-// Asked notes an inquiry for a service.
-func (b *Budget) Asked(pool string) {
+// RecordRequest notes an inquiry for a service.
+func (b *Budget) RecordRequest(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(pool)
 	a.asked = append(a.asked, time.Now())
 }
 
-// Lent adds borrowed tries; till is the end of the loan, counted from before it was asked for.
-func (b *Budget) Lent(pool string, n int64, till time.Time) {
+// AddLoan adds borrowed tries; till is the end of the loan, counted from before it was asked for.
+func (b *Budget) AddLoan(pool string, n int64, till time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(pool)
 	a.lumps = append(a.lumps, lump{n, till})
 }
 
-// Left is how many further tries this process may still make now.
-func (b *Budget) Left(pool string, fleet int) float64 {
+// Remaining is how many further tries this process may still make now.
+func (b *Budget) Remaining(pool string, fleet int) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(pool)
--- a/internal/router/budget_test.go
+++ b/internal/router/budget_test.go
@@ -24,7 +24,7 @@
 		for step := range 400 { // 40 s, every inquiry wants two further tries
 			for i := range 1 + step%7 {
 				b := nodes[(step+i)%fleet]
-				b.Asked("p")
+				b.RecordRequest("p")
 				asked = append(asked, time.Now())
 				for range 2 {
 					if b.Take("p", fleet) {
@@ -83,14 +83,14 @@
 					if r.IntN(3) == 0 {
 						b = nodes[0] // one sees more than the others
 					}
-					b.Asked("p")
+					b.RecordRequest("p")
 					asked = append(asked, time.Now())
 					for range r.IntN(4) {
 						if !b.Take("p", known) {
 							start := time.Now()
 							if n := lender.Lend("p", fairshare.LoanRetries, since, time.Now()); n > 0 && r.IntN(4) > 0 { // else the answer is lost
 								lent++
-								b.Lent("p", n, start.Add(fairshare.LoanLifetime))
+								b.AddLoan("p", n, start.Add(fairshare.LoanLifetime))
 							}
 							if !b.Take("p", known) {
 								break
@@ -119,8 +119,8 @@
 func TestALumpIsUsedFirstAndRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBudget(0, 0, time.Second, 0.8)
-		b.Lent("p", 2, time.Now().Add(fairshare.LoanLifetime))
-		require.Equal(t, 2.0, b.Left("p", 88))
+		b.AddLoan("p", 2, time.Now().Add(fairshare.LoanLifetime))
+		require.Equal(t, 2.0, b.Remaining("p", 88))
 		require.True(t, b.Take("p", 88))
 		time.Sleep(fairshare.LoanLifetime)
 		require.False(t, b.Take("p", 88))
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -27,15 +27,15 @@
 	const self = "10.0.0.1:7722"
 	for kind := handoff.Offer; kind <= handoff.Unknown; kind++ {
 		message := handoff.Message{
-			Kind:   kind,
-			Peer:   self,
-			Owner:  0x7001,
-			Job:    0x7002,
-			Turn:   0x7003,
-			Ticket: handoff.Ticket{Life: 0x7004, Number: 0x7005},
-			Number: 0x7006,
-			Shots:  2,
-			Body:   []byte("body"),
+			Kind:        kind,
+			Peer:        self,
+			Owner:       0x7001,
+			Job:         0x7002,
+			OfferNumber: 0x7003,
+			Ticket:      handoff.Ticket{Incarnation: 0x7004, Number: 0x7005},
+			Number:      0x7006,
+			Attempts:    2,
+			Body:        []byte("body"),
 		}
 		encoded := recording.Same(kind.String(), noteOf(self, message).Encode())
 		note, err := rpc.Decode(encoded)
@@ -119,7 +119,7 @@
 			NodeName: "g", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{9000, 9100}, Seeds: []string{"10.0.0.5:8800"},
 			Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64},
 		}
-		r := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: network})
+		r := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: network})
 		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
 		require.NoError(t, r.book.Update((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
 		go r.follower.Run()
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -52,7 +52,7 @@
 	if p == nil {
 		k := g.keeps[r.Pool]
 		if k == nil {
-			k = &upstream.Keep{}
+			k = &upstream.KeepAlive{}
 			g.keeps[r.Pool] = k
 		}
 		p = upstream.NewPool(r.Address, g.dialer, g.channels(t.Pools[r.Pool], r.ID), k, &g.made)
@@ -67,7 +67,7 @@
 	defer g.mu.Unlock()
 	for id, p := range g.pools {
 		if r := v.Replicas[id]; r != nil {
-			p.Limit(g.channels(t.Pools[r.Pool], id))
+			p.SetLimit(g.channels(t.Pools[r.Pool], id))
 		}
 	}
 }
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -36,7 +36,7 @@
 		gauge("suspected_nodes", "Watched nodes that do not answer.", float64(len(g.watcher.Suspected()))),
 	}
 	for pool := range g.table.Load().Pools {
-		out = append(out, metrics.Figure{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: g.budget.Left(pool, g.fleet()), Label: pool})
+		out = append(out, metrics.Figure{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: g.budget.Remaining(pool, g.fleet()), Label: pool})
 	}
 	return out
 }
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for k, v := range h {
-		if !hop[k] && (!named[k] || k == upstream.HeadID || k == upstream.HeadBudget) {
+		if !hop[k] && (!named[k] || k == upstream.HeaderAttemptID || k == upstream.HeaderTimeBudget) {
 			o[k] = v
 		}
 	}
--- a/internal/router/longwork.go
+++ b/internal/router/longwork.go
@@ -56,11 +56,11 @@
 func newLongWork(gate *Router) *longWork {
 	life := rand.Uint64() | 1
 	bounds := handoff.Bounds{
-		Answer: longAnswer,
-		Accept: longAccept,
-		Renew:  longRenew,
-		Lease:  longLease,
-		Graves: longGraves,
+		AnswerTimeout: longAnswer,
+		AcceptTimeout: longAccept,
+		RenewInterval: longRenew,
+		Lease:         longLease,
+		Tombstones:    longGraves,
 	}
 	work := &longWork{
 		gate:       gate,
@@ -150,13 +150,13 @@
 func (l *longWork) tick() longCounters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taker.Room(l.room())
+	l.taker.SetCapacity(l.room())
 	l.apply(l.owner.Tick(l.now()))
 	l.apply(l.taker.Tick(l.now()))
 	pools := l.gate.table.Load().Pools
 	for service, queue := range l.queues {
 		l.admit(queue)
-		running, waiting, _ := queue.handoff.Seen()
+		running, waiting, _ := queue.handoff.Stats()
 		if pools[service] == nil && running+waiting == 0 {
 			delete(l.queues, service)
 		}
@@ -188,7 +188,7 @@
 func (l *longWork) leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apply(l.taker.Empty())
+	l.apply(l.taker.ReturnAccepted())
 }
 
 // finish waits for what runs for others, at most for a time.
--- a/internal/router/longwork_messages.go
+++ b/internal/router/longwork_messages.go
@@ -39,7 +39,7 @@
 		l.channels[peer] = channel
 		channel.OnClose(func() { go l.closed(peer, channel) })
 	}
-	l.taker.Room(l.room())
+	l.taker.SetCapacity(l.room())
 	l.apply(l.taker.Step(l.now(), message))
 	l.wake()
 }
@@ -55,15 +55,15 @@
 // messageOf reads the wire form of a message.
 func messageOf(note *rpc.Message) handoff.Message {
 	return handoff.Message{
-		Kind:   handoff.KindOf(note.Text),
-		Peer:   note.From.Address,
-		Owner:  note.Epoch,
-		Job:    note.Number,
-		Turn:   note.Base,
-		Ticket: handoff.Ticket{Life: note.Ballot, Number: note.To},
-		Number: note.Duration,
-		Shots:  int(min(note.HeldBallot, settings.AcceptedJobsLimit)),
-		Body:   note.Body,
+		Kind:        handoff.KindOf(note.Text),
+		Peer:        note.From.Address,
+		Owner:       note.Epoch,
+		Job:         note.Number,
+		OfferNumber: note.Base,
+		Ticket:      handoff.Ticket{Incarnation: note.Ballot, Number: note.To},
+		Number:      note.Duration,
+		Attempts:    int(min(note.HeldBallot, settings.AcceptedJobsLimit)),
+		Body:        note.Body,
 	}
 }
 
@@ -75,11 +75,11 @@
 		Text:       message.Kind.String(),
 		Epoch:      message.Owner,
 		Number:     message.Job,
-		Base:       message.Turn,
-		Ballot:     message.Ticket.Life,
+		Base:       message.OfferNumber,
+		Ballot:     message.Ticket.Incarnation,
 		To:         message.Ticket.Number,
 		Duration:   message.Number,
-		HeldBallot: uint64(max(0, message.Shots)),
+		HeldBallot: uint64(max(0, message.Attempts)),
 		Body:       message.Body,
 	}
 }
@@ -88,7 +88,7 @@
 // here waits.
 func (l *longWork) apply(effects []handoff.Effect) {
 	for _, effect := range effects {
-		switch effect.Do {
+		switch effect.Action {
 		case handoff.Send:
 			l.send(effect.Message)
 		case handoff.Begin:
@@ -133,9 +133,9 @@
 		return
 	}
 	lagging := len(inbox) >= cap(inbox)-inboxReserve
-	if effect.Do == handoff.Deliver && lagging {
-		effects := l.owner.Leave(effect.Job)
-		inbox <- handoff.Effect{Do: handoff.End, Job: effect.Job, Outcome: handoff.Broken}
+	if effect.Action == handoff.Deliver && lagging {
+		effects := l.owner.Abandon(effect.Job)
+		inbox <- handoff.Effect{Action: handoff.End, Job: effect.Job, Outcome: handoff.Indeterminate}
 		delete(l.inboxes, effect.Job)
 		l.apply(effects)
 		return
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -25,16 +25,16 @@
 	}
 	settings := q.g.env.Load().LongWork
 	in, out := tokenCounts(q.r.Header.Get("Token-Counts"))
-	marks := handoff.Marks{Patient: settings.PatientTargets, Heavy: settings.HeavyTargets}
-	q.long = marks.Long(handoff.Ask{
-		Stream:   q.path.Kind == routing.Stream,
-		Aim:      q.path.Aim,
-		Timeout:  q.path.Timeout,
-		Gap:      q.path.Gap,
-		Stride:   engine.Stride,
-		In:       in,
-		Out:      out,
-		PerToken: placement.InitialPrefillPerToken,
+	marks := handoff.Thresholds{Patient: settings.PatientTargets, Heavy: settings.HeavyTargets}
+	q.long = marks.IsLong(handoff.Demand{
+		Stream:       q.path.Kind == routing.Stream,
+		Aim:          q.path.Aim,
+		Timeout:      q.path.Timeout,
+		Gap:          q.path.Gap,
+		Stride:       engine.Stride,
+		PromptTokens: in,
+		OutputTokens: out,
+		PerToken:     placement.InitialPrefillPerToken,
 	})
 	return q.long
 }
@@ -66,13 +66,13 @@
 func (q *request) pack() []byte {
 	left := time.Until(q.deadline) - budgetReserve
 	header := q.head.Clone()
-	header.Set(upstream.HeadBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	header.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	if q.lastID >= 0 {
-		header.Set(upstream.HeadLastID, strconv.FormatInt(q.lastID, 10))
+		header.Set(upstream.HeaderLastEventID, strconv.FormatInt(q.lastID, 10))
 	}
 	outgoing := &http.Request{
 		Method:        q.r.Method,
-		URL:           upstream.Target(q.r.RequestURI),
+		URL:           upstream.RequestURL(q.r.RequestURI),
 		Host:          q.r.Host,
 		Header:        header,
 		Proto:         "HTTP/1.1",
@@ -161,15 +161,15 @@
 func (j *offeredJob) close() {
 	j.work.mu.Lock()
 	defer j.work.mu.Unlock()
-	j.work.apply(j.work.owner.Leave(j.number))
+	j.work.apply(j.work.owner.Abandon(j.number))
 	delete(j.work.inboxes, j.number)
 }
 
 func (j *offeredJob) handle(effect handoff.Effect) jobState {
-	switch effect.Do {
+	switch effect.Action {
 	case handoff.Deliver:
 		return j.delivered(effect.Message.Body)
-	case handoff.Back:
+	case handoff.Requeue:
 		if j.takeBack() {
 			return jobReturned
 		}
@@ -189,7 +189,7 @@
 			return j.broken("head can't be read")
 		}
 	case j.head.Events:
-		event := &upstream.Part{Kind: upstream.Event, Bytes: piece, ID: eventID(piece)}
+		event := &upstream.Part{Kind: upstream.PartEvent, Bytes: piece, ID: eventID(piece)}
 		if !q.event(event, j.head.Header, &j.joined) {
 			return j.broken("events out of order")
 		}
@@ -212,7 +212,7 @@
 	work, q := j.work, j.request
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	lost, attemptsLeft, ok := work.owner.Here(work.now(), j.number)
+	lost, attemptsLeft, ok := work.owner.Reclaim(work.now(), j.number)
 	if !ok {
 		work.apply(work.owner.GiveUp(j.number))
 		return false
@@ -228,13 +228,13 @@
 // ended takes the outcome of a job that does not come back.
 func (j *offeredJob) ended(effect handoff.Effect) jobState {
 	q := j.request
-	q.try.AddRemote(effect.Message.Shots, effect.Outcome != handoff.Refused)
+	q.try.AddRemote(effect.Message.Attempts, effect.Outcome != handoff.Rejected)
 	switch effect.Outcome {
-	case handoff.Whole:
+	case handoff.Complete:
 		return j.completed()
-	case handoff.Refused:
+	case handoff.Rejected:
 		q.giveUp(errkind.Overloaded, "no time for long work")
-	case handoff.Late:
+	case handoff.DeadlineExceeded:
 		q.giveUp(errkind.DeadlineExceeded, "time ran out")
 	default:
 		j.countBroken()
@@ -255,7 +255,7 @@
 	if j.head.Events {
 		return jobAnswered
 	}
-	answer := &upstream.Part{Status: j.head.Status, Head: j.head.Header, Bytes: j.body}
+	answer := &upstream.Part{Status: j.head.Status, Header: j.head.Header, Bytes: j.body}
 	if q.whole(answer, "") {
 		return jobReturned
 	}
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -34,14 +34,14 @@
 }
 
 func newLongQueue() *longQueue {
-	shares := handoff.Shares{
-		Waiting: longWaiting,
-		Late:    longLate,
-		Most:    longMost,
-		Weight:  longWeight,
-		Cut:     longCut,
-		Grow:    longGrow,
-		Pause:   longPause,
+	shares := handoff.QueueOptions{
+		MaxWaiting:   longWaiting,
+		LateFraction: longLate,
+		MaxLateShare: longMost,
+		Weight:       longWeight,
+		Cut:          longCut,
+		Grow:         longGrow,
+		Pause:        longPause,
 	}
 	return &longQueue{
 		handoff: handoff.NewQueue(longRoom, shares),
@@ -85,7 +85,7 @@
 // admit tells the waiters that may run now, and those that are too late; the caller
 // holds the lock.
 func (l *longWork) admit(queue *longQueue) {
-	run, late := queue.handoff.Next(l.now(), queue.idle())
+	run, late := queue.handoff.Admit(l.now(), queue.idle())
 	queue.tell(run, true)
 	queue.tell(late, false)
 }
@@ -160,7 +160,7 @@
 	select {
 	case granted := <-waiter.granted: // it was admitted at the same time
 		if granted {
-			queue.handoff.Ended()
+			queue.handoff.Release()
 		}
 	default:
 	}
@@ -193,7 +193,7 @@
 		return
 	}
 	queue := work.queue(q.place)
-	queue.handoff.Ended()
+	queue.handoff.Release()
 	work.admit(queue)
 }
 
@@ -207,6 +207,6 @@
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	queue := work.queue(q.ask.Pool)
-	queue.handoff.Prompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.Aim))
+	queue.handoff.RecordPrompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.Aim))
 	work.admit(queue)
 }
--- a/internal/router/longwork_state.go
+++ b/internal/router/longwork_state.go
@@ -74,7 +74,7 @@
 func (l *longWork) queueStates() map[string]longQueueState {
 	states := map[string]longQueueState{}
 	for service, queue := range l.queues {
-		running, waiting, room := queue.handoff.Seen()
+		running, waiting, room := queue.handoff.Stats()
 		states[service] = longQueueState{
 			Idle:    queue.idle(),
 			Room:    room,
--- a/internal/router/longwork_taken.go
+++ b/internal/router/longwork_taken.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	limited := *path
-	limited.Attempts = min(limited.Attempts, message.Shots)
+	limited.Attempts = min(limited.Attempts, message.Attempts)
 	q.path = &limited
 	q.arrived = offered
 	q.taken = true
@@ -74,7 +74,7 @@
 	defer work.mu.Unlock()
 	work.cancels[ticket]()
 	delete(work.cancels, ticket)
-	work.apply(work.taker.Ended(ticket, result, attempts))
+	work.apply(work.taker.Finish(ticket, result, attempts))
 }
 
 // outcome is what the owner is told of a run whose request could be read.
@@ -118,7 +118,7 @@
 		return
 	}
 	w.status = status
-	w.own = w.head.Get(upstream.HeadID) == ""
+	w.own = w.head.Get(upstream.HeaderAttemptID) == ""
 	if w.own {
 		return
 	}
@@ -145,7 +145,7 @@
 func (w *takenWriter) send(piece []byte) {
 	w.work.mu.Lock()
 	defer w.work.mu.Unlock()
-	w.work.apply(w.work.taker.Piece(w.ticket, piece))
+	w.work.apply(w.work.taker.SendPart(w.ticket, piece))
 }
 
 // FlushError is for http.ResponseController: pieces are sent at once.
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -47,17 +47,17 @@
 }
 
 func TestOwnAnswersOfATakerAreNotSent(t *testing.T) {
-	h := &longWork{taker: handoff.NewTaker(5, handoff.Bounds{Accept: 10, Lease: 10, Graves: 1})}
-	h.taker.Room(1)
-	h.taker.Step(0, handoff.Message{Kind: handoff.Offer, Owner: 1, Job: 1, Turn: 1})
-	h.taker.Step(0, handoff.Message{Kind: handoff.Go, Owner: 1, Job: 1, Turn: 1, Ticket: handoff.Ticket{Life: 5, Number: 1}})
+	h := &longWork{taker: handoff.NewTaker(5, handoff.Bounds{AcceptTimeout: 10, Lease: 10, Tombstones: 1})}
+	h.taker.SetCapacity(1)
+	h.taker.Step(0, handoff.Message{Kind: handoff.Offer, Owner: 1, Job: 1, OfferNumber: 1})
+	h.taker.Step(0, handoff.Message{Kind: handoff.Go, Owner: 1, Job: 1, OfferNumber: 1, Ticket: handoff.Ticket{Incarnation: 5, Number: 1}})
 	w := &takenWriter{work: h, ticket: 1, head: http.Header{}}
 	w.WriteHeader(http.StatusServiceUnavailable)
 	n, err := w.Write([]byte("crowded"))
 	require.NoError(t, err)
 	require.Equal(t, 7, n)
 	require.True(t, w.own)
-	fx := h.taker.Ended(1, handoff.Returned, 0)
+	fx := h.taker.Finish(1, handoff.Returned, 0)
 	require.Equal(t, handoff.Returned, fx[0].Message.Kind, "no part was sent, so the promise may be passed on")
 }
 
@@ -82,7 +82,7 @@
 		defer w.end()
 		offered := time.Now()
 		<-time.After(durations.FromSeconds(17)) // the taker was frozen before it came to run the job
-		f := handoff.Effect{Message: handoff.Message{Body: []byte(requestText("once", "a")), Shots: 1}}
+		f := handoff.Effect{Message: handoff.Message{Body: []byte(requestText("once", "a")), Attempts: 1}}
 		h := w.g.long
 		h.cancels[0] = func() {}
 		h.runTaken(t.Context(), f, offered)
@@ -102,7 +102,7 @@
 			h.inboxes[job] = in
 			h.owner.Offer(h.now(), job, "n", nil)
 			offered := &offeredJob{work: h, request: q, node: "n", number: job}
-			answer := handoff.Message{Kind: handoff.Decline, Peer: "n", Owner: h.owner.Life(), Job: job, Turn: 1}
+			answer := handoff.Message{Kind: handoff.Decline, Peer: "n", Owner: h.owner.Incarnation(), Job: job, OfferNumber: 1}
 			if lost {
 				answer.Kind = handoff.Accept
 				h.owner.Step(h.now(), answer)
@@ -111,9 +111,9 @@
 			h.owner.Step(h.now(), answer)
 			<-time.After(durations.FromSeconds(17))
 			require.False(t, offered.takeBack())
-			want := handoff.Refused
+			want := handoff.Rejected
 			if lost {
-				want = handoff.Broken
+				want = handoff.Indeterminate
 			}
 			require.Equal(t, want, (<-in).Outcome, "its end says what is known of it")
 		})
@@ -151,7 +151,7 @@
 			} else {
 				require.Equal(t, durations.FromSeconds(refusePart), took)
 			}
-			runs, waiting, _ := x.handoff.Seen()
+			runs, waiting, _ := x.handoff.Stats()
 			require.Equal(t, int(longRoom), runs)
 			require.Zero(t, waiting)
 		})
--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -22,7 +22,7 @@
 		{Name: "sendings are not counted", File: attempts, From: "\t\tt.sent++\n", To: "", Run: "EveryPair"},
 		{Name: "a new sending forgets the earlier ones", File: attempts, From: "t.earlierRuns = t.MayHaveRun()", To: "t.earlierRuns = false", Run: "EveryPair"},
 		{Name: "a replica's own 503 is passed on", File: "answer.go", From: "http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:", To: "0:", Run: "EveryPair"},
-		{Name: "a seal on an answer of our own", File: "answer.go", From: "\t\tq.giveUp(errkind.Broken, \"the replica refused", To: "\t\tpassBack(q.w.Header(), p.Head)\n\t\tq.giveUp(errkind.Broken, \"the replica refused", Run: "EveryPair"},
+		{Name: "a seal on an answer of our own", File: "answer.go", From: "\t\tq.giveUp(errkind.UpstreamFailure, \"the replica refused", To: "\t\tpassBack(q.w.Header(), p.Header)\n\t\tq.giveUp(errkind.UpstreamFailure, \"the replica refused", Run: "EveryPair"},
 		{Name: "a cut stream ends as whole", File: "answer.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "EveryByteOfAnAnswer"},
 		{Name: "events of any run are joined", File: "answer.go", From: "if !q.follows(p.ID, *joined) {", To: "if false {", Run: "EveryPair|EveryByteOfAnAnswer|Joined"},
 		{Name: "a gone client gets an empty success", File: "answer.go", From: "func (q *request) abandon() {\n\tpanic(http.ErrAbortHandler)", To: "func (q *request) abandon() {", Run: "OwnDirection"},
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -56,7 +56,7 @@
 func (g *Router) budgetSection() map[string]float64 {
 	left := map[string]float64{}
 	for pool := range g.table.Load().Pools {
-		left[pool] = g.budget.Left(pool, g.fleet())
+		left[pool] = g.budget.Remaining(pool, g.fleet())
 	}
 	return left
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -104,7 +104,7 @@
 
 // proper refuses a request whose framing or head is not acceptable.
 func (q *request) proper() bool {
-	if frontend.Doubtful(q.r) {
+	if frontend.AmbiguousFraming(q.r) {
 		q.w.Header().Set("Connection", "close")
 		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "both a length and chunks"))
 		return false
@@ -114,7 +114,7 @@
 		httpreply.Error(q.w, errkind.New(errkind.HeaderTooLarge, "head over the limit"))
 		return false
 	}
-	if !upstream.Passable(q.r.RequestURI) {
+	if !upstream.CanForward(q.r.RequestURI) {
 		q.w.Header().Set("Connection", "close")
 		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "a target that can't be passed on as it is"))
 		return false
@@ -222,14 +222,14 @@
 }
 
 func (q *request) setClock() bool {
-	q.id = q.r.Header.Get(upstream.HeadID)
+	q.id = q.r.Header.Get(upstream.HeaderAttemptID)
 	q.deadline = q.arrived.Add(min(clientWaits(q.r.Header), q.path.Timeout))
 	return true
 }
 
 // clientWaits is how long a client says that it waits.
 func clientWaits(h http.Header) time.Duration {
-	ms, err := strconv.ParseFloat(strings.TrimSpace(h.Get(upstream.HeadBudget)), 64)
+	ms, err := strconv.ParseFloat(strings.TrimSpace(h.Get(upstream.HeaderTimeBudget)), 64)
 	if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
 		return defaultBudget
 	}
@@ -261,7 +261,7 @@
 	}
 	q.askEngine(parts)
 	if !q.taken {
-		q.g.budget.Asked(name)
+		q.g.budget.RecordRequest(name)
 	}
 	return true
 }
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -39,7 +39,7 @@
 	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Loan, Text: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
 	ok := err == nil && a.OK && a.Number > 0 && a.Number <= fairshare.LoanRetries
 	if ok {
-		g.budget.Lent(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
+		g.budget.AddLoan(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
 	}
 	g.mu.Lock()
 	if !ok {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,12 +30,12 @@
 	"shaletrestle/internal/upstream"
 )
 
-// Plan is what a router is built from.
-type Plan struct {
-	Env    *settings.Settings
-	Net    rpc.Net
-	Dialer upstream.Dialer
-	Work   func() time.Duration // does and times the piece of work that shows a slow machine; nil for the usual one
+// Options is what a router is built from.
+type Options struct {
+	Settings      *settings.Settings
+	Net           rpc.Net
+	Dialer        upstream.Dialer
+	SlownessProbe func() time.Duration // does and times the piece of work that shows a slow machine; nil for the usual one
 }
 
 // Router is one traffic process.
@@ -48,7 +48,7 @@
 	book      *state.Store
 	cursor    *distribution.Cursor
 	follower  *distribution.Follower
-	front     *frontend.Front
+	front     *frontend.Server
 	watcher   *failuredetector.Watcher
 	level     *slowness.Monitor
 	index     *prefixindex.Index
@@ -62,14 +62,14 @@
 	leaving   atomic.Bool
 	inflight  atomic.Int64
 	bodies    *fairshare.Shares
-	made      upstream.Made
+	made      upstream.DialCounts
 	count     counts
 	mu        sync.Mutex
 	pools     map[string]*upstream.Pool
-	keeps     map[string]*upstream.Keep // by service
-	asking    map[string]chan struct{}  // services that a lump is being borrowed for
-	refusedAt map[string]time.Time      // when none was lent, by service
-	toldAt    time.Time                 // when failures were told last
+	keeps     map[string]*upstream.KeepAlive // by service
+	asking    map[string]chan struct{}       // services that a lump is being borrowed for
+	refusedAt map[string]time.Time           // when none was lent, by service
+	toldAt    time.Time                      // when failures were told last
 	pickAt    int
 	bad       map[string]time.Time // controllers and when they failed last
 	dropped   string               // one that was left for a nearer one, not for failing
@@ -81,8 +81,8 @@
 }
 
 // New builds a router.
-func New(ctx context.Context, log *slog.Logger, p Plan) *Router {
-	env := p.Env
+func New(ctx context.Context, log *slog.Logger, p Options) *Router {
+	env := p.Settings
 	self := env.Port(portGate)
 	g := &Router{
 		ctx:       ctx,
@@ -92,7 +92,7 @@
 		book:      state.NewStore(true),
 		index:     prefixindex.NewIndex(),
 		pools:     map[string]*upstream.Pool{},
-		keeps:     map[string]*upstream.Keep{},
+		keeps:     map[string]*upstream.KeepAlive{},
 		asking:    map[string]chan struct{}{},
 		refusedAt: map[string]time.Time{},
 		isReady:   make(chan struct{}),
@@ -111,7 +111,7 @@
 	g.cursor = distribution.NewCursor(g.book)
 	seat := rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone}
 	g.follower = distribution.NewFollower(ctx, p.Net, g.cursor, seat, false, g.pick, nil)
-	g.level = slowness.NewMonitor(ctx, log, p.Work)
+	g.level = slowness.NewMonitor(ctx, log, p.SlownessProbe)
 	g.long = newLongWork(g)
 	g.watcher = g.newWatcher(self)
 	g.follower.Carry(g.words)
@@ -152,7 +152,7 @@
 	}
 	go rpc.Serve(g.ctx, cl, g.handle)
 	g.front = frontend.New(g.ctx, g.log, fl, http.HandlerFunc(g.serve))
-	g.front.Limit(g.table.Load().Limits)
+	g.front.SetLimits(g.table.Load().Limits)
 	rs := &http.Server{Handler: http.HandlerFunc(g.readiness), ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
 	ps := &http.Server{Handler: http.HandlerFunc(g.page), ReadHeaderTimeout: settings.HeaderTimeout}
 	go func() { _ = rs.Serve(rl) }()
@@ -171,7 +171,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.pools {
-		p.Shut()
+		p.Close()
 	}
 	return nil
 }
@@ -184,7 +184,7 @@
 	start := time.Now()
 	linger := min(lingerReady, grace/2)
 	wait.Sleep(g.ctx, linger)
-	g.front.Finish(grace - settings.GraceMargin - time.Since(start))
+	g.front.Shutdown(grace - settings.GraceMargin - time.Since(start))
 	g.long.finish(grace - settings.GraceMargin - time.Since(start))
 }
 
@@ -195,11 +195,11 @@
 	g.cold.Store(newColdShares(g.book.View().Nodes, e.Port(portGate)))
 }
 
-// Takes tells whether a replica may be sent to, as this process knows it now.
-func (g *Router) Takes(replica string) bool { return g.yard.May(replica) }
+// MaySend tells whether a replica may be sent to, as this process knows it now.
+func (g *Router) MaySend(replica string) bool { return g.yard.May(replica) }
 
-// Holds tells which configuration and which evacuations are in force here.
-func (g *Router) Holds() (revision int64, evacuated map[string]bool) {
+// InForce tells which configuration and which evacuations are in force here.
+func (g *Router) InForce() (revision int64, evacuated map[string]bool) {
 	v := g.book.View()
 	return v.Config.Revision, v.Evacuated
 }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -67,7 +67,7 @@
 	defer cancel()
 	e := &settings.Settings{NodeName: "n", IP: "10.0.0.1", Ports: []int{700, 710}, Seeds: []string{"10.0.0.1:83"}, Placement: placement.Defaults()}
 	e.Limits.MemoryMB = 100
-	g := New(ctx, slog.New(slog.DiscardHandler), Plan{Env: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
+	g := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
 	require.Equal(t, 20*coldMargin/fleetGuess, g.cold.Load().rate(20, "r"))
 	self := e.Port(portGate)
 	fold := func(e *state.Event) { g.book.Update(e.Encode()) }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -41,7 +41,7 @@
 	table := routing.Compile(v.Config)
 	g.table.Store(table)
 	if g.front != nil {
-		g.front.Limit(table.Limits)
+		g.front.SetLimits(table.Limits)
 	}
 }
 
@@ -55,7 +55,7 @@
 	for id, pool := range g.pools {
 		if v.Replicas[id] == nil {
 			delete(g.pools, id)
-			go pool.Shut()
+			go pool.Close()
 		}
 	}
 }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -45,7 +45,7 @@
 	cancel     context.CancelFunc // ends the router
 	t          *testing.T
 	g          *Router
-	front      *frontend.Front
+	front      *frontend.Server
 	doors      chan net.Conn
 	shut       chan struct{}
 	mu         sync.Mutex
@@ -83,7 +83,7 @@
 	env := &settings.Settings{NodeName: "g", Zone: "a", IP: "10.0.0.1", Ports: []int{9000, 9100}, Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64}}
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &world{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps, cancel: cancel}
-	w.g = New(ctx, slog.New(slog.DiscardHandler), Plan{Env: env, Net: noNet{}, Dialer: w})
+	w.g = New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: noNet{}, Dialer: w})
 	var routes []string
 	for name, kind := range worldRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":"h","path_prefix":"/%s/","backend_pool":"p","timeout_ms":%d,"target_latency_ms":200,"max_attempts":%d,%s}`,
@@ -103,7 +103,7 @@
 	}
 	require.True(t, w.g.ready.Load())
 	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
-	w.front.Limit(routing.Limits{})
+	w.front.SetLimits(routing.Limits{})
 	go w.front.Run()
 	return w
 }
@@ -113,7 +113,7 @@
 	w.front.Close()
 	w.g.mu.Lock()
 	for _, p := range w.g.pools {
-		p.Shut()
+		p.Close()
 	}
 	w.g.mu.Unlock()
 	w.mu.Lock()
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -355,7 +355,7 @@
 			if p.gate == nil || p.life == nil || p.life.dead.Load() {
 				continue
 			}
-			revision, evacuated := p.gate.Holds()
+			revision, evacuated := p.gate.InForce()
 			down := fmt.Sprint(map[bool]string{true: "yes", false: "no"}[evacuated[operatorZone]])
 			if int(revision) != o.newest || o.zoneDown != "" && down != o.zoneDown {
 				wrong = fmt.Sprintf("%s holds version %d, zone evacuated: %s; ordered %d, %s", name, revision, down, o.newest, o.zoneDown)
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -191,7 +191,7 @@
 	if isController(name) {
 		return w.startController(p, env)
 	}
-	gate := router.New(p.ctx, p.log, router.Plan{Env: env, Net: p.life, Dialer: p.life, Work: p.work})
+	gate := router.New(p.ctx, p.log, router.Options{Settings: env, Net: p.life, Dialer: p.life, SlownessProbe: p.work})
 	w.mu.Lock()
 	p.gate = gate
 	w.mu.Unlock()
--- a/internal/simtest/rule_drain.go
+++ b/internal/simtest/rule_drain.go
@@ -23,7 +23,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.gate.Takes(r.ID) {
+	if p.gate.MaySend(r.ID) {
 		delete(r.knew, p.ip)
 		return ""
 	}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -13,45 +13,45 @@
 // The kinds of parts. A whole answer is Head, then Body, then End; a stream is Head, Events, End. Fail
 // ends either at any point.
 const (
-	Head PartKind = iota
-	Body
-	Event
-	End
-	Fail
+	PartHead PartKind = iota
+	PartBody
+	PartEvent
+	PartEnd
+	PartFailure
 )
 
 // Part is one step of an answer.
 type Part struct {
-	Kind   PartKind
-	Status int
-	Head   http.Header
-	Bytes  []byte
-	ID     int64         // of an event, -1 if it has none
-	State  attempt.State // of an End: Answered or NotExecuted
-	Why    string
-	Lost   bool // the connection itself failed
-	Reset  bool // it ended before the first byte of an answer
+	Kind           PartKind
+	Status         int
+	Header         http.Header
+	Bytes          []byte
+	ID             int64         // of an event, -1 if it has none
+	State          attempt.State // of an End: Answered or NotExecuted
+	Cause          string
+	ConnectionLost bool // the connection itself failed
+	Reset          bool // it ended before the first byte of an answer
 }
 
 // NotRun tells whether a head says that the replica did not run the request. It is a promise only once
 // the answer has come whole.
 func (p *Part) NotRun() bool {
-	return notExecuted(p.Status, p.Head)
+	return notExecuted(p.Status, p.Header)
 }
 
 func notExecuted(status int, head http.Header) bool {
-	return status == http.StatusMisdirectedRequest || head.Get(HeadNotRun) != ""
+	return status == http.StatusMisdirectedRequest || head.Get(HeaderNotExecuted) != ""
 }
 
-// Answer is what a request gives: its parts in order. Drop must be called when no more are wanted.
-type Answer struct {
+// Response is what a request gives: its parts in order. Drop must be called when no more are wanted.
+type Response struct {
 	connection *Connection
 	exchange   *exchange
 }
 
 // Next gives the next part. late fires when it has taken too long, quit when nobody wants it any more;
 // ok is false then.
-func (a *Answer) Next(late <-chan time.Time, quit <-chan struct{}) (p Part, ok bool) {
+func (a *Response) Next(late <-chan time.Time, quit <-chan struct{}) (p Part, ok bool) {
 	select {
 	case p = <-a.exchange.parts:
 		return p, true
@@ -63,7 +63,7 @@
 		select {
 		case p = <-a.exchange.parts:
 		default:
-			p = Part{Kind: Fail, Why: "closed"}
+			p = Part{Kind: PartFailure, Cause: "closed"}
 		}
 	case <-late:
 		return p, false
@@ -73,10 +73,10 @@
 	return p, true
 }
 
-// Drop ends the interest in an answer; a connection whose answer was not read to its end is closed.
-func (a *Answer) Drop() {
+// Close ends the interest in an answer; a connection whose answer was not read to its end is closed.
+func (a *Response) Close() {
 	if a.connection.exchange.CompareAndSwap(a.exchange, abandoned) {
-		a.connection.Kill()
+		a.connection.Close()
 	}
 	select {
 	case <-a.exchange.quit:
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -18,14 +18,14 @@
 
 // Wire names of the headers that matter here.
 const (
-	HeadID      = "Attempt-Id"
-	HeadSeal    = "Replica-Seal"
-	HeadNotRun  = "Not-Executed"
-	HeadBudget  = "Time-Budget-Ms"
-	HeadExpect  = "Expected-Replica"
-	HeadLoad    = "Replica-Load"
-	HeadLastID  = "Last-Event-Id"
-	HeadUrgency = "Urgency-Class"
+	HeaderAttemptID       = "Attempt-Id"
+	HeaderSeal            = "Replica-Seal"
+	HeaderNotExecuted     = "Not-Executed"
+	HeaderTimeBudget      = "Time-Budget-Ms"
+	HeaderExpectedReplica = "Expected-Replica"
+	HeaderLoad            = "Replica-Load"
+	HeaderLastEventID     = "Last-Event-Id"
+	HeaderUrgency         = "Urgency-Class"
 )
 
 // Reasons for which a request was not sent that say nothing of the replica.
@@ -37,20 +37,20 @@
 	ErrSameAttempt = errors.New("the connection has answered this Attempt-Id before")
 )
 
-// ErrNotWanted ends a wait for a connection whose caller is gone.
-var ErrNotWanted = errors.New("nobody wants it any more")
+// ErrAbandoned ends a wait for a connection whose caller is gone.
+var ErrAbandoned = errors.New("nobody wants it any more")
 
 // Request is one sending of a client's request to a replica.
 type Request struct {
-	Method   string
-	Target   string
-	Host     string
-	Header   http.Header
-	Body     []byte
-	ID       string
-	Events   bool      // the answer is a stream of events
-	NotAfter time.Time // no first byte leaves from then on
-	Deadline time.Time // writing ends
+	Method    string
+	Target    string
+	Host      string
+	Header    http.Header
+	Body      []byte
+	AttemptID string
+	Events    bool      // the answer is a stream of events
+	NotAfter  time.Time // no first byte leaves from then on
+	Deadline  time.Time // writing ends
 }
 
 // exchange is one request on a connection and the answer to it.
@@ -95,25 +95,25 @@
 	return connection
 }
 
-// Forgotten tells whether a connection that was reset when it was used again had been forgotten by the
+// WasStale tells whether a connection that was reset when it was used again had been forgotten by the
 // replica, as far as the idle time says; it is learned from.
-func (c *Connection) Forgotten() bool {
+func (c *Connection) WasStale() bool {
 	return c.rested >= forgotIdle && c.pool.forgot(c.rested)
 }
 
-// Doubt closes the idle connections beside this one: after silence they are in doubt too, and the next
+// MarkUncertain closes the idle connections beside this one: after silence they are in doubt too, and the next
 // request dials before it sends.
-func (c *Connection) Doubt() { c.pool.flush() }
+func (c *Connection) MarkUncertain() { c.pool.flush() }
 
-// Back returns a connection that was got and not used.
-func (c *Connection) Back() {
+// Release returns a connection that was got and not used.
+func (c *Connection) Release() {
 	if !c.pool.put(c) {
-		c.Kill()
+		c.Close()
 	}
 }
 
-// Kill closes the connection.
-func (c *Connection) Kill() {
+// Close closes the connection.
+func (c *Connection) Close() {
 	if c.killed.CompareAndSwap(false, true) {
 		close(c.dead)
 		_ = c.conn.Close()
@@ -142,9 +142,9 @@
 }
 
 // Send writes a request. The state tells what left: with an error it is NotSent or PartlySent, else Sent.
-func (c *Connection) Send(request *Request) (*Answer, attempt.State, error) {
-	if c.used && c.lastID == request.ID {
-		c.Kill()
+func (c *Connection) Send(request *Request) (*Response, attempt.State, error) {
+	if c.used && c.lastID == request.AttemptID {
+		c.Close()
 		return nil, attempt.NotSent, ErrSameAttempt
 	}
 	x := &exchange{request: request, http: request.http(), parts: make(chan Part, 32), quit: make(chan struct{})}
@@ -163,18 +163,18 @@
 		err = w.Flush()
 	}
 	if err != nil {
-		c.Kill()
+		c.Close()
 		return nil, out.state, err
 	}
 	c.written <- struct{}{}
-	return &Answer{connection: c, exchange: x}, attempt.Sent, nil
+	return &Response{connection: c, exchange: x}, attempt.Sent, nil
 }
 
 // http is the request as the standard library writes it.
 func (r *Request) http() *http.Request {
 	out := &http.Request{
 		Method:        r.Method,
-		URL:           Target(r.Target),
+		URL:           RequestURL(r.Target),
 		Host:          r.Host,
 		Header:        r.Header,
 		Proto:         "HTTP/1.1",
--- a/internal/upstream/keep.go
+++ b/internal/upstream/keep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Keep is what this process knows of how long one service's replicas keep idle connections, beside what their answers say. A replica may forget one sooner, without a word.
-type Keep struct {
+// KeepAlive is what this process knows of how long one service's replicas keep idle connections, beside what their answers say. A replica may forget one sooner, without a word.
+type KeepAlive struct {
 	mu    sync.Mutex
 	limit time.Duration // idle time at the newest loss, less a margin; 0 if none was lost
 	at    time.Time
@@ -14,8 +14,8 @@
 	shown time.Time
 }
 
-// Kept notes that a connection worked after it was idle that long.
-func (k *Keep) Kept(idle time.Duration, now time.Time) {
+// RecordReuse notes that a connection worked after it was idle that long.
+func (k *KeepAlive) RecordReuse(idle time.Duration, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle >= k.proof || now.Sub(k.shown) > keepProof {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Forgot notes that a connection idle that long was reset when it was used again. It is false if others of the service worked lately after as long: then this one was not forgotten.
-func (k *Keep) Forgot(idle time.Duration, now time.Time) bool {
+// RecordStale notes that a connection idle that long was reset when it was used again. It is false if others of the service worked lately after as long: then this one was not forgotten.
+func (k *KeepAlive) RecordStale(idle time.Duration, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle < k.proof && now.Sub(k.shown) <= keepProof {
@@ -35,14 +35,14 @@
 	return true
 }
 
-// Most is how long a connection may have been idle to be used for what may be sent again. After a loss it grows back.
-func (k *Keep) Most(now time.Time) time.Duration {
+// MaxIdle is how long a connection may have been idle to be used for what may be sent again. After a loss it grows back.
+func (k *KeepAlive) MaxIdle(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.most(now)
 }
 
-func (k *Keep) most(now time.Time) time.Duration {
+func (k *KeepAlive) most(now time.Time) time.Duration {
 	if k.limit == 0 {
 		return keepLongest
 	}
@@ -50,8 +50,8 @@
 	return min(keepLongest, k.limit<<n)
 }
 
-// Sure is the same for what may not be sent again: half of it while a loss was seen lately.
-func (k *Keep) Sure(now time.Time) time.Duration {
+// MaxIdleUnrepeatable is the same for what may not be sent again: half of it while a loss was seen lately.
+func (k *KeepAlive) MaxIdleUnrepeatable(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limit > 0 && now.Sub(k.at) < keepDoubt {
--- a/internal/upstream/keep_test.go
+++ b/internal/upstream/keep_test.go
@@ -9,25 +9,25 @@
 
 func TestALossShortensTheIdleTimeAndItGrowsBack(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := &Keep{}
-	require.Equal(t, keepLongest, k.Most(now))
-	require.Equal(t, keepLongest, k.Sure(now))
-	k.Forgot(4*time.Second, now)
-	require.Less(t, k.Most(now), 4*time.Second)
-	require.Less(t, k.Sure(now), k.Most(now), "what may not be sent again takes younger ones")
-	k.Forgot(3*time.Second, now)
-	short := k.Most(now)
+	k := &KeepAlive{}
+	require.Equal(t, keepLongest, k.MaxIdle(now))
+	require.Equal(t, keepLongest, k.MaxIdleUnrepeatable(now))
+	k.RecordStale(4*time.Second, now)
+	require.Less(t, k.MaxIdle(now), 4*time.Second)
+	require.Less(t, k.MaxIdleUnrepeatable(now), k.MaxIdle(now), "what may not be sent again takes younger ones")
+	k.RecordStale(3*time.Second, now)
+	short := k.MaxIdle(now)
 	require.Less(t, short, 3*time.Second)
-	require.Equal(t, 2*short, k.Most(now.Add(keepRelax)))
-	require.Equal(t, keepLongest, k.Most(now.Add(time.Hour)))
+	require.Equal(t, 2*short, k.MaxIdle(now.Add(keepRelax)))
+	require.Equal(t, keepLongest, k.MaxIdle(now.Add(time.Hour)))
 	for range 99 {
-		require.True(t, k.Forgot(0, now))
+		require.True(t, k.RecordStale(0, now))
 	}
-	require.Equal(t, keepLeast, k.Most(now))
-	p := &Keep{}
-	p.Kept(2*time.Second, now)
-	p.Kept(time.Second, now)
-	require.False(t, p.Forgot(time.Second, now), "others worked after a longer rest")
-	require.Equal(t, keepLongest, p.Most(now))
-	require.True(t, p.Forgot(time.Second, now.Add(keepProof+1)), "but not of late")
+	require.Equal(t, keepLeast, k.MaxIdle(now))
+	p := &KeepAlive{}
+	p.RecordReuse(2*time.Second, now)
+	p.RecordReuse(time.Second, now)
+	require.False(t, p.RecordStale(time.Second, now), "others worked after a longer rest")
+	require.Equal(t, keepLongest, p.MaxIdle(now))
+	require.True(t, p.RecordStale(time.Second, now.Add(keepProof+1)), "but not of late")
 }
--- a/internal/upstream/model_answer_test.go
+++ b/internal/upstream/model_answer_test.go
@@ -135,14 +135,14 @@
 		}
 		_, _ = io.Copy(io.Discard, c)
 	}
-	p := NewPool("x", d, 4, &Keep{}, &Made{})
-	defer p.Shut()
+	p := NewPool("x", d, 4, &KeepAlive{}, &DialCounts{})
+	defer p.Close()
 	got := exchangeOnce(get(t, p), first)
 	w.judge(t, &got, sent)
 	for _, pause := range []time.Duration{0, 2 * modelLate} {
 		time.Sleep(pause)
 		synctest.Wait()
-		next.ID = "z"
+		next.AttemptID = "z"
 		c := get(t, p)
 		fresh := *next
 		fresh.NotAfter = time.Now().Add(modelPatience)
--- a/internal/upstream/model_lifetime_test.go
+++ b/internal/upstream/model_lifetime_test.go
@@ -29,8 +29,8 @@
 			readAll(c, len(body))
 			_, _ = io.Copy(io.Discard, c)
 		}}
-		p := NewPool("x", d, 1, &Keep{}, &Made{})
-		defer p.Shut()
+		p := NewPool("x", d, 1, &KeepAlive{}, &DialCounts{})
+		defer p.Close()
 		got := make(chan result, 1)
 		c := get(t, p)
 		go func() { got <- exchangeOnce(c, first) }()
@@ -75,8 +75,8 @@
 				n, _ := c.Read(make([]byte, 4096))
 				came.Add(int64(n))
 			}
-			p := NewPool("x", d, 1, &Keep{}, &Made{})
-			defer p.Shut()
+			p := NewPool("x", d, 1, &KeepAlive{}, &DialCounts{})
+			defer p.Close()
 			got := exchangeOnce(get(t, p), modelRequest("a", false, ""))
 			synctest.Wait()
 			if freeze < modelPatience {
@@ -98,14 +98,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				first := modelRequest("a", false, "")
 				d := &pipes{}
-				p := NewPool("x", d, 1, &Keep{}, &Made{})
+				p := NewPool("x", d, 1, &KeepAlive{}, &DialCounts{})
 				d.play = func(_ int, c net.Conn) {
 					readAll(c, requestBytes(first))
 					_, _ = io.WriteString(c, ok[:n])
 					if shut {
-						p.Shut()
+						p.Close()
 					} else {
-						p.Limit(0)
+						p.SetLimit(0)
 					}
 					_, _ = io.WriteString(c, ok[n:])
 					_, _ = io.Copy(io.Discard, c)
@@ -121,14 +121,14 @@
 // TestAWaitForAConnectionEndsWithItsClient frees what a gone client waited for.
 func TestAWaitForAConnectionEndsWithItsClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPool("x", &pipes{play: func(_ int, c net.Conn) { _, _ = io.Copy(io.Discard, c) }}, 1, &Keep{}, &Made{})
-		defer p.Shut()
-		defer get(t, p).Kill()
+		p := NewPool("x", &pipes{play: func(_ int, c net.Conn) { _, _ = io.Copy(io.Discard, c) }}, 1, &KeepAlive{}, &DialCounts{})
+		defer p.Close()
+		defer get(t, p).Close()
 		quit := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(quit) })
 		at := time.Now()
 		_, err := p.Get("o", time.Hour, false, quit)
-		require.ErrorIs(t, err, ErrNotWanted)
+		require.ErrorIs(t, err, ErrAbandoned)
 		require.Equal(t, time.Second, time.Since(at))
 	})
 }
--- a/internal/upstream/model_surplus_test.go
+++ b/internal/upstream/model_surplus_test.go
@@ -66,8 +66,8 @@
 		_, _ = io.WriteString(c, second)
 		_, _ = io.Copy(io.Discard, c)
 	}
-	p := NewPool("x", d, 4, &Keep{}, &Made{})
-	defer p.Shut()
+	p := NewPool("x", d, 4, &KeepAlive{}, &DialCounts{})
+	defer p.Close()
 	require.True(t, exchangeOnceEnded(t, p, first))
 	time.Sleep(2 * time.Second)
 	synctest.Wait()
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -46,8 +46,8 @@
 func modelRequest(id string, events bool, body string) *Request {
 	end := time.Now().Add(modelPatience)
 	return &Request{
-		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{HeadID: {id}, "User-Agent": {""}},
-		Body: []byte(body), ID: id, Events: events, NotAfter: end, Deadline: end,
+		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{HeaderAttemptID: {id}, "User-Agent": {""}},
+		Body: []byte(body), AttemptID: id, Events: events, NotAfter: end, Deadline: end,
 	}
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		return out
 	}
-	defer answer.Drop()
+	defer answer.Close()
 	late := time.NewTimer(modelPatience)
 	defer late.Stop()
 	for {
@@ -78,16 +78,16 @@
 			return out
 		}
 		switch p.Kind {
-		case Head:
+		case PartHead:
 			out.status = p.Status
-		case Body:
+		case PartBody:
 			out.body = p.Bytes
-		case Event:
+		case PartEvent:
 			out.events = append(out.events, string(p.Bytes))
-		case End:
+		case PartEnd:
 			out.ended, out.state = true, p.State
 			return out
-		case Fail:
+		case PartFailure:
 			out.fail = &p
 			return out
 		}
@@ -120,8 +120,8 @@
 		for k := 0; k <= n; k += max(1, (k/1000)*97) {
 			synctest.Test(t, func(t *testing.T) {
 				d := &pipes{play: func(_ int, c net.Conn) { readAll(c, k) }}
-				p := NewPool("x", d, 2, &Keep{}, &Made{})
-				defer p.Shut()
+				p := NewPool("x", d, 2, &KeepAlive{}, &DialCounts{})
+				defer p.Close()
 				got := exchangeOnce(get(t, p), modelRequest("a", false, body))
 				require.False(t, got.ended)
 				switch {
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -15,8 +15,8 @@
 		t.Skip("with -mutants only; CI runs it so")
 	}
 	for _, m := range []mutation.Mutation{
-		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeadID) == x.request.ID", To: "true", Run: "Answer|Surplus"},
-		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.ID", To: "false", Run: "Surplus"},
+		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeaderAttemptID) == x.request.AttemptID", To: "true", Run: "Answer|Surplus"},
+		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.AttemptID", To: "false", Run: "Surplus"},
 		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "ARequestCut"},
 		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "WakesLate"},
 		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written whole", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyAnswer"},
@@ -25,8 +25,8 @@
 		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "AnAnswerCut"},
 		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "AnAnswerCut"},
 		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "AnAnswerCut"},
-		{Name: "a dropped answer leaves its connection open", File: "answer.go", From: "\t\ta.connection.Kill()\n", To: "", Run: "AnAnswerCut"},
-		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Kill()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
+		{Name: "a dropped answer leaves its connection open", File: "answer.go", From: "\t\ta.connection.Close()\n", To: "", Run: "AnAnswerCut"},
+		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
 	} {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,23 +32,23 @@
 	return x.DialContext(context.Background(), "tcp4", addr)
 }
 
-// Made counts why connections were opened.
-type Made struct {
-	All     atomic.Int64 `json:"all"`
-	First   atomic.Int64 `json:"first"`   // the first to that replica
-	Again   atomic.Int64 `json:"again"`   // earlier ones were closed
-	Crowded atomic.Int64 `json:"crowded"` // all were in use
-	Expired atomic.Int64 `json:"expired"` // the kept ones had been idle too long
-	Wary    atomic.Int64 `json:"wary"`    // a kept one was there and not trusted
-	Forgot  atomic.Int64 `json:"forgot"`  // kept ones that the replica had forgotten
-	Closing atomic.Int64 `json:"closing"` // answers that said Connection: close
+// DialCounts counts why connections were opened.
+type DialCounts struct {
+	All       atomic.Int64 `json:"all"`
+	First     atomic.Int64 `json:"first"`   // the first to that replica
+	Reopened  atomic.Int64 `json:"again"`   // earlier ones were closed
+	AllInUse  atomic.Int64 `json:"crowded"` // all were in use
+	Expired   atomic.Int64 `json:"expired"` // the kept ones had been idle too long
+	Untrusted atomic.Int64 `json:"wary"`    // a kept one was there and not trusted
+	Stale     atomic.Int64 `json:"forgot"`  // kept ones that the replica had forgotten
+	Closing   atomic.Int64 `json:"closing"` // answers that said Connection: close
 }
 
 // Pool holds the connections to one life of a replica.
 type Pool struct {
 	addr string
 	d    Dialer
-	keep *Keep
+	keep *KeepAlive
 	mu   sync.Mutex
 	free []*Connection
 	open int
@@ -56,17 +56,17 @@
 	shut bool
 	used bool // a connection was opened before
 	wait []chan struct{}
-	made *Made
+	made *DialCounts
 	pie  *fairshare.Shares // connections in use, by owner
 }
 
 // NewPool makes a pool; most is this process's share of the replica's connections, keep what is known of how long the service's replicas keep idle ones.
-func NewPool(addr string, d Dialer, most int, keep *Keep, made *Made) *Pool {
+func NewPool(addr string, d Dialer, most int, keep *KeepAlive, made *DialCounts) *Pool {
 	return &Pool{addr: addr, d: d, most: most, keep: keep, made: made, pie: fairshare.New(int64(most), fairshare.CalmFraction)}
 }
 
-// Limit changes the share. Idle connections over a smaller one are closed; those in use end with their answers.
-func (p *Pool) Limit(most int) {
+// SetLimit changes the share. Idle connections over a smaller one are closed; those in use end with their answers.
+func (p *Pool) SetLimit(most int) {
 	p.mu.Lock()
 	if p.most == most {
 		p.mu.Unlock()
@@ -85,7 +85,7 @@
 // kill closes connections that were taken out of their pool: nobody can get one of them meanwhile.
 func kill(taken []*Connection) {
 	for _, connection := range taken {
-		connection.Kill()
+		connection.Close()
 	}
 }
 
@@ -126,13 +126,13 @@
 			if p.open < p.most {
 				switch {
 				case len(p.free) > 0:
-					p.made.Wary.Inc()
+					p.made.Untrusted.Inc()
 				case had > 0:
 					p.made.Expired.Inc()
 				case p.open > 0:
-					p.made.Crowded.Inc()
+					p.made.AllInUse.Inc()
 				case p.used:
-					p.made.Again.Inc()
+					p.made.Reopened.Inc()
 				default:
 					p.made.First.Inc()
 				}
@@ -149,7 +149,7 @@
 		select {
 		case <-w:
 		case <-quit:
-			return nil, ErrNotWanted
+			return nil, ErrAbandoned
 		case <-time.After(time.Until(end)):
 			return nil, errkind.New(errkind.Overloaded, "no connection is free")
 		}
@@ -162,8 +162,8 @@
 	for len(p.free) > 0 {
 		ch := p.free[len(p.free)-1]
 		idle := now.Sub(ch.idle)
-		if now.Before(ch.expires) && !ch.killed.Load() && idle < p.keep.Most(now) {
-			if wary && idle >= p.keep.Sure(now) && p.open < p.most {
+		if now.Before(ch.expires) && !ch.killed.Load() && idle < p.keep.MaxIdle(now) {
+			if wary && idle >= p.keep.MaxIdleUnrepeatable(now) && p.open < p.most {
 				return nil // it is left for one that may be sent again
 			}
 			p.free = p.free[:len(p.free)-1]
@@ -171,7 +171,7 @@
 			return ch
 		}
 		p.free = p.free[:len(p.free)-1]
-		go ch.Kill()
+		go ch.Close()
 	}
 	return nil
 }
@@ -179,10 +179,10 @@
 // forgot notes that a kept connection was reset when it was used again: those that were idle as long are closed, and the service's others are kept less long. It is false if that was no forgetting.
 func (p *Pool) forgot(rested time.Duration) bool {
 	now := time.Now()
-	if !p.keep.Forgot(rested, now) {
+	if !p.keep.RecordStale(rested, now) {
 		return false
 	}
-	p.made.Forgot.Inc()
+	p.made.Stale.Inc()
 	p.mu.Lock()
 	old := p.takeOut(func(c *Connection) bool { return now.Sub(c.idle) >= rested })
 	p.mu.Unlock()
@@ -266,8 +266,8 @@
 	kill(free)
 }
 
-// Shut closes idle connections and gives out no more.
-func (p *Pool) Shut() {
+// Close closes idle connections and gives out no more.
+func (p *Pool) Close() {
 	p.mu.Lock()
 	p.shut = true
 	p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -44,7 +44,7 @@
 				return
 			}
 			last = time.Now()
-			_, _ = b.Write([]byte("HTTP/1.1 200 OK\r\nAttempt-Id: " + q.Header.Get(HeadID) + "\r\nReplica-Seal: s\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = b.Write([]byte("HTTP/1.1 200 OK\r\nAttempt-Id: " + q.Header.Get(HeaderAttemptID) + "\r\nReplica-Seal: s\r\nContent-Length: 0\r\n\r\n"))
 		}
 	}()
 	return a, nil
@@ -62,13 +62,13 @@
 	ch, err := p.Get("o", time.Second, wary, nil)
 	require.NoError(t, err)
 	id, end := fmt.Sprint("x", ids.Add(1)), time.Now().Add(time.Second)
-	a, _, err := ch.Send(&Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{HeadID: {id}}, ID: id, NotAfter: end, Deadline: end})
+	a, _, err := ch.Send(&Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{HeaderAttemptID: {id}}, AttemptID: id, NotAfter: end, Deadline: end})
 	require.NoError(t, err)
-	defer a.Drop()
+	defer a.Close()
 	for {
 		p, ok := a.Next(nil, nil)
 		require.True(t, ok)
-		if p.Kind == End || p.Kind == Fail {
+		if p.Kind == PartEnd || p.Kind == PartFailure {
 			return ch, p
 		}
 	}
@@ -76,45 +76,45 @@
 
 func TestWhatMayNotBeSentAgainAvoidsConnectionsThatMayBeForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, made := &server{forget: 3 * time.Second}, &Made{}
-		p := NewPool("x", s, 4, &Keep{}, made)
-		defer p.Shut()
+		s, made := &server{forget: 3 * time.Second}, &DialCounts{}
+		p := NewPool("x", s, 4, &KeepAlive{}, made)
+		defer p.Close()
 		_, end := use(t, p, false)
-		require.Equal(t, End, end.Kind)
+		require.Equal(t, PartEnd, end.Kind)
 		time.Sleep(4 * time.Second)
 		ch, end := use(t, p, false)
-		require.Equal(t, Fail, end.Kind)
+		require.Equal(t, PartFailure, end.Kind)
 		require.True(t, end.Reset)
 		require.Equal(t, 4*time.Second, ch.rested)
-		ch.Forgotten()
-		require.EqualValues(t, 1, made.Forgot.Load())
+		ch.WasStale()
+		require.EqualValues(t, 1, made.Stale.Load())
 		require.EqualValues(t, 1, made.First.Load())
 		synctest.Wait() // the pool has heard that the forgotten one is gone
 		ch, end = use(t, p, false)
-		require.Equal(t, End, end.Kind)
+		require.Equal(t, PartEnd, end.Kind)
 		require.Zero(t, ch.rested)
-		require.EqualValues(t, 1, made.Again.Load())
+		require.EqualValues(t, 1, made.Reopened.Load())
 		time.Sleep(2 * time.Second) // below what was learned, above half of it
 		n := made.All.Load()
 		ch, end = use(t, p, true)
-		require.Equal(t, End, end.Kind)
+		require.Equal(t, PartEnd, end.Kind)
 		require.Zero(t, ch.rested, "a new one")
 		require.Equal(t, n+1, made.All.Load())
-		require.EqualValues(t, 1, made.Wary.Load())
+		require.EqualValues(t, 1, made.Untrusted.Load())
 		ch, _ = use(t, p, false)
 		require.NotNil(t, ch)
 		require.Equal(t, n+1, made.All.Load(), "what may be sent again uses it")
 		time.Sleep(2900 * time.Millisecond)
 		_, end = use(t, p, false)
-		require.Equal(t, End, end.Kind, "those idle longer than was learned are not used")
+		require.Equal(t, PartEnd, end.Kind, "those idle longer than was learned are not used")
 	})
 }
 
 func TestAPoolFollowsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
-		p := NewPool("x", s, 4, &Keep{}, &Made{})
-		defer p.Shut()
+		p := NewPool("x", s, 4, &KeepAlive{}, &DialCounts{})
+		defer p.Close()
 		var chs []*Connection
 		for range 2 {
 			ch, err := p.Get("o", time.Second, false, nil)
@@ -127,20 +127,20 @@
 			chs = append(chs, ch)
 		}
 		require.Equal(t, 4, s.now())
-		p.Limit(2)
+		p.SetLimit(2)
 		for _, ch := range chs {
-			ch.Back()
+			ch.Release()
 		}
 		synctest.Wait()
 		require.Equal(t, 2, s.now(), "those over the share are closed as they come back")
-		p.Limit(0)
+		p.SetLimit(0)
 		synctest.Wait()
 		require.Zero(t, s.now())
 		_, err := p.Get("o", time.Hour, false, nil)
 		require.Equal(t, errkind.Overloaded, errkind.KindOf(err), "without a share it fails at once")
-		p.Limit(3)
+		p.SetLimit(3)
 		ch, err := p.Get("o", fairshare.LoanTimeout, false, nil)
 		require.NoError(t, err)
-		ch.Back()
+		ch.Release()
 	})
 }
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -48,7 +48,7 @@
 
 // read takes answers off the socket for as long as the connection may be used.
 func (c *Connection) read() {
-	defer c.Kill()
+	defer c.Close()
 	br := bufio.NewReaderSize(c.conn, 4<<10)
 	for {
 		_, err := br.Peek(1)
@@ -59,12 +59,12 @@
 		select {
 		case <-c.start:
 		case <-c.dead:
-			x.tell(Part{Kind: Fail, Why: "closed"})
+			x.tell(Part{Kind: PartFailure, Cause: "closed"})
 			return
 		}
 		if err != nil {
 			silent := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
-			x.tell(Part{Kind: Fail, Why: "no answer: " + err.Error(), Lost: true, Reset: !silent})
+			x.tell(Part{Kind: PartFailure, Cause: "no answer: " + err.Error(), ConnectionLost: true, Reset: !silent})
 			return
 		}
 		if !c.answer(br, x) {
@@ -77,7 +77,7 @@
 func (c *Connection) answer(br *bufio.Reader, x *exchange) bool {
 	response, alone, err := ownResponse(br, x)
 	if err != nil {
-		x.tell(Part{Kind: Fail, Why: err.Error()})
+		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
 	if response.Close {
@@ -85,15 +85,15 @@
 	}
 	err = proper(response, x)
 	if err != nil {
-		x.tell(Part{Kind: Fail, Why: err.Error()})
+		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
-	if !x.tell(Part{Kind: Head, Status: response.StatusCode, Head: response.Header}) {
+	if !x.tell(Part{Kind: PartHead, Status: response.StatusCode, Header: response.Header}) {
 		return false
 	}
 	err = passBody(response, x)
 	if err != nil {
-		x.tell(Part{Kind: Fail, Why: err.Error()})
+		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
 	keep := alone && !response.Close && response.ProtoAtLeast(1, 1) && br.Buffered() == 0
@@ -114,7 +114,7 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		if response.Header.Get(HeadID) == x.request.ID {
+		if response.Header.Get(HeaderAttemptID) == x.request.AttemptID {
 			return response, skipped == 0, nil
 		}
 		skipped++
@@ -140,7 +140,7 @@
 	switch {
 	case status < http.StatusOK || status > statusMost:
 		return errStatus
-	case success && response.Header.Get(HeadSeal) == "":
+	case success && response.Header.Get(HeaderSeal) == "":
 		return errNoSeal
 	case success && notExecuted(status, response.Header):
 		return errContradiction
@@ -162,7 +162,7 @@
 	if err != nil || len(body) > MaxAnswerBytes {
 		return errBodyCut
 	}
-	if !x.tell(Part{Kind: Body, Bytes: body}) {
+	if !x.tell(Part{Kind: PartBody, Bytes: body}) {
 		return errNotWanted
 	}
 	return nil
@@ -180,9 +180,9 @@
 		keep = false
 	}
 	if c.rested > 0 {
-		c.pool.keep.Kept(c.rested, time.Now())
+		c.pool.keep.RecordReuse(c.rested, time.Now())
 	}
-	c.used, c.lastID = true, x.request.ID
+	c.used, c.lastID = true, x.request.AttemptID
 	keep = keep && c.exchange.CompareAndSwap(x, nil) // not if the answer was dropped at this moment
 	if keep {
 		c.idle = time.Now()
@@ -193,7 +193,7 @@
 	if notExecuted(response.StatusCode, response.Header) {
 		state = attempt.NotExecuted
 	}
-	x.tell(Part{Kind: End, State: state})
+	x.tell(Part{Kind: PartEnd, State: state})
 	return keep
 }
 
@@ -243,7 +243,7 @@
 		if len(text) > 0 {
 			continue
 		}
-		if !x.tell(Part{Kind: Event, Bytes: event, ID: id}) {
+		if !x.tell(Part{Kind: PartEvent, Bytes: event, ID: id}) {
 			return errNotWanted
 		}
 		event, id = nil, -1
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Target is a request's target as the standard library writes it: unchanged, byte by byte, where Passable
+// RequestURL is a request's target as the standard library writes it: unchanged, byte by byte, where Passable
 // says so.
-func Target(raw string) *url.URL {
+func RequestURL(raw string) *url.URL {
 	if !strings.HasPrefix(raw, "//") {
 		return &url.URL{Scheme: "http", Opaque: raw}
 	}
@@ -20,5 +20,5 @@
 	return &url.URL{Path: plain, RawPath: path, RawQuery: query, ForceQuery: asked && query == ""}
 }
 
-// Passable tells whether a target can be passed on unchanged.
-func Passable(raw string) bool { return Target(raw).RequestURI() == raw }
+// CanForward tells whether a target can be passed on unchanged.
+func CanForward(raw string) bool { return RequestURL(raw).RequestURI() == raw }
--- a/internal/upstream/target_test.go
+++ b/internal/upstream/target_test.go
@@ -24,7 +24,7 @@
 		"http://h/a":       true,
 		"/a/b;c?d=%20&e=+": true,
 	} {
-		require.Equal(t, passable, Passable(raw), raw)
+		require.Equal(t, passable, CanForward(raw), raw)
 		if !passable {
 			continue
 		}
