--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -21,10 +21,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if n := st.Note(); n != "" {
+		if n := st.Damage(); n != "" {
 			log.With("part", "replication").Error("the disk was damaged and is joined anew, empty", "why", n)
 		}
-		if n := st.Cut(); n > 0 {
+		if n := st.TruncatedBytes(); n > 0 {
 			log.With("part", "replication").Warn("torn tail cut at its last whole record", "bytes", n)
 		}
 		return controller.New(ctx, log, controller.Options{Settings: e, Net: rpc.TCP{}, Store: st})
--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -35,7 +35,7 @@
 	}
 	m.mu.Unlock()
 	m.calls.mu.Lock()
-	k.calls = len(m.calls.waiting)
+	k.calls = len(m.calls.pending)
 	m.calls.mu.Unlock()
 	m.disk.mu.Lock()
 	k.jobs = len(m.disk.jobs)
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -10,35 +10,35 @@
 
 // call is an order or a read that waits for its answer.
 type call struct {
-	answered chan core.Result
-	look     func() // of a read; it runs while the state is the confirmed one
+	result chan core.Result
+	read   func() // of a read; it runs while the state is the confirmed one
 }
 
 // calls are the orders and reads that wait.
 type calls struct {
-	mu      sync.Mutex
-	last    core.Token
-	waiting map[core.Token]*call
+	mu        sync.Mutex
+	lastToken core.Token
+	pending   map[core.Token]*call
 }
 
 func (c *calls) add(look func()) (core.Token, *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting == nil {
-		c.waiting = map[core.Token]*call{}
+	if c.pending == nil {
+		c.pending = map[core.Token]*call{}
 	}
-	c.last++
-	added := &call{answered: make(chan core.Result, 1), look: look}
-	c.waiting[c.last] = added
-	return c.last, added
+	c.lastToken++
+	added := &call{result: make(chan core.Result, 1), read: look}
+	c.pending[c.lastToken] = added
+	return c.lastToken, added
 }
 
 // take removes a call; nil if nobody waits for its answer any more.
 func (c *calls) take(token core.Token) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := c.waiting[token]
-	delete(c.waiting, token)
+	taken := c.pending[token]
+	delete(c.pending, token)
 	return taken
 }
 
@@ -48,10 +48,10 @@
 	if taken == nil {
 		return
 	}
-	if answer.Outcome == core.Current && taken.look != nil {
-		taken.look()
+	if answer.Outcome == core.Current && taken.read != nil {
+		taken.read()
 	}
-	taken.answered <- answer
+	taken.result <- answer
 }
 
 // Propose makes one change. decide runs with nothing else in between, on the state as all earlier orders left it, and gives the entry, nil if nothing is to be done, or the error of a refusal; it must not wait.
@@ -59,7 +59,7 @@
 // No error means that the change is synced on all copies or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. NotHere means that this member is not the primary and that nothing was begun; Unready that the change may be made or not.
 func (m *Member) Propose(deadline time.Time, decide func() ([]byte, error)) error {
 	token, waiting := m.calls.add(nil)
-	order := core.Command{Token: token, Deadline: deadline.Sub(m.born), Decide: decide}
+	order := core.Command{Token: token, Deadline: deadline.Sub(m.startedAt), Decide: decide}
 	return m.await(deadline, token, waiting, order)
 }
 
@@ -71,7 +71,7 @@
 // Read calls look once the state is confirmed to be current, and before anything else is done with it. look must not wait.
 func (m *Member) Read(deadline time.Time, look func()) error {
 	token, waiting := m.calls.add(look)
-	return m.await(deadline, token, waiting, core.Read{Token: token, Deadline: deadline.Sub(m.born)})
+	return m.await(deadline, token, waiting, core.Read{Token: token, Deadline: deadline.Sub(m.startedAt)})
 }
 
 // await gives the event to the core and waits for the answer.
@@ -87,7 +87,7 @@
 		return errkind.New(errkind.Unavailable, "ending")
 	}
 	select {
-	case answer := <-waiting.answered:
+	case answer := <-waiting.result:
 		return outcomeError(answer)
 	case <-timer.C:
 		return errkind.New(errkind.Unavailable, "not decided in time")
@@ -117,7 +117,7 @@
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case m.events <- core.Leave{Deadline: deadline.Sub(m.born)}:
+	case m.events <- core.Leave{Deadline: deadline.Sub(m.startedAt)}:
 	case <-timer.C:
 		return false
 	case <-m.ctx.Done():
--- a/coord/replication/catchup_test.go
+++ b/coord/replication/catchup_test.go
@@ -280,7 +280,7 @@
 	f.start(witness)
 	for range 200 { // 10 s
 		time.Sleep(50 * time.Millisecond)
-		_, leads := f.m[member].Active()
+		_, leads := f.m[member].PrimaryEpoch()
 		require.False(t, leads, "it leads with change %d of %d", f.settings[member].lastChange(), f.change)
 		require.Negative(t, f.newest())
 	}
--- a/coord/replication/config.go
+++ b/coord/replication/config.go
@@ -18,7 +18,7 @@
 // Store is a member's disk. What a method returned for without an error is synced, names of files included.
 type Store interface {
 	Identity() (id uint64, firstStart bool)
-	FirstSeeds() []string // of the first start, if the disk was made at that; the settings may name others by now
+	BootstrapSeeds() []string // of the first start, if the disk was made at that; the settings may name others by now
 	Load() core.Stored
 	SaveRegister(core.Register) error
 	// SaveSnapshot puts a whole state in place of the one before: after a crash in the middle either the old state or the new one is found.
@@ -26,28 +26,34 @@
 	Append(core.Entry) error
 }
 
+// Resetter is a Store that can become an empty disk. A Member calls Reset when what the disk holds is intact but can't be used, as after core.ErrCorrupt; with any other Store, New fails then.
+type Resetter interface {
+	// Reset discards everything and takes a new identity, which has no part in bootstrapping the group.
+	Reset(reason string) error
+}
+
 // Transport carries messages to other members.
 type Transport interface {
 	// Send never blocks; the message may be lost.
 	Send(address string, message core.Message)
-	// Heard notes a channel on which the member at an address was heard: what is sent to it may go that way.
-	Heard(address string, channel *rpc.Channel)
+	// SetChannel names the channel on which a message from the member at an address arrived; later messages to it may use that channel.
+	SetChannel(address string, channel *rpc.Channel)
 }
 
 // Config is what a member needs.
 type Config struct {
-	Address   string
-	Zone      string
-	Seeds     []string                 // addresses; at the first start the same for all
-	Losses    int                      // members that may be lost at once; 0: one member alone may be primary
-	Areas     int                      // areas that may be lost at once
-	Area      func(zone string) string // what a zone is lost with; nil: each zone by itself
-	Relay     bool                     // it has no disk: it holds nothing, witnesses nothing and only learns the view
-	Store     Store
-	Machine   StateMachine
-	Transport Transport
-	OnActive  func(epoch uint64) // this member became primary; called before anything else is done as primary
-	OnIdle    func()             // this member is no longer primary
+	Address           string
+	Zone              string
+	Seeds             []string                 // addresses; at the first start the same for all
+	MaxFailures       int                      // members that may be lost at once; 0: one member alone may be primary
+	MaxDomainFailures int                      // areas that may be lost at once
+	FailureDomain     func(zone string) string // what a zone is lost with; nil: each zone by itself
+	Relay             bool                     // it has no disk: it holds nothing, witnesses nothing and only learns the view
+	Store             Store
+	StateMachine      StateMachine
+	Transport         Transport
+	OnBecomePrimary   func(epoch uint64) // this member became primary; called before anything else is done as primary
+	OnStepDown        func()             // this member is no longer primary
 }
 
 // machineAdapter gives a state machine the names that the core knows.
@@ -57,14 +63,14 @@
 func (a machineAdapter) Snapshot() []byte              { return a.machine.Snapshot() }
 func (a machineAdapter) Restore(snapshot []byte) error { return a.machine.Restore(snapshot) }
 
-func seat(m core.Member) rpc.Member {
+func rpcMember(m core.Member) rpc.Member {
 	return rpc.Member{ID: uint64(m.ID), Address: m.Address, Zone: m.Zone}
 }
 
-func seats(members []core.Member) []rpc.Member {
+func rpcMembers(members []core.Member) []rpc.Member {
 	out := make([]rpc.Member, len(members))
 	for i, member := range members {
-		out[i] = seat(member)
+		out[i] = rpcMember(member)
 	}
 	return out
 }
--- a/coord/replication/crowd_test.go
+++ b/coord/replication/crowd_test.go
@@ -46,7 +46,7 @@
 	return l.write(func() error { return l.memory.Append(e) })
 }
 
-func (l *life) Heard(string, *rpc.Channel) {}
+func (l *life) SetChannel(string, *rpc.Channel) {}
 
 func (l *life) Send(address string, m core.Message) {
 	if !l.dead.Load() {
@@ -76,8 +76,8 @@
 	t.l[i] = &lines{}
 	t.lf[i] = &life{memory: t.st[i], h: t.h}
 	config := Config{
-		Address: address, Zone: t.zone[i], Seeds: []string{"m0", "m1", "m2"}, Losses: t.losses, Areas: 1, Area: t.area,
-		Store: t.lf[i], Machine: t.l[i], Transport: t.lf[i],
+		Address: address, Zone: t.zone[i], Seeds: []string{"m0", "m1", "m2"}, MaxFailures: t.losses, MaxDomainFailures: 1, FailureDomain: t.area,
+		Store: t.lf[i], StateMachine: t.l[i], Transport: t.lf[i],
 	}
 	if t.adjust != nil {
 		t.adjust(i, &config)
@@ -154,7 +154,7 @@
 
 func (t *crowd) primary() int {
 	for i, m := range t.m {
-		if _, ok := m.Active(); ok && t.ctx[i].Err() == nil {
+		if _, ok := m.PrimaryEpoch(); ok && t.ctx[i].Err() == nil {
 			return i
 		}
 	}
@@ -164,7 +164,7 @@
 // otherPrimary tells whether a member other than i is primary.
 func (t *crowd) otherPrimary(i int) bool {
 	for j, m := range t.m {
-		if _, ok := m.Active(); ok && j != i {
+		if _, ok := m.PrimaryEpoch(); ok && j != i {
 			return true
 		}
 	}
--- a/coord/replication/decode.go
+++ b/coord/replication/decode.go
@@ -10,9 +10,9 @@
 
 // Bounds on what is read: damaged bytes must not make a process allocate more than a few times their size.
 const (
-	membersMost   = 256 // members in one list; groups have some tens at most
-	addressMost   = 256 // bytes of an address or of a zone's name
-	messageFewest = 8   // bytes
+	maxMembers      = 256 // members in one list; groups have some tens at most
+	maxAddressBytes = 256 // bytes of an address or of a zone's name
+	minMessageBytes = 8   // bytes
 )
 
 // decodeMessage reads a message; bytes that are none give an error, never a panic. Data in the result shares the bytes given.
@@ -23,7 +23,7 @@
 			err = errkind.New(errkind.InvalidInput, "replication message: %v", r)
 		}
 	}()
-	if len(data) < messageFewest {
+	if len(data) < minMessageBytes {
 		return nil, errkind.New(errkind.InvalidInput, "replication message of %d bytes", len(data))
 	}
 	table := fb.GetRootAsMessage(data, 0)
@@ -41,14 +41,14 @@
 	if message == nil {
 		message = d.reply(table.BodyType(), body, envelope)
 	}
-	if message == nil || d.bad {
+	if message == nil || d.invalid {
 		return nil, errkind.New(errkind.InvalidInput, "replication message of type %d can't be read", table.BodyType())
 	}
 	return message, nil
 }
 
 // decoder reads tables; bad is set once something is over its bound or missing.
-type decoder struct{ bad bool }
+type decoder struct{ invalid bool }
 
 func (d *decoder) request(kind fb.Body, body flatbuffers.Table, envelope core.Envelope) core.Message {
 	switch kind {
@@ -238,8 +238,8 @@
 }
 
 func (d *decoder) text(b []byte) string {
-	if len(b) > addressMost {
-		d.bad = true
+	if len(b) > maxAddressBytes {
+		d.invalid = true
 		return ""
 	}
 	return string(b)
@@ -253,8 +253,8 @@
 }
 
 func (d *decoder) members(length int, at func(*fb.Member, int) bool) []core.Member {
-	if length > membersMost {
-		d.bad = true
+	if length > maxMembers {
+		d.invalid = true
 		return nil
 	}
 	var members []core.Member
@@ -312,7 +312,7 @@
 func (d *decoder) needView(t *fb.View) core.View {
 	view := d.view(t)
 	if view == nil {
-		d.bad = true
+		d.invalid = true
 		return core.View{}
 	}
 	return *view
@@ -320,7 +320,7 @@
 
 func (d *decoder) entry(t *fb.Entry) core.Entry {
 	if t == nil {
-		d.bad = true
+		d.invalid = true
 		return core.Entry{}
 	}
 	return core.Entry{
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -58,13 +58,13 @@
 			return
 		}
 		for job, ok := w.take(); ok && w.ctx.Err() == nil; job, ok = w.take() {
-			w.carryOut(job)
+			w.execute(job)
 		}
 	}
 }
 
 // carryOut does one job, and says so when it takes too long and when it has ended.
-func (w *diskWorker) carryOut(job core.Effect) {
+func (w *diskWorker) execute(job core.Effect) {
 	token, patience := w.describe(job)
 	stalled := time.AfterFunc(patience, func() { w.post(core.DiskStalled{Token: token}) })
 	err := w.save(job)
--- a/coord/replication/encode.go
+++ b/coord/replication/encode.go
@@ -8,12 +8,12 @@
 )
 
 // encodeHead are the bytes of a message besides its data, in most cases.
-const encodeHead = 512
+const messageOverheadBytes = 512
 
 // encodeMessage puts a message into bytes.
 func encodeMessage(message core.Message) []byte {
 	envelope := message.Route()
-	builder := flatbuffers.NewBuilder(encodeHead + dataSize(message))
+	builder := flatbuffers.NewBuilder(messageOverheadBytes + dataSize(message))
 	table := fb.MessageT{
 		From:      memberTable(envelope.From),
 		To:        uint64(envelope.To),
--- a/coord/replication/hall_test.go
+++ b/coord/replication/hall_test.go
@@ -35,7 +35,7 @@
 
 func (m *memory) Identity() (uint64, bool) { return m.id, !m.late }
 
-func (m *memory) FirstSeeds() []string { return nil }
+func (m *memory) BootstrapSeeds() []string { return nil }
 
 func (m *memory) Load() core.Stored {
 	m.mu.Lock()
@@ -105,7 +105,7 @@
 	return &hall{m: map[string]*Member{}, off: map[string]bool{}, cut: map[[2]string]bool{}, free: map[[2]string]time.Time{}}
 }
 
-func (h *hall) Heard(string, *rpc.Channel) {}
+func (h *hall) SetChannel(string, *rpc.Channel) {}
 
 func (h *hall) Send(address string, message core.Message) {
 	from := message.Route().From.Address
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -9,11 +9,11 @@
 )
 
 // pendingMost is how many messages to one address wait for its dial; further ones are dropped.
-const pendingMost = 64
+const maxPendingMessages = 64
 
 // Links is the Transport over held channels. A message goes out on the channel on which the member was heard last, or on one that is dialled when it is needed.
 type Links struct {
-	lines *rpc.Pool
+	pool *rpc.Pool
 
 	mu    sync.Mutex
 	links map[string]*link
@@ -31,11 +31,11 @@
 
 // NewLinks makes the transport of a member.
 func NewLinks(lines *rpc.Pool) *Links {
-	return &Links{lines: lines, links: map[string]*link{}}
+	return &Links{pool: lines, links: map[string]*link{}}
 }
 
-// Heard is Transport's.
-func (l *Links) Heard(address string, channel *rpc.Channel) {
+// SetChannel is part of Transport.
+func (l *Links) SetChannel(address string, channel *rpc.Channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.at(address)
@@ -53,7 +53,7 @@
 		to.send(message)
 		return
 	}
-	if len(to.pending) < pendingMost {
+	if len(to.pending) < maxPendingMessages {
 		to.pending = append(to.pending, message)
 	}
 	if !to.dialing {
@@ -77,10 +77,10 @@
 	if silent != nil {
 		silent.Close()
 	}
-	channel, err := l.lines.Get(address)
+	channel, err := l.pool.Get(address)
 	if err == nil && channel.IdleTime() >= rpc.CallTimeout { // one from before that may be dead
 		channel.Close()
-		channel, err = l.lines.Get(address)
+		channel, err = l.pool.Get(address)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -137,7 +137,7 @@
 			return nil
 		})
 		accepted := rpc.Open(ctx, near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
-		links.Heard("b", accepted)
+		links.SetChannel("b", accepted)
 		links.Send("b", confirmRound(7))
 		synctest.Wait()
 		require.Len(t, heard, 1)
--- a/coord/replication/loss_judge_test.go
+++ b/coord/replication/loss_judge_test.go
@@ -16,7 +16,7 @@
 	r.mu.Lock()
 	for i, m := range r.crowd.m {
 		if r.running(i) {
-			_, active := m.Active()
+			_, active := m.PrimaryEpoch()
 			r.note("m%d/%d: active %v, view %s", i, m.self.ID, active, viewText(m.View()))
 		}
 	}
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	eventsMost   = 1024 // events that wait for the stepping goroutine
-	messagesMost = 768  // of them, before messages are dropped: calls and disk jobs need the rest
+	maxQueuedEvents   = 1024 // events that wait for the stepping goroutine
+	maxQueuedMessages = 768  // of them, before messages are dropped: calls and disk jobs need the rest
 )
 
 // Member is one process that takes part in the replication.
 type Member struct {
-	ctx    context.Context
-	log    *slog.Logger
-	config Config
-	self   core.Member
-	timing core.Timing
-	born   time.Time
-	disk   *diskWorker
-	calls  calls
-	events chan core.Event
-	left   chan core.Left
+	ctx       context.Context
+	log       *slog.Logger
+	config    Config
+	self      core.Member
+	timing    core.Timing
+	startedAt time.Time
+	disk      *diskWorker
+	calls     calls
+	events    chan core.Event
+	left      chan core.Left
 
 	mu       sync.Mutex // held while the core is stepped or asked
 	core     *core.Core
@@ -40,28 +40,28 @@
 
 // status is what is asked often, and also from within the hooks.
 type status struct {
-	epoch   core.Epoch
-	active  bool
-	primary core.Member // that was heard last, at heardAt
-	heardAt time.Duration
-	view    *core.View // never changed once it is here
+	epoch     core.Epoch
+	isPrimary bool
+	primary   core.Member // that was heard last, at heardAt
+	contactAt time.Duration
+	view      *core.View // never changed once it is here
 }
 
 // New makes a member from its store; Run starts it.
 func New(ctx context.Context, log *slog.Logger, config Config) (*Member, error) {
 	m := &Member{
-		ctx:    ctx,
-		log:    log.With("part", "replication"),
-		config: config,
-		timing: core.DefaultTiming(),
-		born:   time.Now(),
-		events: make(chan core.Event, eventsMost),
-		left:   make(chan core.Left, 1),
+		ctx:       ctx,
+		log:       log.With("part", "replication"),
+		config:    config,
+		timing:    core.DefaultTiming(),
+		startedAt: time.Now(),
+		events:    make(chan core.Event, maxQueuedEvents),
+		left:      make(chan core.Left, 1),
 	}
 	m.disk = newDiskWorker(m.ctx, config.Store, m.timing, m.post)
 	err := m.load()
 	if errors.Is(err, core.ErrCorrupt) {
-		err = m.startOver(err)
+		err = m.resetDisk(err)
 	}
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Internal, err, "stored state")
@@ -77,13 +77,13 @@
 	loaded, err := core.New(core.Config{
 		Self:              m.self,
 		Seeds:             m.config.Seeds,
-		BootstrapSeeds:    m.config.Store.FirstSeeds(),
-		MaxFailures:       m.config.Losses,
-		MaxDomainFailures: m.config.Areas,
-		FailureDomain:     m.config.Area,
+		BootstrapSeeds:    m.config.Store.BootstrapSeeds(),
+		MaxFailures:       m.config.MaxFailures,
+		MaxDomainFailures: m.config.MaxDomainFailures,
+		FailureDomain:     m.config.FailureDomain,
 		Relay:             m.config.Relay,
 		Bootstrap:         firstStart,
-		StateMachine:      machineAdapter{m.config.Machine},
+		StateMachine:      machineAdapter{m.config.StateMachine},
 		Timing:            m.timing,
 		Limits:            core.DefaultLimits(),
 	}, m.config.Store.Load())
@@ -91,14 +91,14 @@
 	return err
 }
 
-// startOver makes the disk an empty one with another identity, if its store can do that: what it held can't be used, and it must not pass for a disk that holds it.
-func (m *Member) startOver(cause error) error {
-	restarter, ok := m.config.Store.(interface{ StartOver(reason string) error })
+// resetDisk makes the disk an empty one with another identity, if its store can do that: what it held can't be used, and it must not pass for a disk that holds it.
+func (m *Member) resetDisk(cause error) error {
+	resetter, ok := m.config.Store.(Resetter)
 	if !ok {
 		return cause
 	}
 	m.log.Error("the stored state can't be used; the disk is joined anew, empty", "err", cause.Error())
-	if err := restarter.StartOver(cause.Error()); err != nil {
+	if err := resetter.Reset(cause.Error()); err != nil {
 		return errors.Join(cause, err)
 	}
 	return m.load()
@@ -124,7 +124,7 @@
 }
 
 // now is the steady clock since the member was made.
-func (m *Member) now() time.Duration { return time.Since(m.born) }
+func (m *Member) now() time.Duration { return time.Since(m.startedAt) }
 
 // step lets the core handle one event and carries the effects out, all before the next event. It gives the time until the core must be ticked.
 func (m *Member) step(event core.Event) time.Duration {
@@ -138,7 +138,7 @@
 	m.publish()
 	m.mu.Unlock()
 	for _, effect := range effects {
-		m.carryOut(effect)
+		m.apply(effect)
 	}
 	return max(0, wake-m.now())
 }
@@ -147,9 +147,9 @@
 func (m *Member) publish() {
 	old := m.status.Load()
 	next := status{view: old.view}
-	next.epoch, next.active = m.core.PrimaryEpoch()
+	next.epoch, next.isPrimary = m.core.PrimaryEpoch()
 	contact := m.core.LastPrimaryContact()
-	next.primary, next.heardAt = contact.Primary, contact.At
+	next.primary, next.contactAt = contact.Primary, contact.At
 	if known := m.core.KnownEpoch(); known > 0 && (old.view == nil || old.view.Epoch != known) {
 		next.view = m.core.View()
 	}
@@ -158,7 +158,7 @@
 	}
 }
 
-func (m *Member) carryOut(effect core.Effect) {
+func (m *Member) apply(effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Send:
 		m.config.Transport.Send(effect.Address, effect.Message)
@@ -167,12 +167,12 @@
 	case core.Result:
 		m.calls.answer(effect)
 	case core.BecamePrimary:
-		if m.config.OnActive != nil {
-			m.config.OnActive(uint64(effect.Epoch))
+		if m.config.OnBecomePrimary != nil {
+			m.config.OnBecomePrimary(uint64(effect.Epoch))
 		}
 	case core.SteppedDown:
-		if m.config.OnIdle != nil {
-			m.config.OnIdle()
+		if m.config.OnStepDown != nil {
+			m.config.OnStepDown()
 		}
 	case core.Left:
 		select {
@@ -194,7 +194,7 @@
 
 // Receive takes a message from another member. If too much waits already, it is dropped: what matters is sent again.
 func (m *Member) Receive(message core.Message) {
-	if len(m.events) >= messagesMost {
+	if len(m.events) >= maxQueuedMessages {
 		return
 	}
 	m.post(core.Received{Message: message})
@@ -210,7 +210,7 @@
 		m.log.Warn("message not read", "err", err.Error())
 		return true
 	}
-	m.config.Transport.Heard(message.Route().From.Address, channel)
+	m.config.Transport.SetChannel(message.Route().From.Address, channel)
 	m.Receive(message)
 	return true
 }
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -79,7 +79,7 @@
 		time.Sleep(5 * time.Second)
 		n := 0
 		for _, m := range tr.m {
-			if _, ok := m.Active(); ok {
+			if _, ok := m.PrimaryEpoch(); ok {
 				n++
 			}
 		}
@@ -178,7 +178,7 @@
 				time.Sleep(10 * time.Millisecond)
 				tr.h.setOff(fmt.Sprint("m", p), true)
 				time.Sleep(2 * time.Second)
-				_, on := tr.m[p].Active()
+				_, on := tr.m[p].PrimaryEpoch()
 				require.False(t, on)
 				require.Equal(t, errkind.Unavailable, errkind.KindOf(<-answered), "it may have been done")
 			})
@@ -316,7 +316,7 @@
 	restarts []string
 }
 
-func (s *spoiled) StartOver(reason string) error {
+func (s *spoiled) Reset(reason string) error {
 	s.restarts = append(s.restarts, reason)
 	s.id, s.late, s.register, s.snapshot, s.entries = s.id+1, true, core.Register{}, nil, nil
 	return nil
@@ -328,12 +328,12 @@
 	disk := &spoiled{memory: memory{id: 7}}
 	disk.snapshot = &core.Snapshot{Position: core.Position{Index: 1, Digest: 5}}
 	disk.entries = []core.Entry{{Index: 9, Previous: 1}}
-	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, Machine: &lines{}, Transport: newHall()})
+	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, StateMachine: &lines{}, Transport: newHall()})
 	require.NoError(t, err)
 	require.Len(t, disk.restarts, 1)
 	require.EqualValues(t, 8, m.Self().ID)
 	helpless := &memory{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
-	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, Machine: &lines{}, Transport: newHall()})
+	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, StateMachine: &lines{}, Transport: newHall()})
 	require.ErrorIs(t, err, core.ErrCorrupt, "its store can't start over")
 }
 
@@ -343,8 +343,8 @@
 	ready := make(chan uint64, 1)
 	text := &lines{}
 	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
-		Address: "only", Seeds: []string{"only"}, Store: &memory{id: 7}, Machine: text, Transport: newHall(),
-		OnActive: func(epoch uint64) { ready <- epoch },
+		Address: "only", Seeds: []string{"only"}, Store: &memory{id: 7}, StateMachine: text, Transport: newHall(),
+		OnBecomePrimary: func(epoch uint64) { ready <- epoch },
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -201,8 +201,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
-			Address: "m9", Zone: "d", Seeds: []string{"m0", "m1", "m2"}, Losses: 1, Relay: true,
-			Store: NewNoDisk(), Machine: &lines{}, Transport: c.h,
+			Address: "m9", Zone: "d", Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Relay: true,
+			Store: NewNoDisk(), StateMachine: &lines{}, Transport: c.h,
 		})
 		require.NoError(t, err)
 		c.h.mu.Lock()
@@ -267,7 +267,7 @@
 		for i := range 4 {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			cf := Config{Address: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i), Seeds: []string{"m0", "m1", "m2"}, Losses: 1, Store: &memory{id: uint64(i + 1)}, Machine: &lines{}, Transport: h}
+			cf := Config{Address: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i), Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Store: &memory{id: uint64(i + 1)}, StateMachine: &lines{}, Transport: h}
 			if i == 0 {
 				cf.Relay, cf.Store = true, NewNoDisk()
 			}
@@ -280,7 +280,7 @@
 			go m.Run()
 		}
 		time.Sleep(6 * time.Second)
-		p := slices.IndexFunc(ms, func(m *Member) bool { _, on := m.Active(); return on })
+		p := slices.IndexFunc(ms, func(m *Member) bool { _, on := m.PrimaryEpoch(); return on })
 		require.Positive(t, p)
 		require.NoError(t, ms[p].Propose(time.Now().Add(patience), func() ([]byte, error) { return []byte("x"), nil }))
 		require.Len(t, ms[p].View().Witnesses, 3)
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -21,8 +21,8 @@
 // Identity is the id of this life; it is never a member of the first register.
 func (s *NoDisk) Identity() (id uint64, firstStart bool) { return s.id, false }
 
-// FirstSeeds are none.
-func (s *NoDisk) FirstSeeds() []string { return nil }
+// BootstrapSeeds returns none.
+func (s *NoDisk) BootstrapSeeds() []string { return nil }
 
 // Load gives nothing.
 func (s *NoDisk) Load() core.Stored { return core.Stored{} }
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -8,7 +8,7 @@
 )
 
 // Self is this member.
-func (m *Member) Self() rpc.Member { return seat(m.self) }
+func (m *Member) Self() rpc.Member { return rpcMember(m.self) }
 
 // View is the newest view known to be chosen, nil before the first. It must not be changed.
 func (m *Member) View() *core.View { return m.status.Load().view }
@@ -19,57 +19,57 @@
 	if view == nil {
 		return nil
 	}
-	return seats(view.Witnesses)
+	return rpcMembers(view.Witnesses)
 }
 
 // Active tells whether this member is primary, and of which epoch.
-func (m *Member) Active() (epoch uint64, active bool) {
+func (m *Member) PrimaryEpoch() (epoch uint64, active bool) {
 	s := m.status.Load()
-	return uint64(s.epoch), s.active
+	return uint64(s.epoch), s.isPrimary
 }
 
 // Primary is the member that was last heard to be primary, if it was heard lately.
 func (m *Member) Primary() (rpc.Member, bool) {
 	s := m.status.Load()
-	if s.active {
+	if s.isPrimary {
 		return m.Self(), true
 	}
-	if s.primary.ID != 0 && m.now()-s.heardAt < m.timing.PrimaryTimeout {
-		return seat(s.primary), true
+	if s.primary.ID != 0 && m.now()-s.contactAt < m.timing.PrimaryTimeout {
+		return rpcMember(s.primary), true
 	}
 	return rpc.Member{}, false
 }
 
-// SinceHeard is the time since the primary was heard, as this member knows it; nothing on the primary itself.
-func (m *Member) SinceHeard() time.Duration {
+// SincePrimaryContact is the time since the primary was heard, as this member knows it; nothing on the primary itself.
+func (m *Member) SincePrimaryContact() time.Duration {
 	s := m.status.Load()
-	if s.active {
+	if s.isPrimary {
 		return 0
 	}
-	return m.now() - s.heardAt
+	return m.now() - s.contactAt
 }
 
 // Members are all members known, this one too.
 func (m *Member) Members() []rpc.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return seats(m.core.Members())
+	return rpcMembers(m.core.Members())
 }
 
 // State is for the state page.
 type State struct {
-	Self         MemberState   `json:"self"`
-	Relay        bool          `json:"relay"`
-	LossesBorne  int           `json:"losses_borne"` // by the view: copies left and a majority of witnesses
-	LossesWanted int           `json:"losses_wanted"`
-	View         *ViewState    `json:"view"`
-	Active       bool          `json:"active"`
-	Joined       bool          `json:"joined"`
-	Stalled      bool          `json:"stalled"`
-	Leaving      bool          `json:"leaving"`
-	Index        uint64        `json:"index"` // of the last entry held
-	HeardAgoMs   int64         `json:"heard_ago_ms"`
-	Members      []MemberState `json:"members"`
+	Self                  MemberState   `json:"self"`
+	Relay                 bool          `json:"relay"`
+	FailuresTolerated     int           `json:"losses_borne"` // by the view: copies left and a majority of witnesses
+	MaxFailures           int           `json:"losses_wanted"`
+	View                  *ViewState    `json:"view"`
+	IsPrimary             bool          `json:"active"`
+	Joined                bool          `json:"joined"`
+	DiskStalled           bool          `json:"stalled"`
+	Leaving               bool          `json:"leaving"`
+	Index                 uint64        `json:"index"` // of the last entry held
+	SincePrimaryContactMs int64         `json:"heard_ago_ms"`
+	Members               []MemberState `json:"members"`
 }
 
 // MemberState is a member on the state page.
@@ -94,18 +94,18 @@
 	s := m.core.State(m.now())
 	m.mu.Unlock()
 	return State{
-		Self:         memberState(s.Self),
-		Relay:        s.Relay,
-		LossesBorne:  s.FailuresTolerated,
-		LossesWanted: s.MaxFailures,
-		View:         viewState(s.View),
-		Active:       s.IsPrimary,
-		Joined:       s.Joined,
-		Stalled:      s.DiskStalled,
-		Leaving:      s.Leaving,
-		Index:        uint64(s.Position.Index),
-		HeardAgoMs:   int64(s.SincePrimaryContact / time.Millisecond),
-		Members:      memberStates(s.Members),
+		Self:                  memberState(s.Self),
+		Relay:                 s.Relay,
+		FailuresTolerated:     s.FailuresTolerated,
+		MaxFailures:           s.MaxFailures,
+		View:                  viewState(s.View),
+		IsPrimary:             s.IsPrimary,
+		Joined:                s.Joined,
+		DiskStalled:           s.DiskStalled,
+		Leaving:               s.Leaving,
+		Index:                 uint64(s.Position.Index),
+		SincePrimaryContactMs: int64(s.SincePrimaryContact / time.Millisecond),
+		Members:               memberStates(s.Members),
 	}
 }
 
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -156,7 +156,7 @@
 func (s *scheduleRun) propose(name string) {
 	for i, m := range s.c.m {
 		f := s.c.lf[i]
-		if _, on := m.Active(); !on || f.dead.Load() {
+		if _, on := m.PrimaryEpoch(); !on || f.dead.Load() {
 			continue
 		}
 		s.busy.Go(func() {
--- a/coord/replication/settings_test.go
+++ b/coord/replication/settings_test.go
@@ -119,7 +119,7 @@
 	f.settings = make([]*settings, len(zones))
 	f.adjust = func(i int, config *Config) {
 		f.settings[i] = newSettings(count)
-		config.Machine = f.settings[i]
+		config.StateMachine = f.settings[i]
 	}
 	f.h.rate = rate
 	f.h.setDrop(f.watch)
@@ -194,7 +194,7 @@
 func (f *fleet) newest() int {
 	found, newest := -1, uint64(0)
 	for i, m := range f.m {
-		epoch, active := m.Active()
+		epoch, active := m.PrimaryEpoch()
 		if active && epoch > newest && f.ctx[i].Err() == nil && !f.isFrozen(i) {
 			found, newest = i, epoch
 		}
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	s, err := Open(OSFiles{}, dir, false, "10.9.0.1:7720")
 	require.NoError(t, err)
-	require.Empty(t, s.Note())
+	require.Empty(t, s.Damage())
 	t.Cleanup(s.Close)
 	return s
 }
@@ -73,7 +73,7 @@
 	id, firstStart := s.Identity()
 	require.NotZero(t, id)
 	require.True(t, firstStart)
-	require.Equal(t, recordedSeeds, s.FirstSeeds())
+	require.Equal(t, recordedSeeds, s.BootstrapSeeds())
 	loaded := s.Load()
 	require.Equal(t, recordedRegister(id), loaded.Register)
 	require.True(t, loaded.Appendable)
@@ -93,7 +93,7 @@
 func TestOpen_RecordedFolder_GivesWhatWasSaved(t *testing.T) {
 	dir := copyRecorded(t, "whole")
 	s := openRecorded(t, dir)
-	require.Zero(t, s.Cut())
+	require.Zero(t, s.TruncatedBytes())
 	requireWhole(t, s)
 	next := core.Entry{Index: recordedEnd.Index + 1, Epoch: 3, Ballot: 9, Previous: recordedEnd.Digest, Data: []byte("next")}
 	require.NoError(t, s.Append(next))
@@ -105,7 +105,7 @@
 func TestOpen_RecordedTornWrite_IsCut(t *testing.T) {
 	dir := copyRecorded(t, "torn")
 	s := openRecorded(t, dir)
-	require.Equal(t, 20, s.Cut())
+	require.Equal(t, 20, s.TruncatedBytes())
 	requireWhole(t, s)
 	requireSameFolder(t, "testdata/folders/whole", dir)
 }
@@ -145,13 +145,13 @@
 	fresh := openRecorded(t, copyRecorded(t, "fresh"))
 	_, firstStart := fresh.Identity()
 	require.True(t, firstStart)
-	require.Equal(t, recordedSeeds, fresh.FirstSeeds())
+	require.Equal(t, recordedSeeds, fresh.BootstrapSeeds())
 	require.Equal(t, core.Stored{}, fresh.Load())
 
 	witness := openRecorded(t, copyRecorded(t, "witness"))
 	_, firstStart = witness.Identity()
 	require.False(t, firstStart)
-	require.Empty(t, witness.FirstSeeds())
+	require.Empty(t, witness.BootstrapSeeds())
 	view := &core.View{Epoch: 7, Ballot: 0x9201, Witnesses: []core.Member{recordedMember(1)}, Primary: recordedMember(1)}
 	require.Equal(t, core.Stored{Register: core.Register{View: view}}, witness.Load())
 
@@ -182,7 +182,7 @@
 	require.NoError(t, err)
 	const number = generation(2)
 	require.Equal(t, map[string]string{
-		identityName:           string(identityBytes),
+		identityFileName:       string(identityBytes),
 		s.registerName():       string(registerBytes),
 		s.snapshotName(number): string(encodeSnapshot(s.identity.id, number, *loaded.Snapshot)),
 		filepath.Join(s.logName(number), SegmentName(7)): string(encodeSegment(s.identity.id, loaded.Entries)),
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -19,7 +19,7 @@
 func requireStartedOver(t *testing.T, dir string, oldID uint64) {
 	t.Helper()
 	s := open(t, dir)
-	require.NotEmpty(t, s.Note())
+	require.NotEmpty(t, s.Damage())
 	id, firstStart := s.Identity()
 	require.NotEqual(t, oldID, id)
 	require.False(t, firstStart)
@@ -27,7 +27,7 @@
 	require.Equal(t, []string{"identity"}, names(t, dir))
 
 	again := open(t, dir)
-	require.Empty(t, again.Note())
+	require.Empty(t, again.Damage())
 	sameID, _ := again.Identity()
 	require.Equal(t, id, sameID)
 }
@@ -53,7 +53,7 @@
 	for size := range len(whole) {
 		require.NoError(t, os.WriteFile(segment, whole[:size], 0o600))
 		s := open(t, dir)
-		require.Empty(t, s.Note())
+		require.Empty(t, s.Damage())
 		kept, end := 0, 0
 		for _, recordEnd := range ends {
 			if size >= recordEnd {
@@ -62,7 +62,7 @@
 			}
 		}
 		require.Len(t, s.Load().Entries, kept, "cut at byte %d", size)
-		require.Equal(t, size-end, s.Cut())
+		require.Equal(t, size-end, s.TruncatedBytes())
 		require.True(t, s.Load().Appendable)
 		require.NoError(t, s.Append(startEntries[kept]), "the log goes on after the last whole entry")
 		require.Len(t, open(t, dir).Load().Entries, kept+1)
@@ -81,7 +81,7 @@
 		content[at] ^= 1
 		require.NoError(t, os.WriteFile(segment, content, 0o600))
 		s := open(t, dir)
-		require.Empty(t, s.Note(), "byte %d", at)
+		require.Empty(t, s.Damage(), "byte %d", at)
 		require.Equal(t, startEntries[:3], s.Load().Entries)
 	}
 }
@@ -188,7 +188,7 @@
 	dir := t.TempDir()
 	s := fill(t, dir)
 	id, _ := s.Identity()
-	require.NoError(t, s.StartOver("the state can't be restored"))
+	require.NoError(t, s.Reset("the state can't be restored"))
 	newID, firstStart := s.Identity()
 	require.NotEqual(t, id, newID)
 	require.False(t, firstStart)
@@ -218,7 +218,7 @@
 		}
 		for step := 1; ; step++ {
 			disk := full.Copy()
-			disk.CutAt(step)
+			disk.CutPowerAt(step)
 			_, err := store.Open(disk, modelFolder, true)
 			complete := disk.Outcomes(10_000, nil, func(left *storetest.Disk) bool {
 				again, err := store.Open(left, modelFolder, true)
@@ -248,7 +248,7 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name+".new"), []byte("torn"), 0o600))
 	}
 	s := open(t, dir)
-	require.Empty(t, s.Note())
+	require.Empty(t, s.Damage())
 	again, _ := s.Identity()
 	require.Equal(t, id, again)
 	require.Equal(t, startEntries, s.Load().Entries)
@@ -262,7 +262,7 @@
 	s, err := store.Open(store.OSFiles{}, dir, true)
 	require.NoError(t, err)
 	defer s.Close()
-	require.Empty(t, s.Note())
+	require.Empty(t, s.Damage())
 	_, firstStart := s.Identity()
 	require.True(t, firstStart)
 }
--- a/coord/replication/store/encoding.go
+++ b/coord/replication/store/encoding.go
@@ -10,19 +10,19 @@
 
 // identity names a disk.
 type identity struct {
-	id         uint64
-	firstStart bool
-	firstSeeds []string // of the first start; nobody else's count for the first view
+	id             uint64
+	bootstrap      bool
+	bootstrapSeeds []string // of the first start; nobody else's count for the first view
 }
 
 // identityPayload is the payload of an identity record; the id is the record's owner.
 type identityPayload struct {
-	FirstStart bool     `json:"first_start"`
-	FirstSeeds []string `json:"first_seeds,omitempty"`
+	Bootstrap      bool     `json:"first_start"`
+	BootstrapSeeds []string `json:"first_seeds,omitempty"`
 }
 
 func encodeIdentity(i identity) ([]byte, error) {
-	payload, err := json.Marshal(identityPayload{FirstStart: i.firstStart, FirstSeeds: i.firstSeeds})
+	payload, err := json.Marshal(identityPayload{Bootstrap: i.bootstrap, BootstrapSeeds: i.bootstrapSeeds})
 	if err != nil {
 		return nil, err
 	}
@@ -38,7 +38,7 @@
 	if json.Unmarshal(payload, &decoded) != nil {
 		return identity{}, false
 	}
-	return identity{id: owner, firstStart: decoded.FirstStart, firstSeeds: decoded.FirstSeeds}, true
+	return identity{id: owner, bootstrap: decoded.Bootstrap, bootstrapSeeds: decoded.BootstrapSeeds}, true
 }
 
 func encodeRegister(owner uint64, register core.Register) ([]byte, error) {
@@ -65,11 +65,11 @@
 type generation uint64
 
 // snapshotHead is the size of what precedes the data: generation, epoch, ballot, index, digest.
-const snapshotHead = 5 * 8
+const snapshotHeaderBytes = 5 * 8
 
 func encodeSnapshot(owner uint64, number generation, snapshot core.Snapshot) []byte {
-	payload := make([]byte, 0, snapshotHead+len(snapshot.Data))
-	payload = appendNumbers(payload,
+	payload := make([]byte, 0, snapshotHeaderBytes+len(snapshot.Data))
+	payload = appendUint64s(payload,
 		uint64(number),
 		uint64(snapshot.Tag.Epoch),
 		uint64(snapshot.Tag.Ballot),
@@ -82,32 +82,32 @@
 
 func decodeSnapshot(owner uint64, number generation, record []byte) (core.Snapshot, bool) {
 	writtenFor, payload, ok := unseal(snapshotRecord, record)
-	if !ok || writtenFor != owner || len(payload) < snapshotHead {
+	if !ok || writtenFor != owner || len(payload) < snapshotHeaderBytes {
 		return core.Snapshot{}, false
 	}
-	if generation(numberAt(payload, 0)) != number {
+	if generation(uint64Field(payload, 0)) != number {
 		return core.Snapshot{}, false
 	}
 	snapshot := core.Snapshot{
 		Tag: core.StateTag{
-			Epoch:  core.Epoch(numberAt(payload, 1)),
-			Ballot: core.Ballot(numberAt(payload, 2)),
+			Epoch:  core.Epoch(uint64Field(payload, 1)),
+			Ballot: core.Ballot(uint64Field(payload, 2)),
 		},
 		Position: core.Position{
-			Index:  core.Index(numberAt(payload, 3)),
-			Digest: core.Digest(numberAt(payload, 4)),
+			Index:  core.Index(uint64Field(payload, 3)),
+			Digest: core.Digest(uint64Field(payload, 4)),
 		},
-		Data: bytes.Clone(payload[snapshotHead:]),
+		Data: bytes.Clone(payload[snapshotHeaderBytes:]),
 	}
 	return snapshot, true
 }
 
 // entryHead is the size of what precedes the data: index, epoch, ballot, previous digest.
-const entryHead = 4 * 8
+const entryHeaderBytes = 4 * 8
 
 func encodeEntry(owner uint64, entry core.Entry) []byte {
-	payload := make([]byte, 0, entryHead+len(entry.Data))
-	payload = appendNumbers(payload,
+	payload := make([]byte, 0, entryHeaderBytes+len(entry.Data))
+	payload = appendUint64s(payload,
 		uint64(entry.Index),
 		uint64(entry.Epoch),
 		uint64(entry.Ballot),
@@ -119,20 +119,20 @@
 
 func decodeEntry(record []byte) (owner uint64, entry core.Entry, ok bool) {
 	owner, payload, ok := unseal(entryRecord, record)
-	if !ok || len(payload) < entryHead {
+	if !ok || len(payload) < entryHeaderBytes {
 		return 0, core.Entry{}, false
 	}
 	entry = core.Entry{
-		Index:    core.Index(numberAt(payload, 0)),
-		Epoch:    core.Epoch(numberAt(payload, 1)),
-		Ballot:   core.Ballot(numberAt(payload, 2)),
-		Previous: core.Digest(numberAt(payload, 3)),
-		Data:     bytes.Clone(payload[entryHead:]),
+		Index:    core.Index(uint64Field(payload, 0)),
+		Epoch:    core.Epoch(uint64Field(payload, 1)),
+		Ballot:   core.Ballot(uint64Field(payload, 2)),
+		Previous: core.Digest(uint64Field(payload, 3)),
+		Data:     bytes.Clone(payload[entryHeaderBytes:]),
 	}
 	return owner, entry, true
 }
 
-func appendNumbers(out []byte, numbers ...uint64) []byte {
+func appendUint64s(out []byte, numbers ...uint64) []byte {
 	for _, number := range numbers {
 		out = binary.LittleEndian.AppendUint64(out, number)
 	}
@@ -140,6 +140,6 @@
 }
 
 // numberAt is the field with a place in a payload of numbers.
-func numberAt(payload []byte, place int) uint64 {
+func uint64Field(payload []byte, place int) uint64 {
 	return binary.LittleEndian.Uint64(payload[place*8:])
 }
--- a/coord/replication/store/faults_test.go
+++ b/coord/replication/store/faults_test.go
@@ -51,7 +51,7 @@
 
 // life gives a broken promise, if any.
 func (r *faultRun) life() error {
-	r.disk.CutAt(1 + r.random.IntN(120))
+	r.disk.CutPowerAt(1 + r.random.IntN(120))
 	r.setFault()
 	r.history.diskFails = r.disk.Fail != nil
 	err := r.write()
@@ -81,7 +81,7 @@
 // fullDisk refuses each step that needs room.
 func fullDisk(operation storetest.Operation) error {
 	switch operation.Kind {
-	case storetest.MakeFolder, storetest.Create, storetest.Write:
+	case storetest.Mkdir, storetest.Create, storetest.Write:
 		return storetest.ErrFull
 	}
 	return nil
@@ -96,7 +96,7 @@
 	defer s.Close()
 	for range r.random.IntN(mostWrites) {
 		err := r.writeOnce(s)
-		if errors.Is(err, storetest.ErrPower) {
+		if errors.Is(err, storetest.ErrPowerOff) {
 			return nil
 		}
 		if r.random.IntN(6) == 0 {
--- a/coord/replication/store/files.go
+++ b/coord/replication/store/files.go
@@ -12,27 +12,27 @@
 )
 
 // makeFolder makes a folder and those above it that are missing. Each name is durable before the next is made.
-func (s *Store) makeFolder(folder string) error {
+func (s *Store) mkdirAll(folder string) error {
 	_, err := s.files.List(folder)
 	if !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	parent := path.Dir(folder)
-	if err := s.makeFolder(parent); err != nil {
+	if err := s.mkdirAll(parent); err != nil {
 		return err
 	}
-	if err := s.files.MakeFolder(folder); err != nil {
+	if err := s.files.Mkdir(folder); err != nil {
 		return err
 	}
-	return s.files.SyncFolder(parent)
+	return s.files.SyncDir(parent)
 }
 
 // syncFoldersAbove makes the names durable that lead to the data folder. Where this process may not sync others' folders, they were not made by it.
-func (s *Store) syncFoldersAbove() error {
+func (s *Store) syncParentDirs() error {
 	folder := s.dir
 	for path.Dir(folder) != folder {
 		folder = path.Dir(folder)
-		if err := s.files.SyncFolder(folder); err != nil && !isNotAllowed(err) {
+		if err := s.files.SyncDir(folder); err != nil && !isSyncUnsupported(err) {
 			return err
 		}
 	}
@@ -40,7 +40,7 @@
 }
 
 // isNotAllowed tells whether a sync of a folder was refused for good.
-func isNotAllowed(err error) bool {
+func isSyncUnsupported(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, errors.ErrUnsupported) || errors.Is(err, syscall.EINVAL)
 }
 
@@ -71,8 +71,8 @@
 }
 
 // settleNames makes the names in the data folder durable, and only then removes those that the newest state has replaced.
-func (s *Store) settleNames() error {
-	if err := s.files.SyncFolder(s.dir); err != nil {
+func (s *Store) syncNames() error {
+	if err := s.files.SyncDir(s.dir); err != nil {
 		return err
 	}
 	s.namesUnsynced = false
@@ -81,9 +81,9 @@
 }
 
 // removeLeftovers removes what earlier snapshots left behind, so that the disk needs room for no more than two states.
-func (s *Store) removeLeftovers() error {
+func (s *Store) removeStaleStates() error {
 	if s.namesUnsynced {
-		return s.settleNames()
+		return s.syncNames()
 	}
 	s.removeReplaced()
 	return nil
@@ -95,7 +95,7 @@
 	if err != nil {
 		return
 	}
-	keep := []string{identityName, s.registerName()}
+	keep := []string{identityFileName, s.registerName()}
 	if newest := s.newestSnapshot(names); newest > 0 {
 		keep = append(keep, s.snapshotName(newest), s.logName(newest))
 	}
@@ -127,6 +127,6 @@
 }
 
 // isOldFormat tells whether a folder whose identity is not one of this format was written by the first version.
-func isOldFormat(identityContent []byte, names []string) bool {
-	return bytes.HasPrefix(identityContent, oldMagic) || slices.ContainsFunc(names, isOldName)
+func isFirstFormat(identityContent []byte, names []string) bool {
+	return bytes.HasPrefix(identityContent, firstFormatMagic) || slices.ContainsFunc(names, isFirstFormatName)
 }
--- a/coord/replication/store/filesystem.go
+++ b/coord/replication/store/filesystem.go
@@ -4,8 +4,8 @@
 
 // FileSystem is all that the store needs of a file system. Paths use slashes. A name that is missing is reported as an error that is fs.ErrNotExist.
 type FileSystem interface {
-	// MakeFolder makes one folder; its parent is there.
-	MakeFolder(path string) error
+	// Mkdir makes one directory; its parent exists.
+	Mkdir(path string) error
 	// List gives the names in a folder.
 	List(path string) ([]string, error)
 	// ReadFile gives the whole content of a file.
@@ -20,8 +20,8 @@
 	Rename(from, to string) error
 	// Remove removes a file or an empty folder.
 	Remove(path string) error
-	// SyncFolder makes the names in a folder durable.
-	SyncFolder(path string) error
+	// SyncDir makes the names in a directory durable.
+	SyncDir(path string) error
 }
 
 // File is a file open for writing.
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -93,7 +93,7 @@
 			return
 		}
 		newID, firstStart := opened.Identity()
-		if opened.Note() != "" {
+		if opened.Damage() != "" {
 			require.NotEqual(t, id, newID)
 			require.False(t, firstStart)
 			require.Equal(t, core.Stored{}, opened.Load())
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -82,8 +82,8 @@
 func (h *history) check(s *store.Store) error {
 	id, firstStart := s.Identity()
 	switch {
-	case s.Note() != "":
-		return errors.Newf("damage is reported: %s", s.Note())
+	case s.Damage() != "":
+		return errors.Newf("damage is reported: %s", s.Damage())
 	case id == 0 || !firstStart:
 		return errors.Newf("identity %d, first start %v", id, firstStart)
 	case h.id != 0 && id != h.id:
--- a/coord/replication/store/mutation_test.go
+++ b/coord/replication/store/mutation_test.go
@@ -45,7 +45,7 @@
 // skipNameSync leaves out the syncs of the data folder that come right after a step on a path with a part.
 func skipNameSync(after storetest.OperationKind, part string) func(*storetest.Disk, storetest.Operation) bool {
 	return func(disk *storetest.Disk, operation storetest.Operation) bool {
-		if operation.Kind != storetest.SyncFolder || operation.Path != modelFolder {
+		if operation.Kind != storetest.SyncDir || operation.Path != modelFolder {
 			return false
 		}
 		last := lastStep(disk)
@@ -56,7 +56,7 @@
 // skipFolderSync leaves out the syncs of folders whose path begins with something.
 func skipFolderSync(prefix string) func(*storetest.Disk, storetest.Operation) bool {
 	return func(_ *storetest.Disk, operation storetest.Operation) bool {
-		return operation.Kind == storetest.SyncFolder && strings.HasPrefix(operation.Path, prefix)
+		return operation.Kind == storetest.SyncDir && strings.HasPrefix(operation.Path, prefix)
 	}
 }
 
@@ -67,7 +67,7 @@
 			return false
 		}
 		for _, step := range disk.Steps() {
-			if step.Kind != storetest.SyncFile && step.Kind != storetest.SyncFolder {
+			if step.Kind != storetest.SyncFile && step.Kind != storetest.SyncDir {
 				return false
 			}
 		}
@@ -93,7 +93,7 @@
 	{name: "register written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "register-"} }},
 	{name: "snapshot written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "snapshot-"} }},
 	{name: "identity written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "identity"} }},
-	{name: "names not synced at the start", search: byKill, skip: skipAtStart(storetest.SyncFolder)},
+	{name: "names not synced at the start", search: byKill, skip: skipAtStart(storetest.SyncDir)},
 	{name: "log not synced at the start", search: byKill, skip: skipAtStart(storetest.SyncFile)},
 	{name: "torn end of the log not cut", search: byPowerCut, skip: func(_ *storetest.Disk, operation storetest.Operation) bool {
 		return operation.Kind == storetest.Truncate
--- a/coord/replication/store/names.go
+++ b/coord/replication/store/names.go
@@ -11,17 +11,17 @@
 
 // The names in the data folder. All but the identity's carry the id of the disk, so that with another identity none of them counts any more.
 const (
-	identityName   = "identity"
-	registerPrefix = "register-"
-	snapshotPrefix = "snapshot-"
-	logPrefix      = "log-"
+	identityFileName = "identity"
+	registerPrefix   = "register-"
+	snapshotPrefix   = "snapshot-"
+	logPrefix        = "log-"
 
 	// unfinishedSuffix ends the name of a file that is being written. It loses the suffix when it is whole and synced.
 	unfinishedSuffix = ".new"
 )
 
 // oldPrefixes begin names of the first format, beside "identity".
-var oldPrefixes = []string{"register-", "checkpoint-", "log-"}
+var firstFormatPrefixes = []string{"register-", "checkpoint-", "log-"}
 
 func (s *Store) path(name string) string {
 	return path.Join(s.dir, name)
@@ -74,7 +74,7 @@
 }
 
 // newestName is the highest generation that any name mentions, or 0.
-func (s *Store) newestName(names []string) generation {
+func (s *Store) newestGeneration(names []string) generation {
 	var newest generation
 	for _, name := range names {
 		name = strings.TrimSuffix(name, unfinishedSuffix)
@@ -90,15 +90,15 @@
 // isOwnName tells whether a name in the data folder was given by this package. Others are left alone.
 func isOwnName(name string) bool {
 	name = strings.TrimSuffix(name, unfinishedSuffix)
-	if name == identityName {
+	if name == identityFileName {
 		return true
 	}
 	return hasAnyPrefix(name, registerPrefix, snapshotPrefix, logPrefix)
 }
 
 // isOldName tells whether a name is one of the first format: a number follows its prefix, where this format has the disk's id.
-func isOldName(name string) bool {
-	for _, prefix := range oldPrefixes {
+func isFirstFormatName(name string) bool {
+	for _, prefix := range firstFormatPrefixes {
 		digits, ok := strings.CutPrefix(name, prefix)
 		if !ok || len(digits) == len(ownerPart(0)) {
 			continue
--- a/coord/replication/store/osfiles.go
+++ b/coord/replication/store/osfiles.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	folderMode = 0o700
-	fileMode   = 0o600
+	dirMode  = 0o700
+	fileMode = 0o600
 
 	// segmentLimit is far above the size of any disk meant, so that the log library never begins a segment of its own: all names are made and synced by this package.
-	segmentLimit = 1 << 40
+	segmentLimitBytes = 1 << 40
 )
 
 // OSFiles is the operating system's file system. Its log is the library tidwall/wal, which here neither makes names nor syncs.
 type OSFiles struct{}
 
-// MakeFolder makes one folder.
-func (OSFiles) MakeFolder(path string) error {
-	return os.Mkdir(path, folderMode)
+// Mkdir makes one directory.
+func (OSFiles) Mkdir(path string) error {
+	return os.Mkdir(path, dirMode)
 }
 
 // List gives the names in a folder.
@@ -69,16 +69,16 @@
 	log, err := wal.Open(folder, &wal.Options{
 		NoSync:           true, // the store syncs
 		AllowEmpty:       true,
-		SegmentSize:      segmentLimit,
+		SegmentSize:      segmentLimitBytes,
 		SegmentCacheSize: 1,
 		LogFormat:        wal.Binary,
-		DirPerms:         folderMode,
+		DirPerms:         dirMode,
 		FilePerms:        fileMode,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return osLog{log}, nil
+	return walLog{log}, nil
 }
 
 // Rename gives a file another name.
@@ -91,8 +91,8 @@
 	return os.Remove(path)
 }
 
-// SyncFolder makes the names in a folder durable.
-func (OSFiles) SyncFolder(path string) error {
+// SyncDir makes the names in a directory durable.
+func (OSFiles) SyncDir(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
@@ -102,19 +102,19 @@
 }
 
 // osLog is a log of the library.
-type osLog struct {
+type walLog struct {
 	log *wal.Log
 }
 
-func (l osLog) Write(index core.Index, record []byte) error {
+func (l walLog) Write(index core.Index, record []byte) error {
 	return l.log.Write(uint64(index), record)
 }
 
-func (l osLog) Sync() error {
+func (l walLog) Sync() error {
 	return l.log.Sync()
 }
 
-func (l osLog) Close() error {
+func (l walLog) Close() error {
 	return l.log.Close()
 }
 
--- a/coord/replication/store/power_test.go
+++ b/coord/replication/store/power_test.go
@@ -77,7 +77,7 @@
 	for step := 1; ; step++ {
 		cryptotest.SetGlobalRandom(p.t, 1) // so that the same disk gets the same identity
 		disk := p.mutation.newDisk()
-		disk.CutAt(step)
+		disk.CutPowerAt(step)
 		h := newHistory()
 		err := script(h, p.files(disk))
 		if broken := asBroken(err); broken != nil {
@@ -124,7 +124,7 @@
 func (p *powerSearch) recover(left *storetest.Disk, h *history) error {
 	for step := 1; ; step++ {
 		disk := p.restored(left)
-		disk.CutAt(step)
+		disk.CutPowerAt(step)
 		found := h.copy()
 		err := p.secondLife(found, p.files(disk))
 		if broken := asBroken(err); broken != nil {
--- a/coord/replication/store/record.go
+++ b/coord/replication/store/record.go
@@ -18,43 +18,43 @@
 
 // A record is: magic, checksum of all that follows, kind, the id of the disk it was written for, payload.
 const (
-	checksumAt = 4
-	kindAt     = 8
-	ownerAt    = 9
-	payloadAt  = 17
+	checksumOffset = 4
+	kindOffset     = 8
+	ownerOffset    = 9
+	payloadOffset  = 17
 )
 
 var (
-	recordMagic = []byte("\x7frp2")
-	oldMagic    = []byte("\x7ftly") // of the first format
+	recordMagic      = []byte("\x7frp2")
+	firstFormatMagic = []byte("\x7ftly") // of the first format
 
 	checksumTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // seal makes a record.
 func seal(kind recordKind, owner uint64, payload []byte) []byte {
-	record := make([]byte, payloadAt, payloadAt+len(payload))
+	record := make([]byte, payloadOffset, payloadOffset+len(payload))
 	copy(record, recordMagic)
-	record[kindAt] = byte(kind)
-	binary.LittleEndian.PutUint64(record[ownerAt:], owner)
+	record[kindOffset] = byte(kind)
+	binary.LittleEndian.PutUint64(record[ownerOffset:], owner)
 	record = append(record, payload...)
-	sum := crc32.Checksum(record[kindAt:], checksumTable)
-	binary.LittleEndian.PutUint32(record[checksumAt:], sum)
+	sum := crc32.Checksum(record[kindOffset:], checksumTable)
+	binary.LittleEndian.PutUint32(record[checksumOffset:], sum)
 	return record
 }
 
 // unseal gives the owner and the payload of a whole record of a kind.
 func unseal(kind recordKind, record []byte) (owner uint64, payload []byte, ok bool) {
-	if len(record) < payloadAt || !bytes.HasPrefix(record, recordMagic) {
+	if len(record) < payloadOffset || !bytes.HasPrefix(record, recordMagic) {
 		return 0, nil, false
 	}
-	sum := binary.LittleEndian.Uint32(record[checksumAt:])
-	if sum != crc32.Checksum(record[kindAt:], checksumTable) {
+	sum := binary.LittleEndian.Uint32(record[checksumOffset:])
+	if sum != crc32.Checksum(record[kindOffset:], checksumTable) {
 		return 0, nil, false
 	}
-	if record[kindAt] != byte(kind) {
+	if record[kindOffset] != byte(kind) {
 		return 0, nil, false
 	}
-	owner = binary.LittleEndian.Uint64(record[ownerAt:])
-	return owner, record[payloadAt:], true
+	owner = binary.LittleEndian.Uint64(record[ownerOffset:])
+	return owner, record[payloadOffset:], true
 }
--- a/coord/replication/store/register.go
+++ b/coord/replication/store/register.go
@@ -15,7 +15,7 @@
 	if err := s.replaceFile(s.registerName(), record); err != nil {
 		return err
 	}
-	return s.files.SyncFolder(s.dir)
+	return s.files.SyncDir(s.dir)
 }
 
 // readRegister reads the register. Its file got its name only when it was whole and synced: one that can't be read is damaged, not half written.
@@ -29,7 +29,7 @@
 	}
 	register, ok := decodeRegister(s.identity.id, content)
 	if !ok {
-		return damaged("the register can't be read")
+		return newDamageError("the register can't be read")
 	}
 	s.loaded.Register = register
 	return nil
--- a/coord/replication/store/segment.go
+++ b/coord/replication/store/segment.go
@@ -44,7 +44,7 @@
 		after = entry.Position()
 		whole += size
 	}
-	if hasEntryBeyond(owner, after.Index+1, segment[whole:]) {
+	if hasEntryAfter(owner, after.Index+1, segment[whole:]) {
 		return nil, 0, errors.Newf("the log is damaged at byte %d, and entries follow", whole)
 	}
 	return entries, whole, nil
@@ -62,7 +62,7 @@
 }
 
 // hasEntryBeyond tells whether a whole entry with a higher index is anywhere in a damaged part of a segment.
-func hasEntryBeyond(owner uint64, index core.Index, damaged []byte) bool {
+func hasEntryAfter(owner uint64, index core.Index, damaged []byte) bool {
 	for at := 0; at < len(damaged); at++ {
 		found := bytes.Index(damaged[at:], recordMagic)
 		if found < 0 {
--- a/coord/replication/store/state.go
+++ b/coord/replication/store/state.go
@@ -13,15 +13,15 @@
 //
 // After an error the old state is still there. If the new one had its name already, either may be found after a restart, and the log is closed, since an entry added to the old one might be lost with it.
 func (s *Store) SaveSnapshot(snapshot core.Snapshot, tail []core.Entry) error {
-	end, err := endOf(snapshot.Position, tail)
+	end, err := positionAfter(snapshot.Position, tail)
 	if err != nil {
 		return err
 	}
-	if err := s.removeLeftovers(); err != nil {
+	if err := s.removeStaleStates(); err != nil {
 		return err
 	}
-	s.lastAttempt++
-	number := s.lastAttempt
+	s.lastTried++
+	number := s.lastTried
 	if err := s.writeState(number, snapshot, tail); err != nil {
 		s.removeAll(s.path(s.snapshotName(number) + unfinishedSuffix))
 		s.removeAll(s.path(s.logName(number)))
@@ -33,10 +33,10 @@
 	if err := s.files.Rename(unfinished, s.path(s.snapshotName(number))); err != nil {
 		return err
 	}
-	if err := s.settleNames(); err != nil {
+	if err := s.syncNames(); err != nil {
 		return err
 	}
-	s.state = number
+	s.current = number
 	s.end = end
 	s.loaded = core.Stored{}
 	return s.openLog(snapshot.Position)
@@ -45,21 +45,21 @@
 // writeState writes the files of a state and makes all their names durable, the snapshot's with the suffix of an unfinished file.
 func (s *Store) writeState(number generation, snapshot core.Snapshot, tail []core.Entry) error {
 	folder := s.path(s.logName(number))
-	if err := s.files.MakeFolder(folder); err != nil {
+	if err := s.files.Mkdir(folder); err != nil {
 		return err
 	}
 	segment := path.Join(folder, SegmentName(snapshot.Position.Index+1))
 	if err := s.writeFile(segment, encodeSegment(s.identity.id, tail)); err != nil {
 		return err
 	}
-	if err := s.files.SyncFolder(folder); err != nil {
+	if err := s.files.SyncDir(folder); err != nil {
 		return err
 	}
 	unfinished := s.path(s.snapshotName(number) + unfinishedSuffix)
 	if err := s.writeFile(unfinished, encodeSnapshot(s.identity.id, number, snapshot)); err != nil {
 		return err
 	}
-	return s.files.SyncFolder(s.dir)
+	return s.files.SyncDir(s.dir)
 }
 
 // Append adds an entry to the state. After an error the log is closed until a snapshot is saved, since part of the entry may be in it.
@@ -84,24 +84,24 @@
 
 // readState reads the newest state. Its snapshot got its name only when the whole state was synced: if anything of it can't be read, it is damaged, and an older one must not take its place.
 func (s *Store) readState(names []string) error {
-	s.lastAttempt = s.newestName(names)
-	s.state = s.newestSnapshot(names)
-	if s.state == 0 {
+	s.lastTried = s.newestGeneration(names)
+	s.current = s.newestSnapshot(names)
+	if s.current == 0 {
 		return nil
 	}
-	content, err := s.files.ReadFile(s.path(s.snapshotName(s.state)))
+	content, err := s.files.ReadFile(s.path(s.snapshotName(s.current)))
 	if err != nil {
 		return err
 	}
-	snapshot, ok := decodeSnapshot(s.identity.id, s.state, content)
+	snapshot, ok := decodeSnapshot(s.identity.id, s.current, content)
 	if !ok {
-		return damaged("the snapshot can't be read")
+		return newDamageError("the snapshot can't be read")
 	}
 	entries, err := s.readLog(snapshot.Position)
 	if err != nil {
 		return err
 	}
-	s.end, err = endOf(snapshot.Position, entries)
+	s.end, err = positionAfter(snapshot.Position, entries)
 	if err != nil {
 		return err
 	}
@@ -113,20 +113,20 @@
 
 // readLog reads the log after a snapshot, cuts a torn write from its end, and opens it.
 func (s *Store) readLog(start core.Position) ([]core.Entry, error) {
-	segment := path.Join(s.path(s.logName(s.state)), SegmentName(start.Index+1))
+	segment := path.Join(s.path(s.logName(s.current)), SegmentName(start.Index+1))
 	content, err := s.files.ReadFile(segment)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, damaged("the snapshot's log is missing")
+		return nil, newDamageError("the snapshot's log is missing")
 	}
 	if err != nil {
 		return nil, err
 	}
 	entries, whole, err := readSegment(s.identity.id, start, content)
 	if err != nil {
-		return nil, damaged(err.Error())
+		return nil, newDamageError(err.Error())
 	}
 	if whole < len(content) {
-		s.cut = len(content) - whole
+		s.truncatedBytes = len(content) - whole
 		if err := s.files.Truncate(segment, int64(whole)); err != nil {
 			// The log stays closed. Its entries are durable: only the torn write after them was not synced.
 			return entries, nil
@@ -140,7 +140,7 @@
 }
 
 func (s *Store) openLog(start core.Position) error {
-	log, err := s.files.OpenLog(s.path(s.logName(s.state)), start.Index+1)
+	log, err := s.files.OpenLog(s.path(s.logName(s.current)), start.Index+1)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 }
 
 // endOf is the position after entries, each of which has to follow the one before.
-func endOf(position core.Position, entries []core.Entry) (core.Position, error) {
+func positionAfter(position core.Position, entries []core.Entry) (core.Position, error) {
 	for _, entry := range entries {
 		if !entry.Follows(position) {
 			return core.Position{}, errors.Wrapf(ErrNotContinuous, "entry %d after %d", entry.Index, position.Index)
--- a/coord/replication/store/store.go
+++ b/coord/replication/store/store.go
@@ -36,21 +36,21 @@
 	return d.reason
 }
 
-func damaged(reason string) error {
+func newDamageError(reason string) error {
 	return &damageError{reason: reason}
 }
 
 // Store is a data folder.
 type Store struct {
-	files    FileSystem
-	dir      string
-	identity identity
-	loaded   core.Stored
-	note     string
-	cut      int
-
-	state         generation    // the state whose log is open, or the newest
-	lastAttempt   generation    // the highest generation tried
+	files          FileSystem
+	dir            string
+	identity       identity
+	loaded         core.Stored
+	damage         string
+	truncatedBytes int
+
+	current       generation    // the state whose log is open, or the newest
+	lastTried     generation    // the highest generation tried
 	end           core.Position // of the state
 	log           Log           // nil: closed
 	namesUnsynced bool          // a snapshot's new name may be durable or not
@@ -61,13 +61,13 @@
 // An empty folder gets a new identity; firstStart is kept in it and means that the disk may take part in making the first view, with the seeds of that start, which are kept as well: later settings may name others. A damaged one is emptied and gets a new identity without that right.
 func Open(files FileSystem, dir string, firstStart bool, seeds ...string) (*Store, error) {
 	s := &Store{files: files, dir: path.Clean(dir)}
-	if err := s.makeFolder(s.dir); err != nil {
+	if err := s.mkdirAll(s.dir); err != nil {
 		return nil, errors.Wrap(err, "make the data folder")
 	}
-	err := s.load(identity{firstStart: firstStart, firstSeeds: seeds})
+	err := s.load(identity{bootstrap: firstStart, bootstrapSeeds: seeds})
 	var damage *damageError
 	if errors.As(err, &damage) {
-		err = s.StartOver(damage.reason)
+		err = s.Reset(damage.reason)
 	}
 	if err != nil {
 		s.closeLog()
@@ -78,12 +78,12 @@
 
 // Identity is the disk's own id, and whether it was made at the first start of the whole system.
 func (s *Store) Identity() (id uint64, firstStart bool) {
-	return s.identity.id, s.identity.firstStart
+	return s.identity.id, s.identity.bootstrap
 }
 
-// FirstSeeds are the seeds of the first start, if the disk was made at that.
-func (s *Store) FirstSeeds() []string {
-	return s.identity.firstSeeds
+// BootstrapSeeds are the seeds with which the group was bootstrapped, if the disk took part in that; else none.
+func (s *Store) BootstrapSeeds() []string {
+	return s.identity.bootstrapSeeds
 }
 
 // Load gives what the disk held when it was opened. It is meant to be called before the first write.
@@ -91,14 +91,14 @@
 	return s.loaded
 }
 
-// Note tells what was found damaged when the store was opened, or is empty.
-func (s *Store) Note() string {
-	return s.note
+// Damage tells what was found damaged when the store was opened, or is empty.
+func (s *Store) Damage() string {
+	return s.damage
 }
 
-// Cut tells how many bytes of a torn write were cut from the log's end when the store was opened.
-func (s *Store) Cut() int {
-	return s.cut
+// TruncatedBytes tells how many bytes of a torn write were cut from the log's end when the store was opened.
+func (s *Store) TruncatedBytes() int {
+	return s.truncatedBytes
 }
 
 // Close ends the use of the store. Nothing is written.
@@ -126,15 +126,15 @@
 		return err
 	}
 	// A process that was killed may have left names that are seen but not durable yet.
-	return s.settleNames()
+	return s.syncNames()
 }
 
 // readIdentity tells whether the folder has an identity, and reads it.
 func (s *Store) readIdentity(names []string) (found bool, err error) {
 	var content []byte
-	present := slices.Contains(names, identityName)
+	present := slices.Contains(names, identityFileName)
 	if present {
-		content, err = s.files.ReadFile(s.path(identityName))
+		content, err = s.files.ReadFile(s.path(identityFileName))
 		if err != nil {
 			return false, err
 		}
@@ -144,22 +144,22 @@
 	switch {
 	case whole:
 		return true, nil
-	case isOldFormat(content, names):
+	case isFirstFormat(content, names):
 		return false, ErrOldFormat
 	case present:
-		return false, damaged("the identity can't be read")
+		return false, newDamageError("the identity can't be read")
 	case slices.ContainsFunc(names, isFinishedRecord):
-		return false, damaged("there are records without an identity")
+		return false, newDamageError("there are records without an identity")
 	}
 	return false, nil
 }
 
-// StartOver makes the folder one of an empty disk with another identity, which has no part in a first start. Open does it by itself with a damaged folder; it is for data that is whole on disk but that its owner can't use.
+// Reset makes the folder one of an empty disk with another identity, which has no part in a first start. Open does it by itself with a damaged folder; it is for data that is whole on disk but that its owner can't use.
 //
 // The identity's change takes effect as a whole, and with it no other name counts any more.
-func (s *Store) StartOver(reason string) error {
+func (s *Store) Reset(reason string) error {
 	s.closeLog()
-	*s = Store{files: s.files, dir: s.dir, note: reason}
+	*s = Store{files: s.files, dir: s.dir, damage: reason}
 	return s.saveIdentity(identity{})
 }
 
@@ -170,8 +170,8 @@
 		return err
 	}
 	fresh.id = id
-	if !fresh.firstStart {
-		fresh.firstSeeds = nil
+	if !fresh.bootstrap {
+		fresh.bootstrapSeeds = nil
 	}
 	s.identity = fresh
 	record, err := encodeIdentity(s.identity)
@@ -179,13 +179,13 @@
 		return err
 	}
 	// An earlier life may have been killed after it had made the folder, before its name was durable.
-	if err := s.syncFoldersAbove(); err != nil {
+	if err := s.syncParentDirs(); err != nil {
 		return err
 	}
-	if err := s.replaceFile(identityName, record); err != nil {
+	if err := s.replaceFile(identityFileName, record); err != nil {
 		return err
 	}
-	return s.settleNames()
+	return s.syncNames()
 }
 
 // newID draws the id of a disk.
--- a/coord/replication/store/store_test.go
+++ b/coord/replication/store/store_test.go
@@ -154,7 +154,7 @@
 	dir := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(dir, "lost+found"), 0o700))
 	s := open(t, dir)
-	require.Empty(t, s.Note())
+	require.Empty(t, s.Damage())
 	require.Equal(t, []string{"identity", "lost+found"}, names(t, dir))
 }
 
@@ -164,14 +164,14 @@
 	dir := t.TempDir()
 	made, err := store.Open(store.OSFiles{}, dir, true, first...)
 	require.NoError(t, err)
-	require.Equal(t, first, made.FirstSeeds())
+	require.Equal(t, first, made.BootstrapSeeds())
 	made.Close()
 	later, err := store.Open(store.OSFiles{}, dir, false, "10.9.0.1:7720")
 	require.NoError(t, err)
-	require.Equal(t, first, later.FirstSeeds())
+	require.Equal(t, first, later.BootstrapSeeds())
 	later.Close()
 	joined, err := store.Open(store.OSFiles{}, t.TempDir(), false, first...)
 	require.NoError(t, err)
-	require.Empty(t, joined.FirstSeeds(), "made after the first start: it has no part in the first view")
+	require.Empty(t, joined.BootstrapSeeds(), "made after the first start: it has no part in the first view")
 	joined.Close()
 }
--- a/coord/replication/store/storetest/disk.go
+++ b/coord/replication/store/storetest/disk.go
@@ -17,7 +17,7 @@
 
 var (
 	// ErrPower is given by every call after power was lost or the process was killed.
-	ErrPower = errors.New("the power is off")
+	ErrPowerOff = errors.New("the power is off")
 
 	// ErrFull is given by calls that need room on a full disk.
 	ErrFull = errors.New("no space left on device")
@@ -28,14 +28,14 @@
 
 // The kinds of steps. Reading is no step: it changes nothing.
 const (
-	MakeFolder OperationKind = "make folder"
-	Create     OperationKind = "create"
-	Write      OperationKind = "write"
-	SyncFile   OperationKind = "sync file"
-	Truncate   OperationKind = "truncate"
-	Rename     OperationKind = "rename"
-	Remove     OperationKind = "remove"
-	SyncFolder OperationKind = "sync folder"
+	Mkdir    OperationKind = "make folder"
+	Create   OperationKind = "create"
+	Write    OperationKind = "write"
+	SyncFile OperationKind = "sync file"
+	Truncate OperationKind = "truncate"
+	Rename   OperationKind = "rename"
+	Remove   OperationKind = "remove"
+	SyncDir  OperationKind = "sync folder"
 )
 
 // Operation is a step.
@@ -52,26 +52,26 @@
 	Skip func(Operation) bool
 	// Wait is called before each step, and may block as a disk in trouble does.
 	Wait func(Operation)
-	// Capacity is the room for contents in bytes; zero: no limit.
-	Capacity int
+	// CapacityBytes is the room for contents in bytes; zero: no limit.
+	CapacityBytes int
 
-	root  *folder
-	cutAt int
-	off   bool
-	steps []Operation
-	peak  int
+	root         *directory
+	powerCutStep int
+	poweredOff   bool
+	steps        []Operation
+	peakBytes    int
 }
 
 var _ store.FileSystem = (*Disk)(nil)
 
 // NewDisk gives an empty disk.
 func NewDisk() *Disk {
-	return &Disk{root: newFolder()}
+	return &Disk{root: newDirectory()}
 }
 
-// CutAt turns the power off at a step, counted from 1: that step and all calls after it fail without effect.
-func (d *Disk) CutAt(step int) {
-	d.cutAt = step
+// CutPowerAt turns the power off at a step, counted from 1: that step and all calls after it fail without effect.
+func (d *Disk) CutPowerAt(step int) {
+	d.powerCutStep = step
 }
 
 // Steps gives the steps done so far.
@@ -79,9 +79,9 @@
 	return d.steps
 }
 
-// Peak gives the most bytes of contents that were on the disk at once.
-func (d *Disk) Peak() int {
-	return d.peak
+// PeakBytes gives the most bytes of contents that were on the disk at once.
+func (d *Disk) PeakBytes() int {
+	return d.peakBytes
 }
 
 // step begins a step. It tells whether the step is to be left out.
@@ -90,11 +90,11 @@
 	if d.Wait != nil {
 		d.Wait(operation)
 	}
-	if d.cutAt > 0 && len(d.steps)+1 >= d.cutAt {
-		d.off = true
+	if d.powerCutStep > 0 && len(d.steps)+1 >= d.powerCutStep {
+		d.poweredOff = true
 	}
-	if d.off {
-		return false, ErrPower
+	if d.poweredOff {
+		return false, ErrPowerOff
 	}
 	d.steps = append(d.steps, operation)
 	if d.Fail != nil {
@@ -105,9 +105,9 @@
 	return d.Skip != nil && d.Skip(operation), nil
 }
 
-// MakeFolder makes a folder.
-func (d *Disk) MakeFolder(name string) error {
-	skip, err := d.step(MakeFolder, name)
+// Mkdir makes a directory.
+func (d *Disk) Mkdir(name string) error {
+	skip, err := d.step(Mkdir, name)
 	if err != nil || skip {
 		return err
 	}
@@ -118,16 +118,16 @@
 	if parent.current[base] != nil {
 		return fs.ErrExist
 	}
-	parent.set(base, newFolder())
+	parent.set(base, newDirectory())
 	return nil
 }
 
 // List gives the names in a folder.
 func (d *Disk) List(name string) ([]string, error) {
-	if d.off {
-		return nil, ErrPower
+	if d.poweredOff {
+		return nil, ErrPowerOff
 	}
-	found, err := d.folder(name)
+	found, err := d.directory(name)
 	if err != nil {
 		return nil, err
 	}
@@ -136,8 +136,8 @@
 
 // ReadFile gives the whole content of a file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
-	if d.off {
-		return nil, ErrPower
+	if d.poweredOff {
+		return nil, ErrPowerOff
 	}
 	found, err := d.file(name)
 	if err != nil {
@@ -157,17 +157,17 @@
 		return nil, err
 	}
 	switch existing := parent.current[base].(type) {
-	case *folder:
+	case *directory:
 		return nil, errors.New("is a folder")
 	case *file:
 		if !skip {
 			existing.truncate(0)
 		}
-		return &handle{disk: d, path: name, file: existing}, nil
+		return &openFile{disk: d, path: name, file: existing}, nil
 	}
 	made := &file{}
 	parent.set(base, made)
-	return &handle{disk: d, path: name, file: made}, nil
+	return &openFile{disk: d, path: name, file: made}, nil
 }
 
 // Truncate cuts a file to a size and syncs it.
@@ -181,20 +181,20 @@
 		return err
 	}
 	found.truncate(int(size))
-	return (&handle{disk: d, path: name, file: found}).Sync()
+	return (&openFile{disk: d, path: name, file: found}).Sync()
 }
 
 // OpenLog opens a segment. Its layout is that of the log library; a test compares the two.
 func (d *Disk) OpenLog(folder string, first core.Index) (store.Log, error) {
-	if d.off {
-		return nil, ErrPower
+	if d.poweredOff {
+		return nil, ErrPowerOff
 	}
 	name := path.Join(folder, store.SegmentName(first))
 	found, err := d.file(name)
 	if err != nil {
 		return nil, err
 	}
-	return segment{&handle{disk: d, path: name, file: found}}, nil
+	return segment{&openFile{disk: d, path: name, file: found}}, nil
 }
 
 // Rename gives a file another name.
@@ -229,7 +229,7 @@
 	if parent.current[base] == nil {
 		return fs.ErrNotExist
 	}
-	if inner, ok := parent.current[base].(*folder); ok && len(inner.current) > 0 {
+	if inner, ok := parent.current[base].(*directory); ok && len(inner.current) > 0 {
 		return errors.New("folder is not empty")
 	}
 	skip, err := d.step(Remove, name)
@@ -240,13 +240,13 @@
 	return nil
 }
 
-// SyncFolder makes the names in a folder durable.
-func (d *Disk) SyncFolder(name string) error {
-	skip, err := d.step(SyncFolder, name)
+// SyncDir makes the names in a directory durable.
+func (d *Disk) SyncDir(name string) error {
+	skip, err := d.step(SyncDir, name)
 	if err != nil || skip {
 		return err
 	}
-	found, err := d.folder(name)
+	found, err := d.directory(name)
 	if err != nil {
 		return err
 	}
@@ -261,7 +261,7 @@
 		if part == "" || part == "." {
 			continue
 		}
-		within, ok := at.(*folder)
+		within, ok := at.(*directory)
 		if !ok || within.current[part] == nil {
 			return nil, fs.ErrNotExist
 		}
@@ -270,15 +270,15 @@
 	return at, nil
 }
 
-func (d *Disk) folder(name string) (*folder, error) {
-	if d.off {
-		return nil, ErrPower
+func (d *Disk) directory(name string) (*directory, error) {
+	if d.poweredOff {
+		return nil, ErrPowerOff
 	}
 	found, err := d.node(name)
 	if err != nil {
 		return nil, err
 	}
-	within, ok := found.(*folder)
+	within, ok := found.(*directory)
 	if !ok {
 		return nil, errors.New("not a folder")
 	}
@@ -297,8 +297,8 @@
 	return content, nil
 }
 
-func (d *Disk) parent(name string) (within *folder, base string, err error) {
+func (d *Disk) parent(name string) (within *directory, base string, err error) {
 	name = path.Clean(name)
-	within, err = d.folder(path.Dir(name))
+	within, err = d.directory(path.Dir(name))
 	return within, path.Base(name), err
 }
--- a/coord/replication/store/storetest/node.go
+++ b/coord/replication/store/storetest/node.go
@@ -12,14 +12,14 @@
 type node interface{}
 
 // folder keeps what each name was at the last sync, and is now.
-type folder struct {
+type directory struct {
 	durable map[string]node
 	current map[string]node
 	since   map[string][]node // the values that a name had since the last sync; nil: missing
 }
 
-func newFolder() *folder {
-	return &folder{
+func newDirectory() *directory {
+	return &directory{
 		durable: map[string]node{},
 		current: map[string]node{},
 		since:   map[string][]node{},
@@ -27,7 +27,7 @@
 }
 
 // set gives a name another value; nil removes it.
-func (f *folder) set(name string, value node) {
+func (f *directory) set(name string, value node) {
 	if len(f.since[name]) == 0 {
 		f.since[name] = []node{f.durable[name]}
 	}
@@ -41,12 +41,12 @@
 	f.current[name] = value
 }
 
-func (f *folder) sync() {
+func (f *directory) sync() {
 	f.durable = maps.Clone(f.current)
 	clear(f.since)
 }
 
-func (f *folder) names() []string {
+func (f *directory) names() []string {
 	return slices.Sorted(maps.Keys(f.current))
 }
 
@@ -54,11 +54,11 @@
 type file struct {
 	durable []byte
 	current []byte
-	pending []change
+	pending []fileChange
 }
 
 // change is a write at an offset, or a truncation to it.
-type change struct {
+type fileChange struct {
 	truncation bool
 	offset     int
 	content    []byte
@@ -68,12 +68,12 @@
 	if size == len(f.current) {
 		return
 	}
-	f.apply(change{truncation: true, offset: size})
+	f.apply(fileChange{truncation: true, offset: size})
 }
 
-func (f *file) apply(c change) {
+func (f *file) apply(c fileChange) {
 	f.pending = append(f.pending, c)
-	f.current = c.on(f.current)
+	f.current = c.applyTo(f.current)
 }
 
 func (f *file) sync() {
@@ -82,7 +82,7 @@
 }
 
 // on gives a content after the change. What was missing before a write's offset reads as zeros.
-func (c change) on(content []byte) []byte {
+func (c fileChange) applyTo(content []byte) []byte {
 	if c.truncation {
 		if len(content) <= c.offset {
 			return content
@@ -97,20 +97,20 @@
 }
 
 // handle is a file open for adding to its end.
-type handle struct {
+type openFile struct {
 	disk *Disk
 	path string
 	file *file
 }
 
 // Write adds to the file's end. A write that fails is half done.
-func (h *handle) Write(content []byte) (int, error) {
+func (h *openFile) Write(content []byte) (int, error) {
 	if len(content) == 0 {
 		return 0, nil
 	}
 	skip, err := h.disk.step(Write, h.path)
 	switch {
-	case h.disk.off:
+	case h.disk.poweredOff:
 		return 0, err
 	case err != nil:
 		return h.add(content[:len(content)/2]), err
@@ -123,16 +123,16 @@
 	return h.add(content), nil
 }
 
-func (h *handle) add(content []byte) int {
+func (h *openFile) add(content []byte) int {
 	if len(content) > 0 {
-		h.file.apply(change{offset: len(h.file.current), content: slices.Clone(content)})
+		h.file.apply(fileChange{offset: len(h.file.current), content: slices.Clone(content)})
 	}
-	h.disk.peak = max(h.disk.peak, h.disk.used())
+	h.disk.peakBytes = max(h.disk.peakBytes, h.disk.used())
 	return len(content)
 }
 
 // Sync makes the content durable. The name is not part of it.
-func (h *handle) Sync() error {
+func (h *openFile) Sync() error {
 	skip, err := h.disk.step(SyncFile, h.path)
 	if err != nil || skip {
 		return err
@@ -142,39 +142,39 @@
 }
 
 // Close does nothing.
-func (h *handle) Close() error {
+func (h *openFile) Close() error {
 	return nil
 }
 
 // segment is a log segment open for adding records.
 type segment struct {
-	*handle
+	*openFile
 }
 
 // Write adds a record in one write.
 func (s segment) Write(_ core.Index, record []byte) error {
 	framed := binary.AppendUvarint(nil, uint64(len(record)))
-	_, err := s.handle.Write(append(framed, record...))
+	_, err := s.openFile.Write(append(framed, record...))
 	return err
 }
 
 func (s segment) Sync() error {
-	return s.handle.Sync()
+	return s.openFile.Sync()
 }
 
 // used is the size of all contents that have a name.
 func (d *Disk) used() int {
 	total := 0
 	seen := map[node]bool{}
-	var add func(*folder)
-	add = func(within *folder) {
+	var add func(*directory)
+	add = func(within *directory) {
 		for _, child := range within.current {
 			if seen[child] {
 				continue
 			}
 			seen[child] = true
 			switch child := child.(type) {
-			case *folder:
+			case *directory:
 				add(child)
 			case *file:
 				total += len(child.current)
@@ -186,8 +186,8 @@
 }
 
 func (d *Disk) room() (bytes int, limited bool) {
-	if d.Capacity == 0 {
+	if d.CapacityBytes == 0 {
 		return 0, false
 	}
-	return max(0, d.Capacity-d.used()), true
+	return max(0, d.CapacityBytes-d.used()), true
 }
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -8,14 +8,14 @@
 
 // Restart turns the power on again after the process was killed: everything is as it was, and what was not synced still isn't.
 func (d *Disk) Restart() {
-	d.off = false
-	d.cutAt = 0
+	d.poweredOff = false
+	d.powerCutStep = 0
 	d.steps = nil
 }
 
 // Copy gives a disk that is the same and shares nothing, without faults.
 func (d *Disk) Copy() *Disk {
-	return &Disk{root: copier{}.node(d.root).(*folder), Capacity: d.Capacity}
+	return &Disk{root: copier{}.node(d.root).(*directory), CapacityBytes: d.CapacityBytes}
 }
 
 // copier maps nodes to their copies, so that a file with two names stays one.
@@ -37,8 +37,8 @@
 		c[original] = made
 		return made
 	}
-	source := original.(*folder)
-	made := newFolder()
+	source := original.(*directory)
+	made := newDirectory()
 	c[original] = made
 	for name, child := range source.durable {
 		made.durable[name] = c.node(child)
@@ -63,7 +63,7 @@
 }
 
 // AllKept picks what is there now.
-func AllKept(n int) int {
+func AllPresent(n int) int {
 	return n - 1
 }
 
@@ -74,8 +74,8 @@
 
 // AfterPowerLoss gives the disk as a loss of power leaves it. The possibilities for each name and each write are picked by the chooser.
 func (d *Disk) AfterPowerLoss(choose Chooser) *Disk {
-	loss := powerLoss{choose: choose, settled: map[node]node{}}
-	return &Disk{root: loss.folder(d.root), Capacity: d.Capacity}
+	loss := powerLoss{choose: choose, copies: map[node]node{}}
+	return &Disk{root: loss.directory(d.root), CapacityBytes: d.CapacityBytes}
 }
 
 // Outcomes calls visit with each different disk that a loss of power may leave, until visit gives false. If there are more than limit possibilities, the extremes and limit random ones are visited. It tells whether all were.
@@ -90,7 +90,7 @@
 		}
 	}
 	visitOnce(d.AfterPowerLoss(AllLost))
-	visitOnce(d.AfterPowerLoss(AllKept))
+	visitOnce(d.AfterPowerLoss(AllPresent))
 	var choices odometer
 	for tried := 0; goOn; tried++ {
 		if tried == limit {
@@ -112,30 +112,30 @@
 
 // powerLoss makes the disk that is left.
 type powerLoss struct {
-	choose  Chooser
-	settled map[node]node
+	choose Chooser
+	copies map[node]node
 }
 
 func (p powerLoss) node(original node) node {
 	if original == nil {
 		return nil
 	}
-	if made, ok := p.settled[original]; ok {
+	if made, ok := p.copies[original]; ok {
 		return made
 	}
 	var made node
 	switch original := original.(type) {
-	case *folder:
-		made = p.folder(original)
+	case *directory:
+		made = p.directory(original)
 	case *file:
 		made = p.file(original)
 	}
-	p.settled[original] = made
+	p.copies[original] = made
 	return made
 }
 
-func (p powerLoss) folder(original *folder) *folder {
-	left := newFolder()
+func (p powerLoss) directory(original *directory) *directory {
+	left := newDirectory()
 	for _, name := range original.everyName() {
 		value := original.durable[name]
 		if values := original.since[name]; len(values) > 0 {
@@ -150,7 +150,7 @@
 }
 
 // everyName gives the names that are or may be in the folder.
-func (f *folder) everyName() []string {
+func (f *directory) everyName() []string {
 	names := f.names()
 	for name := range f.durable {
 		names = append(names, name)
@@ -167,30 +167,30 @@
 	for _, change := range original.pending {
 		possible := change.possibilities()
 		for _, part := range possible[p.choose(len(possible))] {
-			content = part.on(content)
+			content = part.applyTo(content)
 		}
 	}
 	return &file{durable: content, current: content}
 }
 
 // possibilities gives what may be left of a change: nothing, parts, all. Of a torn write a part at its start is there, and the rest is missing or reads as zeros.
-func (c change) possibilities() [][]change {
-	missing := []change{}
-	whole := []change{c}
+func (c fileChange) possibilities() [][]fileChange {
+	missing := []fileChange{}
+	whole := []fileChange{c}
 	if c.truncation {
-		return [][]change{missing, whole}
+		return [][]fileChange{missing, whole}
 	}
 	size := len(c.content)
-	possible := [][]change{missing}
+	possible := [][]fileChange{missing}
 	for _, kept := range []int{1, size / 2, size - 1} {
 		if kept > 0 && kept < size {
-			possible = append(possible, []change{{offset: c.offset, content: c.content[:kept]}})
+			possible = append(possible, []fileChange{{offset: c.offset, content: c.content[:kept]}})
 		}
 	}
 	for _, kept := range []int{0, size / 2} {
 		zeroed := make([]byte, size)
 		copy(zeroed, c.content[:kept])
-		possible = append(possible, []change{{offset: c.offset, content: zeroed}})
+		possible = append(possible, []fileChange{{offset: c.offset, content: zeroed}})
 	}
 	return append(possible, whole)
 }
@@ -233,13 +233,13 @@
 }
 
 // appendFingerprint writes a folder's names and contents, each with its length. Files are numbered, since one may have two names.
-func appendFingerprint(out []byte, within *folder, numbers map[*file]int) []byte {
+func appendFingerprint(out []byte, within *directory, numbers map[*file]int) []byte {
 	out = binary.AppendUvarint(out, uint64(len(within.current)))
 	for _, name := range within.names() {
 		out = binary.AppendUvarint(out, uint64(len(name)))
 		out = append(out, name...)
 		switch child := within.current[name].(type) {
-		case *folder:
+		case *directory:
 			out = append(out, 'd')
 			out = appendFingerprint(out, child, numbers)
 		case *file:
--- a/coord/replication/store/trouble_test.go
+++ b/coord/replication/store/trouble_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	s, err := store.Open(disk, modelFolder, true)
 	require.NoError(t, err)
-	require.Empty(t, s.Note())
+	require.Empty(t, s.Damage())
 	return s
 }
 
@@ -39,7 +39,7 @@
 	require.ErrorIs(t, s.Append(startEntries[3]), store.ErrLogClosed)
 	disk.Restart()
 	again := openModel(t, disk) // on the disk that is still full
-	require.NotZero(t, again.Cut())
+	require.NotZero(t, again.TruncatedBytes())
 	require.Equal(t, startEntries[:3], again.Load().Entries)
 	require.Equal(t, savedRegister, again.Load().Register)
 
@@ -56,7 +56,7 @@
 		others   = 400 // identity, and a register beside another
 	)
 	disk := storetest.NewDisk()
-	disk.Capacity = 2*oneState + others
+	disk.CapacityBytes = 2*oneState + others
 	s := openModel(t, disk)
 	state := startSnapshot
 	state.Data = make([]byte, dataSize)
@@ -76,7 +76,7 @@
 		_ = s.SaveSnapshot(state, startEntries[:1])
 		disk.Fail = nil
 	}
-	require.LessOrEqual(t, disk.Peak(), disk.Capacity)
+	require.LessOrEqual(t, disk.PeakBytes(), disk.CapacityBytes)
 	names, err := disk.List(modelFolder)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(names), 6, "one state, at most another that failed, identity and register: %v", names)
@@ -89,7 +89,7 @@
 	require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
 	renamed := false
 	disk.Fail = func(operation storetest.Operation) error {
-		if operation.Kind == storetest.SyncFolder && renamed {
+		if operation.Kind == storetest.SyncDir && renamed {
 			return errFailing
 		}
 		renamed = renamed || operation.Kind == storetest.Rename
--- a/coord/replication/wire_test.go
+++ b/coord/replication/wire_test.go
@@ -90,12 +90,12 @@
 }
 
 func TestMessagesOverTheirBoundsAreRefused(t *testing.T) {
-	long := strings.Repeat("x", addressMost+1)
+	long := strings.Repeat("x", maxAddressBytes+1)
 	for name, message := range map[string]core.Message{
 		"address":      core.Yield{Envelope: core.Envelope{From: core.Member{Address: long}}},
 		"zone":         core.Yield{Envelope: core.Envelope{From: core.Member{Zone: long}}},
-		"members":      core.Heartbeat{Members: make([]core.Member, membersMost+1)},
-		"many in view": core.Hello{View: &core.View{Backups: make([]core.Member, membersMost+1)}},
+		"members":      core.Heartbeat{Members: make([]core.Member, maxMembers+1)},
+		"many in view": core.Hello{View: &core.View{Backups: make([]core.Member, maxMembers+1)}},
 	} {
 		_, err := decodeMessage(encodeMessage(message))
 		require.Error(t, err, name)
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -37,7 +37,7 @@
 	require.NoError(t, os.CopyFS(dir, os.DirFS(foldersPath+folder)))
 	opened, err := store.Open(store.OSFiles{}, dir, false)
 	require.NoError(t, err)
-	require.Empty(t, opened.Note())
+	require.Empty(t, opened.Damage())
 	t.Cleanup(opened.Close)
 	env := &settings.Settings{
 		NodeName: "c", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{7720, 7729}, Quorum: true, DataDir: dir,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -131,18 +131,18 @@
 		area = func(zone string) string { return env.Zones[zone] }
 	}
 	return replication.Config{
-		Address:   env.Port(settings.ControlPort),
-		Zone:      env.Zone,
-		Seeds:     env.SeedMembers(),
-		Losses:    losses,
-		Areas:     areas,
-		Area:      area,
-		Relay:     !env.HasDisk(),
-		Store:     store,
-		Machine:   c.state,
-		Transport: replication.NewLinks(c.lines),
-		OnActive:  c.begin,
-		OnIdle:    c.idle,
+		Address:           env.Port(settings.ControlPort),
+		Zone:              env.Zone,
+		Seeds:             env.SeedMembers(),
+		MaxFailures:       losses,
+		MaxDomainFailures: areas,
+		FailureDomain:     area,
+		Relay:             !env.HasDisk(),
+		Store:             store,
+		StateMachine:      c.state,
+		Transport:         replication.NewLinks(c.lines),
+		OnBecomePrimary:   c.begin,
+		OnStepDown:        c.idle,
 	}
 }
 
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -31,7 +31,7 @@
 	}
 	if r.URL.Path == "/fleet" {
 		v := *c.news.View()
-		if _, primary := c.replica.Active(); primary {
+		if _, primary := c.replica.PrimaryEpoch(); primary {
 			o := c.state.View()
 			v.Config, v.Evacuated = o.Config, o.Evacuated
 		}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -26,7 +26,7 @@
 	Members() []rpc.Member
 	Witnesses() []rpc.Member
 	View() *core.View
-	Active() (epoch uint64, active bool)
+	PrimaryEpoch() (epoch uint64, active bool)
 	State() replication.State
 }
 
@@ -43,8 +43,8 @@
 		return rpc.Member{}, false
 	}
 	if seat.ID == m.Member.Self().ID {
-		_, active := m.Member.Active()
+		_, active := m.Member.PrimaryEpoch()
 		return seat, active
 	}
-	return seat, m.Member.SinceHeard() < primaryQuiet
+	return seat, m.Member.SincePrimaryContact() < primaryQuiet
 }
--- a/internal/simtest/disk.go
+++ b/internal/simtest/disk.go
@@ -26,8 +26,8 @@
 // NewDisk makes an empty disk with a new identity.
 func NewDisk(id uint64, boot bool) *Disk { return &Disk{id: id, boot: boot} }
 
-// FirstSeeds is replication.Store's.
-func (d *Disk) FirstSeeds() []string { return d.seeds }
+// BootstrapSeeds is replication.Store's.
+func (d *Disk) BootstrapSeeds() []string { return d.seeds }
 
 // Fault sets what the disk does from now on: "ok", "full", "stall" or "slow".
 func (d *Disk) Fault(how string) {
