--- a/coord/outlier/compatibility_test.go
+++ b/coord/outlier/compatibility_test.go
@@ -13,8 +13,8 @@
 func TestReport_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/reports.txt")
 	reports := []Report{
-		{ID: "replica-1", Node: 0xfedcba9876543210, Good: 1.25, Bad: 2.5},
-		{ID: "replica-2", Node: 1, Good: 0, Bad: 0.125},
+		{ReplicaID: "replica-1", Node: 0xfedcba9876543210, Successes: 1.25, Failures: 2.5},
+		{ReplicaID: "replica-2", Node: 1, Successes: 0, Failures: 0.125},
 	}
 	written, err := json.Marshal(reports)
 	require.NoError(t, err)
--- a/coord/outlier/verdicts_test.go
+++ b/coord/outlier/verdicts_test.go
@@ -18,48 +18,48 @@
 }
 
 func TestOneNodesWordIsNeverEnough(t *testing.T) {
-	j, size := NewJury(), map[string]int{"p": 20}
-	j.Hear([]Report{{"r1", 1, 0, 50}, {"nobody", 2, 0, 50}, {"r2", 1, 0, math.NaN()}, {"r2", 2, 0, 1e9}, {"r2", 3, 0, -5}}, pool, at(0))
-	ids, news := j.Verdict(size, at(0))
+	j, size := NewAggregator(), map[string]int{"p": 20}
+	j.AddReports([]Report{{"r1", 1, 0, 50}, {"nobody", 2, 0, 50}, {"r2", 1, 0, math.NaN()}, {"r2", 2, 0, 1e9}, {"r2", 3, 0, -5}}, pool, at(0))
+	ids, news := j.Evaluate(size, at(0))
 	require.Empty(t, ids)
 	require.False(t, news)
-	j.Hear([]Report{{"r1", 2, 0, 1}}, pool, at(0.1))
-	ids, news = j.Verdict(size, at(0.1))
+	j.AddReports([]Report{{"r1", 2, 0, 1}}, pool, at(0.1))
+	ids, news = j.Evaluate(size, at(0.1))
 	require.Equal(t, []string{"r1"}, ids)
 	require.True(t, news)
-	_, news = j.Verdict(size, at(0.2))
+	_, news = j.Evaluate(size, at(0.2))
 	require.False(t, news, "told once")
-	_, news = j.Verdict(size, at(0.2).Add(suspectSpan/2))
+	_, news = j.Evaluate(size, at(0.2).Add(suspicionLifetime/2))
 	require.True(t, news, "and again before it runs out")
 }
 
 func TestASuspicionEndsByAnswersThatWorkOrByItsTime(t *testing.T) {
 	size := map[string]int{"p": 20}
-	start := func() *Verdicts {
-		j := NewJury()
-		j.Hear([]Report{{"r1", 1, 0, 3}, {"r1", 2, 0, 3}}, pool, at(0))
-		ids, _ := j.Verdict(size, at(0))
+	start := func() *Aggregator {
+		j := NewAggregator()
+		j.AddReports([]Report{{"r1", 1, 0, 3}, {"r1", 2, 0, 3}}, pool, at(0))
+		ids, _ := j.Evaluate(size, at(0))
 		require.Len(t, ids, 1)
 		return j
 	}
 	j := start()
-	j.Hear([]Report{{"r1", 1, 3, 3}, {"r1", 2, 4, 2}}, pool, at(1))
-	ids, _ := j.Verdict(size, at(1))
+	j.AddReports([]Report{{"r1", 1, 3, 3}, {"r1", 2, 4, 2}}, pool, at(1))
+	ids, _ := j.Evaluate(size, at(1))
 	require.Len(t, ids, 1, "half of them fail")
 	j = start()
-	j.Hear([]Report{{"r1", 1, acquitGood, 0}}, pool, at(1))
-	ids, news := j.Verdict(size, at(1))
+	j.AddReports([]Report{{"r1", 1, clearingSuccesses, 0}}, pool, at(1))
+	ids, news := j.Evaluate(size, at(1))
 	require.Empty(t, ids)
 	require.True(t, news)
 	j = start()
-	ids, _ = j.Verdict(size, at(0).Add(suspectMost))
+	ids, _ = j.Evaluate(size, at(0).Add(maxSuspicionTime))
 	require.Empty(t, ids)
 	j = start()
-	j.Clear()
-	ids, _ = j.Verdict(size, at(0.1))
+	j.Reset()
+	ids, _ = j.Evaluate(size, at(0.1))
 	require.Empty(t, ids)
 	j = start()
-	ids, _ = j.Verdict(map[string]int{}, at(0.1))
+	ids, _ = j.Evaluate(map[string]int{}, at(0.1))
 	require.Empty(t, ids, "its service is gone")
 }
 
@@ -67,25 +67,25 @@
 	r := rand.New(rand.NewPCG(7, 7))
 	for range 50 {
 		n := 1 + r.IntN(40)
-		j, size := NewJury(), map[string]int{"p": n}
+		j, size := NewAggregator(), map[string]int{"p": n}
 		for step := range 100 {
 			now := at(float64(step) * 0.4)
 			for range r.IntN(30) {
-				j.Hear([]Report{{fmt.Sprintf("r%d", r.IntN(n)), uint64(r.IntN(6)), r.Float64() * 3, r.Float64() * 10 * float64(r.IntN(2))}}, pool, now)
+				j.AddReports([]Report{{fmt.Sprintf("r%d", r.IntN(n)), uint64(r.IntN(6)), r.Float64() * 3, r.Float64() * 10 * float64(r.IntN(2))}}, pool, now)
 			}
-			ids, _ := j.Verdict(size, now)
-			require.LessOrEqual(t, len(ids), max(1, n/ejectPart))
+			ids, _ := j.Evaluate(size, now)
+			require.LessOrEqual(t, len(ids), max(1, n/ejectableOneIn))
 			require.True(t, len(ids) < n || n == 0)
 		}
 	}
 }
 
 func TestFailuresThatAllShareMakeNobodySuspect(t *testing.T) {
-	j, size := NewJury(), map[string]int{"p": 10}
+	j, size := NewAggregator(), map[string]int{"p": 10}
 	for i := range 10 {
-		j.Hear([]Report{{fmt.Sprintf("r%d", i), 1, 0, 5}, {fmt.Sprintf("r%d", i), 2, 0, 5}}, pool, at(0))
+		j.AddReports([]Report{{fmt.Sprintf("r%d", i), 1, 0, 5}, {fmt.Sprintf("r%d", i), 2, 0, 5}}, pool, at(0))
 	}
-	ids, _ := j.Verdict(size, at(0))
+	ids, _ := j.Evaluate(size, at(0))
 	require.Empty(t, ids)
 }
 
@@ -103,45 +103,45 @@
 	for i := range reps {
 		of[fmt.Sprintf("r%d", i)] = "p"
 	}
-	var gs []*Gauge
+	var gs []*Detector
 	for range nodes {
-		g := New()
-		g.Keep(of)
-		g.draw = r.Float64
+		g := NewDetector()
+		g.SetReplicas(of)
+		g.random = r.Float64
 		gs = append(gs, g)
 	}
-	j, size := NewJury(), map[string]int{"p": reps}
+	j, size := NewAggregator(), map[string]int{"p": reps}
 	fails := func(from, to float64) (bad, all, greyGot int) {
 		for s := from; s < to; s += 0.001 { // a shot each ms
 			now := at(s)
 			g := gs[r.IntN(nodes)]
 			id := ""
 			for id == "" {
-				if x := fmt.Sprintf("r%d", r.IntN(reps)); g.Fit(x, r.IntN(8) == 0, now) == Fit {
+				if x := fmt.Sprintf("r%d", r.IntN(reps)); g.Fitness(x, r.IntN(8) == 0, now) == Fit {
 					id = x
 				}
 			}
 			var k int
 			_, _ = fmt.Sscanf(id, "r%d", &k)
 			all++
-			g.Sent(id)
+			g.RequestSent(id)
 			if k < grey {
 				greyGot++
 			}
 			if k < grey && s < 10 && r.Float64() < 0.45 {
 				bad++
-				g.Bad(id, Failed, now)
+				g.RecordFailure(id, ServerError, now)
 			} else {
-				g.Good(id, 50*time.Millisecond, 50*time.Millisecond, false, now)
+				g.RecordSuccess(id, 50*time.Millisecond, 50*time.Millisecond, false, now)
 			}
-			g.Over(id)
+			g.RequestEnded(id)
 			if int(s*1000)%400 == 0 {
 				for i, x := range gs {
-					j.Hear(x.Words(uint64(i), now), pool, now)
+					j.AddReports(x.TakeReports(uint64(i), now), pool, now)
 				}
-				if ids, news := j.Verdict(size, now); news {
+				if ids, news := j.Evaluate(size, now); news {
 					for _, x := range gs {
-						x.Suspected(ids, now)
+						x.SetSuspects(ids, now)
 					}
 				}
 			}
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	recording.Same("lend-refused", c.handle(nil, read).Encode())
 
-	reports, err := json.Marshal([]outlier.Report{{ID: "replica-1", Node: 0x8006, Good: 0.5, Bad: 2}})
+	reports, err := json.Marshal([]outlier.Report{{ReplicaID: "replica-1", Node: 0x8006, Successes: 0.5, Failures: 2}})
 	require.NoError(t, err)
 	c.hear(recording.Same("reports", reports))
 	require.Equal(t, reports, c.carry(), "a relay passes on what it heard")
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -64,7 +64,7 @@
 	fails   atomic.Int64
 
 	lender *fairshare.Lender
-	jury   *outlier.Verdicts
+	jury   *outlier.Aggregator
 	deck   *loadsum.Sum
 
 	mu     sync.Mutex
@@ -88,7 +88,7 @@
 		reader:   discovery.NewReader(p.Settings.Cloud.Address, p.Net.Dial),
 		differ:   discovery.NewDiffer(),
 		lender:   newLender(p.Settings),
-		jury:     outlier.NewJury(),
+		jury:     outlier.NewAggregator(),
 		deck:     loadsum.NewSum(),
 		fleet:    map[string]time.Time{},
 	}
--- a/internal/controller/figures.go
+++ b/internal/controller/figures.go
@@ -3,7 +3,7 @@
 import "shaletrestle/internal/metrics"
 
 // figures are what the state port tells under meter.Path.
-func (c *Controller) figures() []metrics.Figure {
+func (c *Controller) figures() []metrics.Sample {
 	ep, num := c.feed.At()
 	is := func(so bool) float64 {
 		if so {
@@ -11,13 +11,13 @@
 		}
 		return 0
 	}
-	gauge := func(name, help string, x float64) metrics.Figure {
-		return metrics.Figure{Name: "controller_" + name, Help: help, Value: x}
+	gauge := func(name, help string, x float64) metrics.Sample {
+		return metrics.Sample{Name: "controller_" + name, Help: help, Value: x}
 	}
 	v := c.news.View()
-	return []metrics.Figure{
-		{Name: "controller_list_calls_total", Help: "Readings of the platform's list.", Count: true, Value: float64(c.polls.Load())},
-		{Name: "controller_list_failures_total", Help: "Readings that failed.", Count: true, Value: float64(c.fails.Load())},
+	return []metrics.Sample{
+		{Name: "controller_list_calls_total", Help: "Readings of the platform's list.", IsCounter: true, Value: float64(c.polls.Load())},
+		{Name: "controller_list_failures_total", Help: "Readings that failed.", IsCounter: true, Value: float64(c.fails.Load())},
 		gauge("primary", "1 if this member is primary and tells the news.", is(c.IsActivePrimary())),
 		gauge("list_duty", "1 if this member holds the duty of reading the list.", is(c.duty.Held())),
 		gauge("members", "Control members known.", float64(len(c.replica.Members()))),
--- a/internal/controller/outliers.go
+++ b/internal/controller/outliers.go
@@ -18,7 +18,7 @@
 	}
 	if c.IsActivePrimary() {
 		rs := c.news.View().Replicas
-		c.jury.Hear(ws, func(id string) string {
+		c.jury.AddReports(ws, func(id string) string {
 			if r := rs[id]; r != nil {
 				return r.Pool
 			}
@@ -61,7 +61,7 @@
 	for _, r := range c.news.View().Replicas {
 		size[r.Pool]++
 	}
-	if ids, news := c.jury.Verdict(size, now); news {
+	if ids, news := c.jury.Evaluate(size, now); news {
 		c.publish(&state.Event{Kind: state.Health, Suspects: ids})
 	}
 }
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -40,7 +40,7 @@
 func (c *Controller) idle() {
 	c.source.Store(nil)
 	c.feed.End()
-	c.jury.Clear()
+	c.jury.Reset()
 }
 
 // committed publishes what the replicated state has taken in.
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -37,7 +37,7 @@
 		{ID: 1<<32 + uint64(shared), Tokens: 512},
 		{ID: 1<<40 + uint64(own), Tokens: 256},
 	}
-	return prefixindex.NewChain(prefixindex.Root("m", 1), parts)
+	return prefixindex.NewChain(prefixindex.RootKey("m", 1), parts)
 }
 
 func componentReplica(i int) string { return fmt.Sprintf("i-%d", i) }
@@ -64,11 +64,11 @@
 
 // filledIndex is an index with nearly all the runs that it may hold.
 func filledIndex(runs int) *prefixindex.Index {
-	index := prefixindex.SizedIndex(runs)
+	index := prefixindex.NewSizedIndex(runs)
 	for i := 0; ; i++ {
 		shared := i / 2 // every shared part is seen twice
 		chain := componentChain(shared, i)
-		index.Sent(componentReplica(shared%componentReplicas), ample, chain, componentRoute(shared%100))
+		index.RecordSent(componentReplica(shared%componentReplicas), ample, chain, componentRoute(shared%100))
 		held, _, _ := index.Stats()
 		if held >= runs-8 || i > 4*runs {
 			return index
@@ -84,7 +84,7 @@
 		chain := componentChain(i*7, i)
 		holders := index.Holders(chain, buffer[:0], func(string) bool { return true })
 		holder := func(i int) string { return holders[i] }
-		index.Each(chain, len(holders), holder, func(_, tokens int) { found += tokens })
+		index.MatchedEach(chain, len(holders), holder, func(_, tokens int) { found += tokens })
 	}
 	return found
 }
@@ -94,11 +94,11 @@
 	routes := int(x)
 	enter := func(index *prefixindex.Index, from, to int) {
 		for i := from; i < to; i++ {
-			index.Sent("i-1", ample, componentChain(i/2, i), componentRoute(i%routes))
+			index.RecordSent("i-1", ample, componentChain(i/2, i), componentRoute(i%routes))
 		}
 	}
 	indexHeap, _ := cost(func() any {
-		index := prefixindex.SizedIndex(prefixindex.MaxRuns)
+		index := prefixindex.NewSizedIndex(prefixindex.MaxRuns)
 		enter(index, 0, prefixindex.MaxRuns)
 		return index
 	})
@@ -109,7 +109,7 @@
 		}
 		return shares
 	})
-	full := prefixindex.SizedIndex(prefixindex.MaxRuns / 4)
+	full := prefixindex.NewSizedIndex(prefixindex.MaxRuns / 4)
 	enter(full, 0, prefixindex.MaxRuns)
 	_, enterTime := cost(func() any {
 		enter(full, prefixindex.MaxRuns, prefixindex.MaxRuns+componentLookups)
@@ -126,14 +126,14 @@
 // nothing but the sketch should remember them.
 func measureSessions(x float64) values {
 	heap, cpu := cost(func() any {
-		index := prefixindex.SizedIndex(prefixindex.MaxRuns)
+		index := prefixindex.NewSizedIndex(prefixindex.MaxRuns)
 		for i := range int(x) {
 			parts := []prefixindex.Part{
 				{ID: 1 << 33, Tokens: 512},
 				{ID: 1<<41 + uint64(i)*2654435761, Tokens: 256},
 			}
-			chain := prefixindex.NewChain(prefixindex.Root("m", 1), parts)
-			index.Sent(componentReplica(i%componentReplicas), ample, chain, "r")
+			chain := prefixindex.NewChain(prefixindex.RootKey("m", 1), parts)
+			index.RecordSent(componentReplica(i%componentReplicas), ample, chain, "r")
 		}
 		return index
 	})
@@ -146,8 +146,8 @@
 // measurePlacing places prompts on more and more replicas of one service.
 func measurePlacing(x float64) values {
 	index := prefixindex.NewIndex()
-	placer := placement.NewYard(index)
-	placer.Set(placedReplicas(int(x)), map[string]bool{}, 0)
+	placer := placement.NewPlacer(index)
+	placer.SetReplicas(placedReplicas(int(x)), map[string]bool{}, 0)
 	notPlaced := 0
 	_, cpu := cost(func() any {
 		for i := range componentLookups {
@@ -184,24 +184,24 @@
 func placeOne(placer *placement.Placer, index *prefixindex.Index, number int) bool {
 	chain := componentChain(number%64, number)
 	ask := &placement.Request{
-		Pool:     "p",
-		Locality: "0",
-		Chain:    chain,
-		Capacity: modelCapacity,
-		OutMost:  100,
-		Aim:      durations.FromSeconds(1),
-		Not:      map[string]bool{},
+		Pool:            "p",
+		Zone:            "0",
+		Chain:           chain,
+		CapacityTokens:  modelCapacity,
+		MaxOutputTokens: 100,
+		LatencyTarget:   durations.FromSeconds(1),
+		Excluded:        map[string]bool{},
 	}
 	choice, ok := placer.Place(ask)
 	if !ok {
 		return false
 	}
-	index.Sent(choice.Replica.ID, ask.Capacity, chain, "r")
-	placer.Done(&placement.End{
-		Replica: choice.Replica.ID,
-		Chain:   chain,
-		Matched: choice.Matched,
-		OutMost: ask.OutMost,
+	index.RecordSent(choice.Replica.ID, ask.CapacityTokens, chain, "r")
+	placer.Release(&placement.Attempt{
+		ReplicaID:       choice.Replica.ID,
+		Chain:           chain,
+		MatchedTokens:   choice.MatchedTokens,
+		MaxOutputTokens: ask.MaxOutputTokens,
 	})
 	return true
 }
@@ -254,8 +254,8 @@
 // the replicas known to placement are brought up to date with each.
 func measureListing(x float64) values {
 	book := state.NewStore(true)
-	placer := placement.NewYard(prefixindex.NewIndex())
-	book.OnChange(func(_, now *state.View, _ *state.Event) { placer.Set(now.Replicas, now.Evacuated, 0) })
+	placer := placement.NewPlacer(prefixindex.NewIndex())
+	book.OnChange(func(_, now *state.View, _ *state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
 	replicas := madeUpReplicas(int(x), targetSize.Models, targetSize.Controllers)
 	first := listEvent(replicas...)
 	heap, wholeTime := cost(func() any {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -27,13 +27,13 @@
 func newEngine(ctx context.Context, service *Service, slower float64) *engine {
 	spec := service.Engine
 	model := replicamodel.New(replicamodel.Spec{
-		Slots:   service.Slots,
-		Queue:   service.Queue,
-		Step:    durations.FromMilliseconds(spec.StepMs * slower),
-		Each:    durations.FromMilliseconds(spec.EachMs * slower),
-		Prefill: spec.Prefill / slower,
-		Chunk:   spec.Chunk,
-		Memory:  spec.Memory,
+		Slots:                  service.Slots,
+		QueueLimit:             service.Queue,
+		StepTime:               durations.FromMilliseconds(spec.StepMs * slower),
+		StepTimePerRequest:     durations.FromMilliseconds(spec.EachMs * slower),
+		PrefillTokensPerSecond: spec.Prefill / slower,
+		ChunkTokens:            spec.Chunk,
+		MemoryTokens:           spec.Memory,
 	})
 	started := &engine{
 		ctx:     ctx,
@@ -67,7 +67,7 @@
 func (e *engine) nextStep() (end time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.model.Next()
+	return e.model.StepEnd()
 }
 
 // step hands out the tokens of a step. A stream has room for all tokens of its
@@ -76,7 +76,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, token := range e.model.Step() {
-		if stream := e.streams[token.ID]; stream != nil {
+		if stream := e.streams[token.RequestID]; stream != nil {
 			stream <- token
 		}
 	}
@@ -90,7 +90,7 @@
 	if !e.model.Offer(time.Since(e.start), job) {
 		return nil, false
 	}
-	stream := make(chan replicamodel.Token, job.Out+1)
+	stream := make(chan replicamodel.Token, job.OutputTokens+1)
 	e.streams[job.ID] = stream
 	select {
 	case e.wakeup <- struct{}{}:
@@ -103,7 +103,7 @@
 func (e *engine) done(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model.Drop(id)
+	e.model.Cancel(id)
 	delete(e.streams, id)
 }
 
--- a/internal/emulator/replica_http.go
+++ b/internal/emulator/replica_http.go
@@ -213,11 +213,11 @@
 
 // sendEvent sends one token; the head goes out before the first one.
 func sendEvent(w http.ResponseWriter, token replicamodel.Token, received int, seal string) {
-	if token.N == 1 {
+	if token.Number == 1 {
 		w.Header().Set("Content-Type", eventStream)
 		w.Header().Set(headerSeal, seal)
 	}
-	_, _ = io.WriteString(w, eventText(received+token.N))
+	_, _ = io.WriteString(w, eventText(received+token.Number))
 	_ = http.NewResponseController(w).Flush()
 }
 
@@ -240,7 +240,7 @@
 	if received > 0 {
 		parts = append(parts, replicamodel.Part{ID: uniqueID(), Tokens: received})
 	}
-	job = replicamodel.Job{ID: id, Parts: parts, Out: max(1, out-received), Urgency: urgency}
+	job = replicamodel.Job{ID: id, Parts: parts, OutputTokens: max(1, out-received), Urgency: urgency}
 	return job, received
 }
 
@@ -279,7 +279,7 @@
 	load := r.delayedLoad()
 	report := replicaReport{
 		Active: load.Active,
-		KvUsed: load.Used,
+		KvUsed: load.PinnedTokens,
 		Models: []reportedModel{},
 		Queued: load.Queued,
 		Stage:  stageDual,
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -94,17 +94,17 @@
 
 // SetLimits puts the limits of a setup in force for new connections.
 func (f *Server) SetLimits(l routing.Limits) {
-	if l.Head <= 0 {
-		l.Head = settings.HeaderBytes
+	if l.MaxHeaderBytes <= 0 {
+		l.MaxHeaderBytes = settings.HeaderBytes
 	}
-	if l.HeadWait <= 0 {
-		l.HeadWait = settings.HeaderTimeout
+	if l.HeaderTimeout <= 0 {
+		l.HeaderTimeout = settings.HeaderTimeout
 	}
-	if l.IdleWait <= 0 {
-		l.IdleWait = settings.IdleTimeout
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = settings.IdleTimeout
 	}
-	f.idle.Store(l.IdleWait)
-	l.IdleWait = 0
+	f.idle.Store(l.IdleTimeout)
+	l.IdleTimeout = 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.now != nil && f.lim == l {
@@ -125,8 +125,8 @@
 func (f *Server) httpServer(l routing.Limits) *http.Server {
 	return &http.Server{
 		Handler:                      f.h,
-		MaxHeaderBytes:               l.Head,
-		ReadHeaderTimeout:            l.HeadWait,
+		MaxHeaderBytes:               l.MaxHeaderBytes,
+		ReadHeaderTimeout:            l.HeaderTimeout,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     quiet(f.log),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
--- a/internal/frontend/idle_test.go
+++ b/internal/frontend/idle_test.go
@@ -78,7 +78,7 @@
 					time.Sleep(2 * long) // work is no rest
 					w.WriteHeader(http.StatusOK)
 				}))
-				f.SetLimits(routing.Limits{IdleWait: x.from})
+				f.SetLimits(routing.Limits{IdleTimeout: x.from})
 				go f.Run()
 				defer f.Close()
 				near, far := net.Pipe()
@@ -87,7 +87,7 @@
 				br := bufio.NewReader(near)
 				require.True(t, ask(near, br))
 				time.Sleep(x.changed)
-				f.SetLimits(routing.Limits{IdleWait: x.to})
+				f.SetLimits(routing.Limits{IdleTimeout: x.to})
 				if x.changed == 0 {
 					require.True(t, ask(near, br))
 				}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -15,28 +15,28 @@
 const Path = "/metrics"
 
 // Figure is one metric. A count only rises within one life of the process; others go both ways.
-type Figure struct {
-	Name  string // with its unit, as in _total, _seconds, _bytes
-	Help  string
-	Count bool
-	Value float64
-	Label string // of its label "service"; empty: it has none
+type Sample struct {
+	Name      string // with its unit, as in _total, _seconds, _bytes
+	Help      string
+	IsCounter bool
+	Value     float64
+	Service   string // of its label "service"; empty: it has none
 }
 
-type figures []Figure
+type samples []Sample
 
 // Describe is the collector's; nothing is described in advance.
-func (figures) Describe(chan<- *prometheus.Desc) {}
+func (samples) Describe(chan<- *prometheus.Desc) {}
 
 // Collect is the collector's.
-func (fs figures) Collect(to chan<- prometheus.Metric) {
+func (fs samples) Collect(to chan<- prometheus.Metric) {
 	for _, f := range fs {
 		var names, values []string
-		if f.Label != "" {
-			names, values = []string{"service"}, []string{f.Label}
+		if f.Service != "" {
+			names, values = []string{"service"}, []string{f.Service}
 		}
 		kind := prometheus.GaugeValue
-		if f.Count {
+		if f.IsCounter {
 			kind = prometheus.CounterValue
 		}
 		to <- prometheus.MustNewConstMetric(prometheus.NewDesc(f.Name, f.Help, names, nil), kind, f.Value, values...)
@@ -44,9 +44,9 @@
 }
 
 // Serve writes the figures of the moment.
-func Serve(w http.ResponseWriter, fs []Figure) {
+func Serve(w http.ResponseWriter, fs []Sample) {
 	r := prometheus.NewRegistry()
-	if err := r.Register(figures(fs)); err != nil {
+	if err := r.Register(samples(fs)); err != nil {
 		httpreply.Error(w, errkind.Wrap(errkind.Internal, err, "metrics"))
 		return
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,10 +9,10 @@
 
 func TestFiguresAreWrittenInTheTextForm(t *testing.T) {
 	w := httptest.NewRecorder()
-	Serve(w, []Figure{
-		{Name: "router_requests_total", Help: "Requests.", Count: true, Value: 3},
-		{Name: "router_left", Help: "Left.", Value: 1.5, Label: "desk"},
-		{Name: "router_left", Help: "Left.", Value: 2, Label: "model"},
+	Serve(w, []Sample{
+		{Name: "router_requests_total", Help: "Requests.", IsCounter: true, Value: 3},
+		{Name: "router_left", Help: "Left.", Value: 1.5, Service: "desk"},
+		{Name: "router_left", Help: "Left.", Value: 2, Service: "model"},
 	})
 	require.Equal(t, 200, w.Code)
 	require.Contains(t, w.Header().Get("Content-Type"), "text/plain; version=0.0.4")
@@ -28,6 +28,6 @@
 
 func TestFiguresThatContradictEachOtherAreAFault(t *testing.T) {
 	w := httptest.NewRecorder()
-	Serve(w, []Figure{{Name: "a", Help: "x", Value: 1}, {Name: "a", Help: "x", Value: 2}})
+	Serve(w, []Sample{{Name: "a", Help: "x", Value: 1}, {Name: "a", Help: "x", Value: 2}})
 	require.Equal(t, 500, w.Code)
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -14,12 +14,12 @@
 
 // pool is the replicas of one service and what is kept ready for choosing among them.
 type pool struct {
-	all   []*berth // by id
-	open  []*berth // that take inquiries by the list
-	near  map[string][]*berth
-	homes [][]*berth // by bucket: the first in rendezvous order; nil until used
-	mean  float64    // part of their slots that replicas say are running, on average
-	hold  float64    // tokens that a request holds, on average
+	all            []*replicaState // by id
+	open           []*replicaState // that take inquiries by the list
+	openByZone     map[string][]*replicaState
+	homeBuckets    [][]*replicaState // by bucket: the first in rendezvous order; nil until used
+	meanOccupancy  float64           // part of their slots that replicas say are running, on average
+	meanHeldTokens float64           // tokens that a request holds, on average
 }
 
 func mix(x uint64) uint64 {
@@ -31,17 +31,17 @@
 }
 
 // rank is a replica's place in the rendezvous order of a key: the highest comes first.
-func rank(key uint64, b *berth) uint64 { return mix(key*0x9e3779b97f4a7c15 ^ b.hash) }
+func rank(key uint64, b *replicaState) uint64 { return mix(key*0x9e3779b97f4a7c15 ^ b.idHash) }
 
 func hashID(id string) uint64 { return xxhash.Sum64String(id) }
 
 // members takes a new set of replicas; only buckets whose order it changes are made anew.
-func (p *pool) members(all []*berth) {
-	old := map[*berth]bool{}
+func (p *pool) setMembers(all []*replicaState) {
+	old := map[*replicaState]bool{}
 	for _, b := range p.all {
 		old[b] = true
 	}
-	var added []*berth
+	var added []*replicaState
 	for _, b := range all {
 		if !old[b] {
 			added = append(added, b)
@@ -49,14 +49,14 @@
 		delete(old, b)
 	}
 	p.all = all
-	for k, l := range p.homes {
-		if l != nil && p.disturbed(k, l, added, old) {
-			p.homes[k] = nil
+	for k, l := range p.homeBuckets {
+		if l != nil && p.orderChanged(k, l, added, old) {
+			p.homeBuckets[k] = nil
 		}
 	}
 }
 
-func (p *pool) disturbed(k int, l []*berth, added []*berth, gone map[*berth]bool) bool {
+func (p *pool) orderChanged(k int, l []*replicaState, added []*replicaState, gone map[*replicaState]bool) bool {
 	if len(gone) > 0 {
 		for _, b := range l {
 			if gone[b] {
@@ -69,7 +69,7 @@
 	}
 	last := rank(uint64(k), l[len(l)-1])
 	for _, b := range added {
-		if len(l) < homeDepth || rank(uint64(k), b) > last {
+		if len(l) < replicasPerBucket || rank(uint64(k), b) > last {
 			return true
 		}
 	}
@@ -78,13 +78,13 @@
 
 // ranked is a replica with its place in a rendezvous order.
 type ranked struct {
-	b *berth
-	r uint64
+	replica *replicaState
+	rank    uint64
 }
 
 // enter puts one into a short list, highest rank first, of which n places are taken; it gives how many are then. Where the list is full the lowest falls out.
-func enter(top []ranked, n int, x ranked) int {
-	if n == len(top) && x.r < top[n-1].r {
+func insertRanked(top []ranked, n int, x ranked) int {
+	if n == len(top) && x.rank < top[n-1].rank {
 		return n
 	}
 	i := n
@@ -93,7 +93,7 @@
 	} else {
 		i = n - 1
 	}
-	for ; i > 0 && top[i-1].r < x.r; i-- {
+	for ; i > 0 && top[i-1].rank < x.rank; i-- {
 		top[i] = top[i-1]
 	}
 	top[i] = x
@@ -101,78 +101,80 @@
 }
 
 // bucket gives the first replicas in the rendezvous order of a key's bucket.
-func (p *pool) bucket(key prefixindex.Key) []*berth {
-	if p.homes == nil {
-		p.homes = make([][]*berth, homeBuckets)
+func (p *pool) homeBucket(key prefixindex.Key) []*replicaState {
+	if p.homeBuckets == nil {
+		p.homeBuckets = make([][]*replicaState, bucketCount)
 	}
-	k := int(mix(uint64(key)) % homeBuckets)
-	if l := p.homes[k]; l != nil {
+	k := int(mix(uint64(key)) % bucketCount)
+	if l := p.homeBuckets[k]; l != nil {
 		return l
 	}
-	var top [homeDepth]ranked
+	var top [replicasPerBucket]ranked
 	n := 0
 	for _, b := range p.all {
-		n = enter(top[:], n, ranked{b, rank(uint64(k), b)})
+		n = insertRanked(top[:], n, ranked{b, rank(uint64(k), b)})
 	}
-	l := make([]*berth, n)
+	l := make([]*replicaState, n)
 	for i := range l {
-		l[i] = top[i].b
+		l[i] = top[i].replica
 	}
-	p.homes[k] = l
+	p.homeBuckets[k] = l
 	return l
 }
 
 // candidate is a replica that is weighed.
 type candidate struct {
-	b       *berth
-	matched int // tokens that the index says it keeps
-	expect  int // tokens that it is expected to keep for what other nodes sent there
-	cost    float64
+	replica        *replicaState
+	matchedTokens  int // tokens that the index says it keeps
+	expectedTokens int // tokens that it is expected to keep for what other nodes sent there
+	cost           float64
 }
 
 // bunch is a few candidates, each replica once.
-type bunch struct {
-	n  int
-	at [defaultHomes + prefixindex.MaxHolders + samples]candidate
+type candidateSet struct {
+	count int
+	items [homesPerChain + prefixindex.MaxHolders + randomCandidates]candidate
 }
 
-func (s *bunch) add(b *berth) *candidate {
-	for i := range s.n {
-		if s.at[i].b == b {
-			return &s.at[i]
+func (s *candidateSet) add(b *replicaState) *candidate {
+	for i := range s.count {
+		if s.items[i].replica == b {
+			return &s.items[i]
 		}
 	}
-	if s.n == len(s.at) {
+	if s.count == len(s.items) {
 		return nil
 	}
-	s.at[s.n] = candidate{b: b}
-	s.n++
-	return &s.at[s.n-1]
+	s.items[s.count] = candidate{replica: b}
+	s.count++
+	return &s.items[s.count-1]
 }
 
 // addHomes adds the first homes that may be used, the best first.
-func (y *Placer) addHomes(s *bunch, p *pool, a *Request, now time.Time) {
-	var top [defaultHomes]ranked
-	n, head := 0, uint64(a.Chain.Head())
-	for _, b := range p.bucket(a.Chain.Head()) {
-		if y.warm(a, b, now) {
-			n = enter(top[:], n, ranked{b, rank(head, b)})
+func (y *Placer) addHomes(s *candidateSet, p *pool, a *Request, now time.Time) {
+	var top [homesPerChain]ranked
+	n, head := 0, uint64(a.Chain.SharedKey())
+	for _, b := range p.homeBucket(a.Chain.SharedKey()) {
+		if y.isWarm(a, b, now) {
+			n = insertRanked(top[:], n, ranked{b, rank(head, b)})
 		}
 	}
 	for i, x := range top[:n] {
-		c := s.add(x.b)
-		if s := a.Chain.Shared(); s > 0 && i == 0 {
-			c.expect = y.cut(a.Chain.Upto[s-1])
+		c := s.add(x.replica)
+		if s := a.Chain.SharedParts(); s > 0 && i == 0 {
+			c.expectedTokens = y.wholeBlocks(a.Chain.PrefixTokens[s-1])
 		}
 	}
 }
 
-func (y *Placer) cut(tokens int) int { return tokens / y.opts.Block * y.opts.Block }
+func (y *Placer) wholeBlocks(tokens int) int {
+	return tokens / y.options.BlockTokens * y.options.BlockTokens
+}
 
 // sample draws one that may be used from a list; nil if none was found in some draws.
-func (y *Placer) sample(a *Request, bs []*berth, now time.Time) *berth {
-	for range min(sampleTries, 4*len(bs)) {
-		if b := bs[rand.IntN(len(bs))]; y.warm(a, b, now) {
+func (y *Placer) sample(a *Request, bs []*replicaState, now time.Time) *replicaState {
+	for range min(maxDraws, 4*len(bs)) {
+		if b := bs[rand.IntN(len(bs))]; y.isWarm(a, b, now) {
 			return b
 		}
 	}
@@ -180,10 +182,10 @@
 }
 
 // scan looks through a whole list and draws one that may be used; it is needed only when hardly any may be.
-func (y *Placer) scan(a *Request, bs []*berth, now time.Time) (pick *berth) {
+func (y *Placer) scan(a *Request, bs []*replicaState, now time.Time) (pick *replicaState) {
 	n := 0
 	for _, b := range bs {
-		if y.warm(a, b, now) {
+		if y.isWarm(a, b, now) {
 			if n++; rand.IntN(n) == 0 {
 				pick = b
 			}
@@ -193,12 +195,12 @@
 }
 
 // coldest is the cold replica that may be sent to and was sent to longest ago, with its rate.
-func (y *Placer) coldest(a *Request, p *pool, now time.Time) (cold *berth, rate float64) {
+func (y *Placer) chooseWarmingUp(a *Request, p *pool, now time.Time) (cold *replicaState, rate float64) {
 	for _, b := range p.open {
-		if !y.fits(a, b, now) || !y.cold(b, now) || now.Before(b.coldNext) || cold != nil && !b.coldNext.Before(cold.coldNext) {
+		if !y.isEligible(a, b, now) || !y.isWarmingUp(b, now) || now.Before(b.nextWarmupRequest) || cold != nil && !b.nextWarmupRequest.Before(cold.nextWarmupRequest) {
 			continue
 		}
-		if r := a.ColdRate(b.r.ID); r > 0 {
+		if r := a.WarmupRate(b.replica.ID); r > 0 {
 			cold, rate = b, r
 		}
 	}
@@ -206,35 +208,38 @@
 }
 
 // warm tells whether a replica may be used as one that is not cold.
-func (y *Placer) warm(a *Request, b *berth, now time.Time) bool {
-	return y.fits(a, b, now) && !y.cold(b, now)
+func (y *Placer) isWarm(a *Request, b *replicaState, now time.Time) bool {
+	return y.isEligible(a, b, now) && !y.isWarmingUp(b, now)
 }
 
 // gather finds the candidates of a prompt: homes, those that the index names, and a few at random.
-func (y *Placer) gather(s *bunch, p *pool, a *Request, now time.Time) {
+func (y *Placer) gather(s *candidateSet, p *pool, a *Request, now time.Time) {
 	y.addHomes(s, p, a, now)
-	if len(p.open) <= len(s.at) { // so few that all are
+	if len(p.open) <= len(s.items) { // so few that all are
 		for _, b := range p.open {
-			if y.warm(a, b, now) {
+			if y.isWarm(a, b, now) {
 				s.add(b)
 			}
 		}
 		return
 	}
 	var hits [prefixindex.MaxHolders]string
-	for _, id := range y.index.Holders(a.Chain, hits[:0], func(id string) bool { b := y.b[id]; return b != nil && b.r.Pool == a.Pool && y.warm(a, b, now) }) {
-		s.add(y.b[id])
+	for _, id := range y.index.Holders(a.Chain, hits[:0], func(id string) bool {
+		b := y.replicas[id]
+		return b != nil && b.replica.Pool == a.Pool && y.isWarm(a, b, now)
+	}) {
+		s.add(y.replicas[id])
 	}
-	for i := range samples {
+	for i := range randomCandidates {
 		from := p.open
-		if near := p.near[a.Locality]; i%2 == 0 && len(near) > 0 {
+		if near := p.openByZone[a.Zone]; i%2 == 0 && len(near) > 0 {
 			from = near
 		}
 		if b := y.sample(a, from, now); b != nil {
 			s.add(b)
 		}
 	}
-	if s.n == 0 {
+	if s.count == 0 {
 		if b := y.scan(a, p.open, now); b != nil {
 			s.add(b)
 		}
@@ -242,19 +247,19 @@
 }
 
 // engine weighs the candidates: the least cost wins, and of equal ones the first.
-func (y *Placer) engine(a *Request, p *pool, now time.Time) (*berth, Choice) {
-	var s bunch
-	a.weight = y.opts.shared(a, y.prefill)
+func (y *Placer) choosePrompt(a *Request, p *pool, now time.Time) (*replicaState, Choice) {
+	var s candidateSet
+	a.sharedWeight = y.options.sharedBlockWeight(a, y.prefillPerToken)
 	y.gather(&s, p, a, now)
-	if s.n == 0 {
+	if s.count == 0 {
 		return nil, Choice{}
 	}
-	return y.choose(s.at[:s.n], p, a, now)
+	return y.choose(s.items[:s.count], p, a, now)
 }
 
-func (y *Placer) choose(cs []candidate, p *pool, a *Request, now time.Time) (*berth, Choice) {
+func (y *Placer) choose(cs []candidate, p *pool, a *Request, now time.Time) (*replicaState, Choice) {
 	best := 0
-	y.index.Each(a.Chain, len(cs), func(i int) string { return cs[i].b.r.ID }, func(i, n int) { cs[i].matched = n })
+	y.index.MatchedEach(a.Chain, len(cs), func(i int) string { return cs[i].replica.replica.ID }, func(i, n int) { cs[i].matchedTokens = n })
 	for i := range cs {
 		c := &cs[i]
 		c.cost = y.cost(c, p, a, now)
@@ -263,9 +268,9 @@
 		}
 	}
 	pick, home := &cs[best], &cs[0]
-	c := Choice{Matched: max(pick.matched, pick.expect)}
+	c := Choice{MatchedTokens: max(pick.matchedTokens, pick.expectedTokens)}
 	if best > 0 {
-		c.Warmer = pick.matched > max(home.matched, home.expect)
+		c.Warmer = pick.matchedTokens > max(home.matchedTokens, home.expectedTokens)
 		c.Spilled = !c.Warmer
 	}
 	if c.Warmer {
@@ -274,23 +279,23 @@
 	if c.Spilled {
 		y.spills++
 	}
-	c.Alone = firstBase + durations.FromSeconds(float64(a.Chain.Tokens()-c.Matched)*pick.b.prefill)
-	c.Expect = durations.FromSeconds(pick.b.delay(now, y.prompt*pick.b.prefill)) + c.Alone
-	return pick.b, c
+	c.UnloadedTTFT = baseTTFT + durations.FromSeconds(float64(a.Chain.Tokens()-c.MatchedTokens)*pick.replica.prefillPerToken)
+	c.PredictedTTFT = durations.FromSeconds(pick.replica.queueDelay(now, y.meanUncachedTokens*pick.replica.prefillPerToken)) + c.UnloadedTTFT
+	return pick.replica, c
 }
 
 // cost is what a candidate costs, its credit taken off.
 func (y *Placer) cost(c *candidate, p *pool, a *Request, now time.Time) float64 {
-	var l Load
-	y.weigh(&l, c.b, p, a, now)
-	credit := y.opts.credit(a.Chain, max(c.matched, c.expect), a.weight)
-	l.OverlapCredit = y.opts.decayed(credit, l.ActivePrefill)
-	return l.Cost()
+	var l costTerms
+	y.addLoad(&l, c.replica, p, a, now)
+	credit := y.options.creditBlocks(a.Chain, max(c.matchedTokens, c.expectedTokens), a.sharedWeight)
+	l.OverlapCredit = y.options.decayedCredit(credit, l.ActivePrefill)
+	return l.cost()
 }
 
 // plain takes the less busy of two random ones, the first of them from the own locality if it has any.
-func (y *Placer) plain(a *Request, p *pool, now time.Time) *berth {
-	near := p.near[a.Locality]
+func (y *Placer) chooseLessLoaded(a *Request, p *pool, now time.Time) *replicaState {
+	near := p.openByZone[a.Zone]
 	first := y.sample(a, near, now)
 	if first == nil {
 		first = y.scan(a, near, now)
@@ -305,9 +310,9 @@
 	if first == nil || second == nil {
 		return first
 	}
-	lp, lq := first.load(now), second.load(now)
-	if first.r.Zone != second.r.Zone && first.r.Zone == a.Locality {
-		lq += nearBonus
+	lp, lq := first.occupancy(now), second.occupancy(now)
+	if first.replica.Zone != second.replica.Zone && first.replica.Zone == a.Zone {
+		lq += sameZoneBonus
 	}
 	if lq < lp {
 		return second
@@ -316,10 +321,10 @@
 }
 
 // arrange brings the pools up to date with the replicas of the moment.
-func (y *Placer) arrange(of map[string][]*berth) {
+func (y *Placer) updatePools(of map[string][]*replicaState) {
 	for name, p := range y.pools {
 		if len(of[name]) == 0 {
-			p.members(nil)
+			p.setMembers(nil)
 			delete(y.pools, name)
 		}
 	}
@@ -329,19 +334,19 @@
 			p = &pool{}
 			y.pools[name] = p
 		}
-		sort.Slice(bs, func(i, j int) bool { return bs[i].r.ID < bs[j].r.ID })
-		p.members(bs)
-		y.reopen(p)
+		sort.Slice(bs, func(i, j int) bool { return bs[i].replica.ID < bs[j].replica.ID })
+		p.setMembers(bs)
+		y.refreshOpen(p)
 	}
 }
 
 // reopen lists anew which of a service's replicas take inquiries.
-func (y *Placer) reopen(p *pool) {
-	p.open, p.near = nil, map[string][]*berth{}
+func (y *Placer) refreshOpen(p *pool) {
+	p.open, p.openByZone = nil, map[string][]*replicaState{}
 	for _, b := range p.all {
-		if y.open(b) {
+		if y.isOpen(b) {
 			p.open = append(p.open, b)
-			p.near[b.r.Zone] = append(p.near[b.r.Zone], b)
+			p.openByZone[b.replica.Zone] = append(p.openByZone[b.replica.Zone], b)
 		}
 	}
 }
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -17,17 +17,17 @@
 // full is the choice that weighs every replica.
 func full(y *Placer, a *Request, now time.Time) (best *candidate) {
 	p := y.pools[a.Pool]
-	var s bunch
+	var s candidateSet
 	y.addHomes(&s, p, a, now)
-	expect := map[*berth]int{}
-	for _, c := range s.at[:s.n] {
-		expect[c.b] = c.expect
+	expect := map[*replicaState]int{}
+	for _, c := range s.items[:s.count] {
+		expect[c.replica] = c.expectedTokens
 	}
 	for _, b := range p.all {
-		if !y.warm(a, b, now) {
+		if !y.isWarm(a, b, now) {
 			continue
 		}
-		c := &candidate{b: b, matched: y.index.Matched(b.r.ID, a.Chain), expect: expect[b]}
+		c := &candidate{replica: b, matchedTokens: y.index.Matched(b.replica.ID, a.Chain), expectedTokens: expect[b]}
 		if c.cost = y.cost(c, p, a, now); best == nil || c.cost < best.cost {
 			best = c
 		}
@@ -40,61 +40,61 @@
 	r := rand.New(rand.NewPCG(uint64(replicas), 9))
 	synctest.Test(t, func(t *testing.T) {
 		x := prefixindex.NewIndex()
-		y := NewYard(x)
-		y.Set(fleet(replicas), nil, 0)
-		for _, b := range y.b {
-			b.prefill = 9e-6
+		y := NewPlacer(x)
+		y.SetReplicas(fleet(replicas), nil, 0)
+		for _, b := range y.replicas {
+			b.prefillPerToken = 9e-6
 		}
-		y.prefill = 9e-6
+		y.prefillPerToken = 9e-6
 		var n, sum, extra float64
 		for i := range prompts {
 			first := 1 + r.Uint64N(20)
 			parts := []prefixindex.Part{{ID: first, Tokens: 300 + int(first)*8}, {ID: 100 + r.Uint64N(2000), Tokens: 100 + r.IntN(4000)}, {ID: 1e9 + uint64(i), Tokens: 200 + r.IntN(8000)}}
-			c := prefixindex.NewChain(prefixindex.Root("m", 1), parts)
+			c := prefixindex.NewChain(prefixindex.RootKey("m", 1), parts)
 			a := ask(c)
-			a.Capacity, a.OutMost = 400000, 300
+			a.CapacityTokens, a.MaxOutputTokens = 400000, 300
 			now := time.Now()
 			y.mu.Lock()
-			a.weight = y.opts.shared(a, y.prefill)
+			a.sharedWeight = y.options.sharedBlockWeight(a, y.prefillPerToken)
 			best := full(y, a, now)
 			y.mu.Unlock()
 			got, ok := y.Place(a)
 			require.True(t, ok)
 			y.mu.Lock()
-			b := y.b[got.Replica.ID]
+			b := y.replicas[got.Replica.ID]
 			y.mu.Unlock()
 			if i > prompts/4 { // once the index knows something
 				n++
 				sum += best.cost
-				if b == best.b {
+				if b == best.replica {
 					same++
 				}
 			}
-			if i > prompts/4 && b != best.b {
+			if i > prompts/4 && b != best.replica {
 				y.mu.Lock()
 				y.undo(a, b)
-				var h bunch
+				var h candidateSet
 				y.addHomes(&h, y.pools["p"], a, now)
-				cc := candidate{b: b, matched: got.Matched}
-				for _, o := range h.at[:h.n] {
-					if o.b == b {
-						cc.expect = o.expect
+				cc := candidate{replica: b, matchedTokens: got.MatchedTokens}
+				for _, o := range h.items[:h.count] {
+					if o.replica == b {
+						cc.expectedTokens = o.expectedTokens
 					}
 				}
 				extra += y.cost(&cc, y.pools["p"], a, now) - best.cost
 				y.redo(a, b)
 				y.mu.Unlock()
 			}
-			x.Sent(got.Replica.ID, a.Capacity, c, "p")
-			e := &End{Replica: got.Replica.ID, Chain: c, Matched: got.Matched, OutMost: a.OutMost}
-			read := firstBase + time.Duration(float64(c.Tokens()-got.Matched)*9e3)
+			x.RecordSent(got.Replica.ID, a.CapacityTokens, c, "p")
+			e := &Attempt{ReplicaID: got.Replica.ID, Chain: c, MatchedTokens: got.MatchedTokens, MaxOutputTokens: a.MaxOutputTokens}
+			read := baseTTFT + time.Duration(float64(c.Tokens()-got.MatchedTokens)*9e3)
 			hold, runs := time.Duration(r.IntN(2000))*time.Millisecond, float64(r.IntN(5))
 			go func() {
 				time.Sleep(read)
-				y.Told(e.Replica, runs, 0, 8)
-				y.Began(e, read, got.Expect)
+				y.UpdateLoad(e.ReplicaID, runs, 0, 8)
+				y.FirstToken(e, read, got.PredictedTTFT)
 				time.Sleep(hold)
-				y.Done(e)
+				y.Release(e)
 			}()
 			time.Sleep(time.Duration(float64(gap) * r.ExpFloat64()))
 		}
@@ -105,13 +105,13 @@
 }
 
 // undo and redo take an inquiry's own weight off a replica and put it back, to weigh it as it was before.
-func (y *Placer) undo(a *Request, b *berth) { y.shift(a, b, -1) }
-func (y *Placer) redo(a *Request, b *berth) { y.shift(a, b, 1) }
-func (y *Placer) shift(a *Request, b *berth, by int) {
-	n := float64(a.Chain.Tokens() - y.index.Matched(b.r.ID, a.Chain))
+func (y *Placer) undo(a *Request, b *replicaState) { y.shift(a, b, -1) }
+func (y *Placer) redo(a *Request, b *replicaState) { y.shift(a, b, 1) }
+func (y *Placer) shift(a *Request, b *replicaState, by int) {
+	n := float64(a.Chain.Tokens() - y.index.Matched(b.replica.ID, a.Chain))
 	b.inflight += by
-	b.tokens += float64(by) * n
-	b.kv += float64(by) * float64(a.Chain.Tokens()+a.OutMost)
+	b.pendingTokens += float64(by) * n
+	b.heldTokens += float64(by) * float64(a.Chain.Tokens()+a.MaxOutputTokens)
 }
 
 func TestTheFewCandidatesHoldTheFullScansChoiceNearlyAlways(t *testing.T) {
@@ -129,12 +129,12 @@
 
 func TestBucketsKeepTheirOrderThroughChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 3))
-	y := NewYard(prefixindex.NewIndex())
+	y := NewPlacer(prefixindex.NewIndex())
 	rs := fleet(200)
-	y.Set(rs, nil, 0)
+	y.SetReplicas(rs, nil, 0)
 	for round := range 30 {
 		for k := range 50 {
-			y.pools["p"].bucket(prefixindex.Key(k))
+			y.pools["p"].homeBucket(prefixindex.Key(k))
 		}
 		next := map[string]*state.Replica{}
 		for id, x := range rs {
@@ -147,16 +147,16 @@
 			next[id] = &state.Replica{ID: id, Pool: "p", State: "ready", Zone: "a", Slots: 8}
 		}
 		rs = next
-		y.Set(rs, nil, 0)
-		fresh := NewYard(prefixindex.NewIndex())
-		fresh.Set(rs, nil, 0)
+		y.SetReplicas(rs, nil, 0)
+		fresh := NewPlacer(prefixindex.NewIndex())
+		fresh.SetReplicas(rs, nil, 0)
 		for k := range 50 {
 			var got, want []string
-			for _, b := range y.pools["p"].bucket(prefixindex.Key(k)) {
-				got = append(got, b.r.ID)
+			for _, b := range y.pools["p"].homeBucket(prefixindex.Key(k)) {
+				got = append(got, b.replica.ID)
 			}
-			for _, b := range fresh.pools["p"].bucket(prefixindex.Key(k)) {
-				want = append(want, b.r.ID)
+			for _, b := range fresh.pools["p"].homeBucket(prefixindex.Key(k)) {
+				want = append(want, b.replica.ID)
 			}
 			require.Equal(t, want, got)
 		}
@@ -164,29 +164,29 @@
 }
 
 func TestHomesSpreadEvenly(t *testing.T) {
-	y := NewYard(prefixindex.NewIndex())
-	y.Set(fleet(90), nil, 0)
+	y := NewPlacer(prefixindex.NewIndex())
+	y.SetReplicas(fleet(90), nil, 0)
 	at := map[string]int{}
 	for doc := range uint64(20000) {
-		var s bunch
+		var s candidateSet
 		y.addHomes(&s, y.pools["p"], ask(chain(10+doc, 50)), time.Now())
-		require.Equal(t, defaultHomes, s.n)
-		at[s.at[0].b.r.ID]++
+		require.Equal(t, homesPerChain, s.count)
+		at[s.items[0].replica.replica.ID]++
 	}
-	for id := range y.b {
+	for id := range y.replicas {
 		require.InDelta(t, 20000/90.0, at[id], 20000/90.0*0.4, id)
 	}
 }
 
 func TestWarmBeforeColdAlsoWhenHardlyAnyIsWarm(t *testing.T) {
-	y := NewYard(prefixindex.NewIndex())
+	y := NewPlacer(prefixindex.NewIndex())
 	rs := fleet(300)
 	for id, r := range rs {
 		if id != "r123" {
 			r.WarmupLeftMs = 1000
 		}
 	}
-	y.Set(rs, nil, 0)
+	y.SetReplicas(rs, nil, 0)
 	for i := range 30 {
 		a := ask(nil)
 		if i%2 == 0 {
@@ -195,32 +195,32 @@
 		c, ok := y.Place(a)
 		require.True(t, ok)
 		require.Equal(t, "r123", c.Replica.ID)
-		require.False(t, c.Cold)
+		require.False(t, c.WarmingUp)
 	}
-	y.Health().Bad("r123", outlier.Silent, time.Now())
+	y.Health().RecordFailure("r123", outlier.Timeout, time.Now())
 	c, ok := y.Place(ask(chain(1, 50)))
 	require.True(t, ok)
-	require.True(t, c.Cold)
+	require.True(t, c.WarmingUp)
 }
 
 func TestAllOthersExcludedTheOneLeftIsFound(t *testing.T) {
-	y := NewYard(prefixindex.NewIndex())
-	y.Set(fleet(500), nil, 0)
+	y := NewPlacer(prefixindex.NewIndex())
+	y.SetReplicas(fleet(500), nil, 0)
 	for _, c := range []*prefixindex.Chain{nil, chain(3, 50)} {
 		a := ask(c)
 		for id := range fleet(500) {
 			if id != "r77" {
-				a.Not[id] = true
+				a.Excluded[id] = true
 			}
 		}
 		got, ok := y.Place(a)
 		require.True(t, ok)
 		require.Equal(t, "r77", got.Replica.ID)
-		a.Not["r77"] = true
+		a.Excluded["r77"] = true
 		_, ok = y.Place(a)
 		require.False(t, ok)
-		a.Not = nil
-		a.Regions = func(loc string) bool { return loc == "b" }
+		a.Excluded = nil
+		a.AllowsZone = func(loc string) bool { return loc == "b" }
 		got, ok = y.Place(a)
 		require.True(t, ok)
 		require.Equal(t, "b", got.Replica.Zone)
@@ -229,12 +229,12 @@
 
 func TestWhatAReplicaKeepsEndsWithItsLifeItsWeightsOrItsDrain(t *testing.T) {
 	x := prefixindex.NewIndex()
-	y := NewYard(x)
-	y.Set(fleet(3), nil, 0)
+	y := NewPlacer(x)
+	y.SetReplicas(fleet(3), nil, 0)
 	c := chain(7, 100)
 	keep := func(id string) {
 		for range prefixindex.MinSightings {
-			x.Sent(id, 100000, c, "p")
+			x.RecordSent(id, 100000, c, "p")
 		}
 		require.NotZero(t, x.Matched(id, c))
 	}
@@ -244,39 +244,39 @@
 	rs := fleet(3)
 	rs["r0"].Models = []state.Model{{Name: "m", Revision: 2}}
 	rs["r1"].State = "draining"
-	y.Set(rs, map[string]bool{"c": true}, 0)
+	y.SetReplicas(rs, map[string]bool{"c": true}, 0)
 	require.Zero(t, x.Matched("r0", c), "other weights")
 	require.Zero(t, x.Matched("r1", c), "it will not come back")
 	require.NotZero(t, x.Matched("r2", c), "an evacuated locality comes back with what it kept")
-	y.Health().Bad("r2", outlier.Silent, time.Now())
+	y.Health().RecordFailure("r2", outlier.Timeout, time.Now())
 	require.NotZero(t, x.Matched("r2", c), "a failure is no word on what is kept")
-	y.Wrong("r2")
+	y.MarkMisaddressed("r2")
 	require.Zero(t, x.Matched("r2", c), "another lives at its address")
-	require.Equal(t, 1, y.Count("p"))
+	require.Equal(t, 1, y.OpenCount("p"))
 	keep("r0")
 	delete(rs, "r0")
 	rs["r0b"] = &state.Replica{ID: "r0b", Pool: "p", State: "ready", Zone: "a", Slots: 8}
-	y.Set(rs, nil, 0)
+	y.SetReplicas(rs, nil, 0)
 	require.Zero(t, x.Matched("r0", c))
 	require.Zero(t, x.Matched("r0b", c), "a new life is an empty one")
 }
 
 func TestRunningRequestsPushKeptPartsOut(t *testing.T) {
 	x := prefixindex.NewIndex()
-	y := NewYard(x)
-	y.Set(fleet(1), nil, 0)
+	y := NewPlacer(x)
+	y.SetReplicas(fleet(1), nil, 0)
 	c := chain(7, 100)
 	for range prefixindex.MinSightings {
 		_, _ = y.Place(ask(c))
-		x.Sent("r0", 4000, c, "p")
+		x.RecordSent("r0", 4000, c, "p")
 	}
 	require.NotZero(t, x.Matched("r0", c))
 	y.mu.Lock()
-	y.pools["p"].hold = 600
+	y.pools["p"].meanHeldTokens = 600
 	y.mu.Unlock()
-	y.Told("r0", 2, 0, 8)
+	y.UpdateLoad("r0", 2, 0, 8)
 	require.NotZero(t, x.Matched("r0", c))
-	y.Told("r0", 8, 0, 8)
+	y.UpdateLoad("r0", 8, 0, 8)
 	require.Zero(t, x.Matched("r0", c))
 }
 
@@ -285,22 +285,22 @@
 		for _, kind := range []string{"prompt", "plain"} {
 			b.Run(fmt.Sprintf("%s/%d", kind, n), func(b *testing.B) {
 				x := prefixindex.NewIndex()
-				y := NewYard(x)
-				y.Set(fleet(n), nil, 0)
+				y := NewPlacer(x)
+				y.SetReplicas(fleet(n), nil, 0)
 				r := rand.New(rand.NewPCG(1, 2))
 				var as []*Request
 				for i := range 4096 {
 					a := ask(nil)
 					if kind == "prompt" {
 						first := r.Uint64N(20)
-						a = ask(prefixindex.NewChain(prefixindex.Root("m", 1), []prefixindex.Part{{ID: first, Tokens: 340}, {ID: 100 + first*100 + r.Uint64N(100), Tokens: 500}, {ID: 1e9 + uint64(i), Tokens: 2000}}))
+						a = ask(prefixindex.NewChain(prefixindex.RootKey("m", 1), []prefixindex.Part{{ID: first, Tokens: 340}, {ID: 100 + first*100 + r.Uint64N(100), Tokens: 500}, {ID: 1e9 + uint64(i), Tokens: 2000}}))
 					}
 					as = append(as, a)
 				}
 				for _, a := range as { // homes and index as they are after a while
 					if c, ok := y.Place(a); ok {
-						x.Sent(c.Replica.ID, 400000, a.Chain, "p")
-						y.Done(&End{Replica: c.Replica.ID, Chain: a.Chain, Matched: c.Matched, OutMost: a.OutMost})
+						x.RecordSent(c.Replica.ID, 400000, a.Chain, "p")
+						y.Release(&Attempt{ReplicaID: c.Replica.ID, Chain: a.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: a.MaxOutputTokens})
 					}
 				}
 				b.ReportAllocs()
@@ -308,7 +308,7 @@
 				for i := range b.N {
 					a := as[i%len(as)]
 					c, _ := y.Place(a)
-					y.Done(&End{Replica: c.Replica.ID, Chain: a.Chain, Matched: c.Matched, OutMost: a.OutMost})
+					y.Release(&Attempt{ReplicaID: c.Replica.ID, Chain: a.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: a.MaxOutputTokens})
 				}
 			})
 		}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -17,134 +17,134 @@
 
 // Request is what is to be placed.
 type Request struct {
-	Pool     string
-	Locality string
-	Chain    *prefixindex.Chain // nil for services without an engine
-	Capacity int                // tokens of memory of one replica
-	OutMost  int                // most tokens that may come out
-	Aim      time.Duration      // time within which the first token is wanted
-	Not      map[string]bool
-	Bold     bool                       // it may be sent again if it fails
-	Regions  func(locality string) bool // nil: everywhere
-	ColdRate func(id string) float64    // inquiries a second that this process may send to a cold replica
-	weight   float64                    // of a shared block, when it is placed
-	last     bool                       // replicas under suspicion may be used too
+	Pool            string
+	Zone            string
+	Chain           *prefixindex.Chain // nil for services without an engine
+	CapacityTokens  int                // tokens of memory of one replica
+	MaxOutputTokens int                // most tokens that may come out
+	LatencyTarget   time.Duration      // time within which the first token is wanted
+	Excluded        map[string]bool
+	Retriable       bool                       // it may be sent again if it fails
+	AllowsZone      func(locality string) bool // nil: everywhere
+	WarmupRate      func(id string) float64    // inquiries a second that this process may send to a cold replica
+	sharedWeight    float64                    // of a shared block, when it is placed
+	allowSuspected  bool                       // replicas under suspicion may be used too
 }
 
 // Choice is where an inquiry goes.
 type Choice struct {
-	Replica *state.Replica
-	Matched int
-	Expect  time.Duration // predicted time to the first token
-	Alone   time.Duration // the same with nothing else there
-	Spilled bool
-	Warmer  bool
-	Cold    bool
+	Replica       *state.Replica
+	MatchedTokens int
+	PredictedTTFT time.Duration // predicted time to the first token
+	UnloadedTTFT  time.Duration // the same with nothing else there
+	Spilled       bool
+	Warmer        bool
+	WarmingUp     bool
 }
 
-type berth struct {
-	r        *state.Replica
-	hash     uint64
-	slow     float64 // by what part it reads slower than the service's mean
-	inflight int
-	tokens   float64 // prompt tokens sent by this process that have given no event yet
-	kv       float64 // tokens of memory that this process's inquiries hold
-	running  float64
-	waiting  float64
-	slots    float64
-	toldAt   time.Time
-	prefill  float64 // seconds per prompt token, learned
-	extra    float64 // seconds of delay beyond the predicted, learned
-	extraAt  time.Time
-	wrong    bool    // another replica is at its address
-	key      uint32  // by which the fleet names it
-	said     uint32  // tokens that this process told the fleet of last
-	fleet    float64 // tokens of others that wait here beyond the usual, by the fleet's sum
-	fleetAt  time.Time
-	coldNext time.Time
-	coldTill time.Time // back from an evacuation: cold until the list has had time to say
+type replicaState struct {
+	replica           *state.Replica
+	idHash            uint64
+	slowness          float64 // by what part it reads slower than the service's mean
+	inflight          int
+	pendingTokens     float64 // prompt tokens sent by this process that have given no event yet
+	heldTokens        float64 // tokens of memory that this process's inquiries hold
+	reportedRunning   float64
+	reportedWaiting   float64
+	reportedSlots     float64
+	reportedAt        time.Time
+	prefillPerToken   float64 // seconds per prompt token, learned
+	extraDelay        float64 // seconds of delay beyond the predicted, learned
+	extraDelayAt      time.Time
+	misaddressed      bool    // another replica is at its address
+	loadKey           uint32  // by which the fleet names it
+	publishedTokens   uint32  // tokens that this process told the fleet of last
+	fleetTokens       float64 // tokens of others that wait here beyond the usual, by the fleet's sum
+	fleetTokensAt     time.Time
+	nextWarmupRequest time.Time
+	warmupUntil       time.Time // back from an evacuation: cold until the list has had time to say
 }
 
 // Placer knows the replicas and how busy they seem from here.
 type Placer struct {
-	mu      sync.Mutex
-	index   *prefixindex.Index
-	health  *outlier.Gauge
-	b       map[string]*berth
-	pools   map[string]*pool
-	opts    Options
-	evac    map[string]bool
-	prefill float64
-	per     float64 // seconds a prompt token as seen, waiting included
-	prompt  float64 // tokens that a prompt leaves to be read, on average
-	spills  int64
-	warmer  int64
-	placed  int64
+	mu                 sync.Mutex
+	index              *prefixindex.Index
+	health             *outlier.Detector
+	replicas           map[string]*replicaState
+	pools              map[string]*pool
+	options            Options
+	evacuated          map[string]bool
+	prefillPerToken    float64
+	observedPerToken   float64 // seconds a prompt token as seen, waiting included
+	meanUncachedTokens float64 // tokens that a prompt leaves to be read, on average
+	spills             int64
+	warmer             int64
+	placed             int64
 }
 
 // NewYard makes an empty yard.
-func NewYard(x *prefixindex.Index) *Placer {
-	return &Placer{index: x, health: outlier.New(), b: map[string]*berth{}, pools: map[string]*pool{}, opts: Defaults(), evac: map[string]bool{}, prefill: InitialPrefillPerToken.Seconds()}
+func NewPlacer(x *prefixindex.Index) *Placer {
+	return &Placer{index: x, health: outlier.NewDetector(), replicas: map[string]*replicaState{}, pools: map[string]*pool{}, options: Defaults(), evacuated: map[string]bool{}, prefillPerToken: InitialPrefillPerToken.Seconds()}
 }
 
 // Health is the judgement of replicas that placing heeds.
-func (y *Placer) Health() *outlier.Gauge { return y.health }
+func (y *Placer) Health() *outlier.Detector { return y.health }
 
 // Set takes the replicas and evacuated localities of the moment. back is how long a locality that takes inquiries again counts as cold.
-func (y *Placer) Set(rs map[string]*state.Replica, evac map[string]bool, back time.Duration) {
+func (y *Placer) SetReplicas(rs map[string]*state.Replica, evac map[string]bool, back time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	keeps := map[string]bool{}
 	of := make(map[string]string, len(rs))
-	pools := map[string][]*berth{}
+	pools := map[string][]*replicaState{}
 	for id, r := range rs {
-		b := y.b[id]
+		b := y.replicas[id]
 		if b == nil {
-			b = &berth{prefill: y.prefill, hash: hashID(id), key: loadsum.Key(id)}
-			y.b[id] = b
+			b = &replicaState{prefillPerToken: y.prefillPerToken, idHash: hashID(id), loadKey: loadsum.Key(id)}
+			y.replicas[id] = b
 		}
-		if y.evac[r.Zone] && !evac[r.Zone] {
-			b.coldTill = time.Now().Add(back)
+		if y.evacuated[r.Zone] && !evac[r.Zone] {
+			b.warmupUntil = time.Now().Add(back)
 		}
-		if b.r != nil && b.r.Pool == r.Pool && !slices.Equal(b.r.Models, r.Models) {
+		if b.replica != nil && b.replica.Pool == r.Pool && !slices.Equal(b.replica.Models, r.Models) {
 			y.index.Forget(id) // other weights: nothing of what it kept is of use
 		}
-		b.r, keeps[id], of[id] = r, r.State == "ready", r.Pool
+		b.replica, keeps[id], of[id] = r, r.State == "ready", r.Pool
 		pools[r.Pool] = append(pools[r.Pool], b)
 	}
-	for id := range y.b {
+	for id := range y.replicas {
 		if rs[id] == nil {
-			delete(y.b, id)
+			delete(y.replicas, id)
 		}
 	}
-	y.evac = evac
-	y.arrange(pools)
-	y.index.Keep(keeps)
-	y.health.Keep(of)
+	y.evacuated = evac
+	y.updatePools(pools)
+	y.index.Retain(keeps)
+	y.health.SetReplicas(of)
 }
 
 // Use takes other options.
-func (y *Placer) Use(o Options) {
+func (y *Placer) Configure(o Options) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	y.opts = o
-	y.index.Cut(o.Block)
+	y.options = o
+	y.index.SetBlockTokens(o.BlockTokens)
 }
 
 // May tells whether a replica may be sent to at this moment.
-func (y *Placer) May(id string) bool {
+func (y *Placer) Allowed(id string) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	b := y.b[id]
-	return b != nil && y.open(b)
+	b := y.replicas[id]
+	return b != nil && y.isOpen(b)
 }
 
-func (y *Placer) open(b *berth) bool {
-	return b.r.State == "ready" && !y.evac[b.r.Zone] && !b.wrong
+func (y *Placer) isOpen(b *replicaState) bool {
+	return b.replica.State == "ready" && !y.evacuated[b.replica.Zone] && !b.misaddressed
 }
 
 // Count tells how many replicas of a service there are that take inquiries by the list.
-func (y *Placer) Count(pool string) (n int) {
+func (y *Placer) OpenCount(pool string) (n int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if p := y.pools[pool]; p != nil {
@@ -153,8 +153,8 @@
 	return
 }
 
-func (y *Placer) cold(b *berth, now time.Time) bool {
-	return b.r.WarmupLeftMs > 0 || now.Before(b.coldTill)
+func (y *Placer) isWarmingUp(b *replicaState, now time.Time) bool {
+	return b.replica.WarmupLeftMs > 0 || now.Before(b.warmupUntil)
 }
 
 // Place chooses a replica and counts the inquiry as sent there; Done must follow. ok is false if none may be used now.
@@ -168,205 +168,205 @@
 	}
 	b, c, coldRate := y.pick(a, p, now)
 	if b == nil { // suspects that were passed over come last
-		a.last = true
+		a.allowSuspected = true
 		b, c, coldRate = y.pick(a, p, now)
-		a.last = false
+		a.allowSuspected = false
 	}
 	if b == nil {
 		return c, false
 	}
-	if y.cold(b, now) {
-		c.Cold = true
-		b.coldNext = now.Add(durations.FromSeconds(1 / coldRate))
+	if y.isWarmingUp(b, now) {
+		c.WarmingUp = true
+		b.nextWarmupRequest = now.Add(durations.FromSeconds(1 / coldRate))
 	}
-	c.Replica = b.r
-	y.health.Sent(b.r.ID)
+	c.Replica = b.replica
+	y.health.RequestSent(b.replica.ID)
 	y.placed++
 	b.inflight++
 	if a.Chain != nil {
 		n := a.Chain.Tokens()
-		y.prompt += learnUp * (float64(n-c.Matched) - y.prompt)
-		b.tokens += float64(n - c.Matched)
-		b.kv += float64(n + a.OutMost)
-		p.hold += holderSlice * (float64(n+a.OutMost) - p.hold)
+		y.meanUncachedTokens += learnUpWeight * (float64(n-c.MatchedTokens) - y.meanUncachedTokens)
+		b.pendingTokens += float64(n - c.MatchedTokens)
+		b.heldTokens += float64(n + a.MaxOutputTokens)
+		p.meanHeldTokens += meanObservationWeight * (float64(n+a.MaxOutputTokens) - p.meanHeldTokens)
 	}
 	return c, true
 }
 
 // pick chooses a warm replica, or a cold one if no other may be used; nil if none may. coldRate is what may be sent to a cold one in a second.
-func (y *Placer) pick(a *Request, p *pool, now time.Time) (b *berth, c Choice, coldRate float64) {
+func (y *Placer) pick(a *Request, p *pool, now time.Time) (b *replicaState, c Choice, coldRate float64) {
 	if a.Chain != nil {
-		b, c = y.engine(a, p, now)
+		b, c = y.choosePrompt(a, p, now)
 	} else {
-		b = y.plain(a, p, now)
+		b = y.chooseLessLoaded(a, p, now)
 	}
 	if b == nil {
-		b, coldRate = y.coldest(a, p, now)
+		b, coldRate = y.chooseWarmingUp(a, p, now)
 	}
 	return
 }
 
 // fits tells whether a replica may take an inquiry now.
-func (y *Placer) fits(a *Request, b *berth, now time.Time) bool {
-	if !y.open(b) || a.Not[b.r.ID] || a.Regions != nil && !a.Regions(b.r.Zone) {
+func (y *Placer) isEligible(a *Request, b *replicaState, now time.Time) bool {
+	if !y.isOpen(b) || a.Excluded[b.replica.ID] || a.AllowsZone != nil && !a.AllowsZone(b.replica.Zone) {
 		return false
 	}
-	f := y.health.Fit(b.r.ID, a.Bold, now)
-	return f == outlier.Fit || f == outlier.Passed && a.last
+	f := y.health.Fitness(b.replica.ID, a.Retriable, now)
+	return f == outlier.Fit || f == outlier.PassedOver && a.allowSuspected
 }
 
 // delay is the predicted time before a new inquiry's own prompt is read.
-func (b *berth) delay(now time.Time, prompt float64) float64 {
-	d := (b.tokens + b.others(now)) * b.prefill
-	if age := now.Sub(b.extraAt).Seconds(); age < 2 {
-		d = max(d, b.extra*math.Exp(-age*2))
+func (b *replicaState) queueDelay(now time.Time, prompt float64) float64 {
+	d := (b.pendingTokens + b.otherNodesTokens(now)) * b.prefillPerToken
+	if age := now.Sub(b.extraDelayAt).Seconds(); age < 2 {
+		d = max(d, b.extraDelay*math.Exp(-age*2))
 	}
-	if age := now.Sub(b.toldAt).Seconds(); age < 1 {
-		d = max(d, b.waiting*prompt*(1-age))
+	if age := now.Sub(b.reportedAt).Seconds(); age < 1 {
+		d = max(d, b.reportedWaiting*prompt*(1-age))
 	}
 	return d
 }
 
-func (b *berth) load(now time.Time) float64 {
+func (b *replicaState) occupancy(now time.Time) float64 {
 	n := float64(b.inflight)
-	if b.slots > 0 {
-		if age := now.Sub(b.toldAt).Seconds(); age < 2 {
-			n = max(n, (b.running+2*b.waiting)*(1-age/2))
+	if b.reportedSlots > 0 {
+		if age := now.Sub(b.reportedAt).Seconds(); age < 2 {
+			n = max(n, (b.reportedRunning+2*b.reportedWaiting)*(1-age/2))
 		}
-		return n / b.slots
+		return n / b.reportedSlots
 	}
-	return n / float64(max(1, b.r.Slots))
+	return n / float64(max(1, b.replica.Slots))
 }
 
 // End tells how a shot ended.
-type End struct {
-	Replica string
-	Chain   *prefixindex.Chain
-	Matched int
-	OutMost int
-	First   bool // an event or answer came
-	Overdue bool // its lateness was held against the replica already
+type Attempt struct {
+	ReplicaID       string
+	Chain           *prefixindex.Chain
+	MatchedTokens   int
+	MaxOutputTokens int
+	FirstTokenSeen  bool // an event or answer came
+	OverdueReported bool // its lateness was held against the replica already
 }
 
 // Began notes that the first event came, took long after sending, while expect was predicted.
-func (y *Placer) Began(e *End, took, expect time.Duration) {
+func (y *Placer) FirstToken(e *Attempt, took, expect time.Duration) {
 	y.mu.Lock()
-	b := y.b[e.Replica]
-	if b == nil || e.First {
+	b := y.replicas[e.ReplicaID]
+	if b == nil || e.FirstTokenSeen {
 		y.mu.Unlock()
 		return
 	}
-	e.First = true
-	y.health.Good(e.Replica, took, expect, e.Overdue, time.Now())
+	e.FirstTokenSeen = true
+	y.health.RecordSuccess(e.ReplicaID, took, expect, e.OverdueReported, time.Now())
 	if e.Chain == nil {
 		y.mu.Unlock()
 		return
 	}
-	n := float64(e.Chain.Tokens() - e.Matched)
-	b.tokens = max(0, b.tokens-n)
-	b.extra, b.extraAt = max(0, (took-expect).Seconds()), time.Now()
+	n := float64(e.Chain.Tokens() - e.MatchedTokens)
+	b.pendingTokens = max(0, b.pendingTokens-n)
+	b.extraDelay, b.extraDelayAt = max(0, (took-expect).Seconds()), time.Now()
 	quiet := b.inflight <= 1
-	if n >= learnTokens {
-		per := max(0, took.Seconds()-firstBase.Seconds()) / n
-		learn(&b.prefill, per)
-		y.read(b, per)
-		learn(&y.prefill, per)
+	if n >= minLearnTokens {
+		per := max(0, took.Seconds()-baseTTFT.Seconds()) / n
+		learn(&b.prefillPerToken, per)
+		y.observePerToken(b, per)
+		learn(&y.prefillPerToken, per)
 	}
-	saved := float64(e.Matched) * b.prefill
+	saved := float64(e.MatchedTokens) * b.prefillPerToken
 	y.mu.Unlock()
 	// what a home was only expected to keep is no hint of the index, and tells nothing against one
-	if e.Matched == 0 || !quiet || y.index.Matched(e.Replica, e.Chain) < e.Matched {
+	if e.MatchedTokens == 0 || !quiet || y.index.Matched(e.ReplicaID, e.Chain) < e.MatchedTokens {
 		return
 	}
 	if over := (took - expect).Seconds(); over > 0.8*saved && saved > 0.01 {
-		y.index.Contradicted(e.Replica, e.Chain)
+		y.index.Contradicted(e.ReplicaID, e.Chain)
 	} else {
-		y.index.Confirmed(e.Replica, e.Chain)
+		y.index.Confirmed(e.ReplicaID, e.Chain)
 	}
 }
 
 // learn moves a rate to an observation: quickly down, slowly up, since waiting only ever adds to what is observed.
 func learn(rate *float64, seen float64) {
-	w := learnUp
+	w := learnUpWeight
 	if seen < *rate {
-		w = learnDown
+		w = learnDownWeight
 	}
 	*rate += w * (seen - *rate)
 }
 
 // Done ends the count of a shot.
-func (y *Placer) Done(e *End) {
+func (y *Placer) Release(e *Attempt) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	b := y.b[e.Replica]
+	b := y.replicas[e.ReplicaID]
 	if b == nil {
 		return
 	}
 	b.inflight = max(0, b.inflight-1)
-	y.health.Over(e.Replica)
+	y.health.RequestEnded(e.ReplicaID)
 	if e.Chain != nil {
-		if !e.First {
-			b.tokens = max(0, b.tokens-float64(e.Chain.Tokens()-e.Matched))
+		if !e.FirstTokenSeen {
+			b.pendingTokens = max(0, b.pendingTokens-float64(e.Chain.Tokens()-e.MatchedTokens))
 		}
-		b.kv = max(0, b.kv-float64(e.Chain.Tokens()+e.OutMost))
+		b.heldTokens = max(0, b.heldTokens-float64(e.Chain.Tokens()+e.MaxOutputTokens))
 		if b.inflight == 0 {
-			b.tokens, b.kv = 0, 0
+			b.pendingTokens, b.heldTokens = 0, 0
 		}
 	}
 }
 
 // Told takes a replica's own word on its load.
-func (y *Placer) Told(id string, running, waiting, slots float64) {
+func (y *Placer) UpdateLoad(id string, running, waiting, slots float64) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	if b := y.b[id]; b != nil {
-		b.running, b.waiting, b.slots, b.toldAt = running, waiting, slots, time.Now()
-		if p := y.pools[b.r.Pool]; p != nil && slots > 0 {
-			p.mean += holderSlice * (running/slots - p.mean)
-			y.index.Room(id, running*p.hold)
+	if b := y.replicas[id]; b != nil {
+		b.reportedRunning, b.reportedWaiting, b.reportedSlots, b.reportedAt = running, waiting, slots, time.Now()
+		if p := y.pools[b.replica.Pool]; p != nil && slots > 0 {
+			p.meanOccupancy += meanObservationWeight * (running/slots - p.meanOccupancy)
+			y.index.ReserveTokens(id, running*p.meanHeldTokens)
 		}
 	}
 }
 
 // Queued tells whether a replica said lately that requests wait there.
-func (y *Placer) Queued(id string) bool {
+func (y *Placer) IsQueued(id string) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	b := y.b[id]
-	return b != nil && b.waiting > 0 && time.Since(b.toldAt) < queueSpan
+	b := y.replicas[id]
+	return b != nil && b.reportedWaiting > 0 && time.Since(b.reportedAt) < queuedReportLifetime
 }
 
 // Wrong notes that another replica answers at this one's address.
-func (y *Placer) Wrong(id string) {
+func (y *Placer) MarkMisaddressed(id string) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	if b := y.b[id]; b != nil {
-		b.wrong = true
+	if b := y.replicas[id]; b != nil {
+		b.misaddressed = true
 		y.index.Forget(id)
-		if p := y.pools[b.r.Pool]; p != nil {
-			y.reopen(p)
+		if p := y.pools[b.replica.Pool]; p != nil {
+			y.refreshOpen(p)
 		}
 	}
 }
 
 // Stats is for the state page.
 type Stats struct {
-	Placed  int64                   `json:"placed"`
-	Spills  int64                   `json:"spills"`
-	Warmer  int64                   `json:"warmer"`
-	Prefill float64                 `json:"prefill_us_per_token"`
-	Berths  map[string]BerthStat    `json:"replicas"`
-	Health  map[string]outlier.Stat `json:"health"`
+	Placed                int64                           `json:"placed"`
+	Spills                int64                           `json:"spills"`
+	Warmer                int64                           `json:"warmer"`
+	PrefillMicrosPerToken float64                         `json:"prefill_us_per_token"`
+	Replicas              map[string]ReplicaStats         `json:"replicas"`
+	Health                map[string]outlier.ReplicaStats `json:"health"`
 }
 
 // BerthStat is one replica on the state page.
-type BerthStat struct {
-	Pool     string `json:"service"`
-	Locality string `json:"locality"`
-	State    string `json:"state"`
-	Inflight int    `json:"inflight"`
-	Cold     bool   `json:"cold"`
-	Wrong    bool   `json:"address_reused"`
+type ReplicaStats struct {
+	Pool         string `json:"service"`
+	Zone         string `json:"locality"`
+	State        string `json:"state"`
+	Inflight     int    `json:"inflight"`
+	WarmingUp    bool   `json:"cold"`
+	Misaddressed bool   `json:"address_reused"`
 }
 
 // Stats tells what the yard sees.
@@ -374,9 +374,9 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	now := time.Now()
-	s := Stats{y.placed, y.spills, y.warmer, y.prefill * 1e6, map[string]BerthStat{}, y.health.Stats(now)}
-	for id, b := range y.b {
-		s.Berths[id] = BerthStat{b.r.Pool, b.r.Zone, b.r.State, b.inflight, y.cold(b, now), b.wrong}
+	s := Stats{y.placed, y.spills, y.warmer, y.prefillPerToken * 1e6, map[string]ReplicaStats{}, y.health.Stats(now)}
+	for id, b := range y.replicas {
+		s.Replicas[id] = ReplicaStats{b.replica.Pool, b.replica.Zone, b.replica.State, b.inflight, y.isWarmingUp(b, now), b.misaddressed}
 	}
 	return s
 }
--- a/internal/prefixindex/cache.go
+++ b/internal/prefixindex/cache.go
@@ -39,7 +39,7 @@
 
 // thrashes tells whether nearly as many runs were evicted as were stored.
 func (c *cacheView) thrashes() bool {
-	return c.evicts > thrash*c.stores && c.stores > minStores
+	return c.evicts > thrashRatio*c.stores && c.stores > minStores
 }
 
 // fade halves the counters once they are large.
--- a/internal/prefixindex/chain.go
+++ b/internal/prefixindex/chain.go
@@ -20,14 +20,14 @@
 // Chain is a prompt with its keys: Keys[i] is the key of the run that ends with
 // part i.
 type Chain struct {
-	Parts []Part
-	Keys  []Key
-	Upto  []int // tokens up to the end of part i
+	Parts        []Part
+	Keys         []Key
+	PrefixTokens []int // tokens up to the end of part i
 }
 
 // Root is the key before the first block. It is made from the model and the
 // revision of its weights.
-func Root(model string, weights int64) Key {
+func RootKey(model string, weights int64) Key {
 	return Key(xxhash.Sum64String(model + "\x00" + strconv.FormatInt(weights, 10)))
 }
 
@@ -48,27 +48,27 @@
 		key = next(key, part)
 		tokens += part.Tokens
 		chain.Keys = append(chain.Keys, key)
-		chain.Upto = append(chain.Upto, tokens)
+		chain.PrefixTokens = append(chain.PrefixTokens, tokens)
 	}
 	return chain
 }
 
 // Tokens is the length of the whole prompt.
 func (c *Chain) Tokens() int {
-	if len(c.Upto) == 0 {
+	if len(c.PrefixTokens) == 0 {
 		return 0
 	}
-	return c.Upto[len(c.Upto)-1]
+	return c.PrefixTokens[len(c.PrefixTokens)-1]
 }
 
 // Shared is the number of parts before the last one, which belongs to the request
 // or its session alone.
-func (c *Chain) Shared() int { return max(0, len(c.Parts)-1) }
+func (c *Chain) SharedParts() int { return max(0, len(c.Parts)-1) }
 
 // Head is the key of all shared parts, by which a prompt's preferred replicas are
 // found. If there is only one part, it is that part's key.
-func (c *Chain) Head() Key {
-	if shared := c.Shared(); shared > 0 {
+func (c *Chain) SharedKey() Key {
+	if shared := c.SharedParts(); shared > 0 {
 		return c.Keys[shared-1]
 	}
 	if len(c.Keys) > 0 {
--- a/internal/prefixindex/constants.go
+++ b/internal/prefixindex/constants.go
@@ -2,16 +2,16 @@
 
 // The cache design. Starting values marked (source) are the design's, the others ours.
 const (
-	thrash      = 0.9   // evictions over stores that count as thrash (source)
-	sketchWidth = 4096  // counters a row; thousands of live prefixes collide little
-	sketchRows  = 4     // rows of the sketch
-	sketchDecay = 20000 // sightings after which all counts are halved
-	storeQueue  = 256   // prefixes waiting to be entered
+	thrashRatio           = 0.9   // evictions over stores that count as thrash (source)
+	sketchWidth           = 4096  // counters a row; thousands of live prefixes collide little
+	sketchRows            = 4     // rows of the sketch
+	sketchHalvingInterval = 20000 // sightings after which all counts are halved
+	pendingLimit          = 256   // prefixes waiting to be entered
 )
 
 // Placement of prompts: the cost's options and the search for candidates.
 const (
-	holdersSeen = 24 // and entries looked at to find them
+	maxHoldersExamined = 24 // and entries looked at to find them
 )
 
 const (
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -75,7 +75,7 @@
 
 // Keep forgets all replicas but the live ones. A replica that was restarted, or
 // has other weights, has another id and starts with an empty view.
-func (x *Index) Keep(live map[string]bool) {
+func (x *Index) Retain(live map[string]bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for replica := range x.caches {
@@ -106,7 +106,7 @@
 // Room records that running requests hold so many tokens of a replica's memory.
 // Kept runs that the rest has no room for are taken as evicted, the longest unused
 // first.
-func (x *Index) Room(replica string, held float64) {
+func (x *Index) ReserveTokens(replica string, held float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	cache := x.caches[replica]
--- a/internal/prefixindex/index_bench_test.go
+++ b/internal/prefixindex/index_bench_test.go
@@ -7,10 +7,10 @@
 
 // filledIndex is an index in which some replicas keep prompts with shared parts.
 func filledIndex() *Index {
-	index := SizedIndex(20000)
+	index := NewSizedIndex(20000)
 	for i := range 20000 {
 		shared := uint64(i / 8)
-		index.Sent(fmt.Sprintf("replica-%d", i%50), 1<<20, benchmarkChain(shared, uint64(i/2)), fmt.Sprintf("route-%d", i%20))
+		index.RecordSent(fmt.Sprintf("replica-%d", i%50), 1<<20, benchmarkChain(shared, uint64(i/2)), fmt.Sprintf("route-%d", i%20))
 	}
 	return index
 }
@@ -46,7 +46,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		index.Sent("replica-3", 1<<20, prompts[i%len(prompts)], "route-3")
+		index.RecordSent("replica-3", 1<<20, prompts[i%len(prompts)], "route-3")
 	}
 }
 
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func chain(ps ...Part) *Chain { return NewChain(Root("m", 1), ps) }
+func chain(ps ...Part) *Chain { return NewChain(RootKey("m", 1), ps) }
 
 // perBlock is the source's index taken literally: one key a block, each with all that goes before it.
 type perBlock map[string]bool
@@ -49,7 +49,7 @@
 		for range 5 {
 			ps := some()
 			for range MinSightings {
-				x.Sent("r", 1<<30, chain(ps...), "own")
+				x.RecordSent("r", 1<<30, chain(ps...), "own")
 			}
 			for _, b := range blocks(ps) {
 				lit[b] = true
@@ -73,17 +73,17 @@
 func TestStoredPromptsMatchWholeAndDifferentOnesDoNot(t *testing.T) {
 	x := NewIndex()
 	a := chain(Part{1, 100}, Part{2, 400}, Part{9, 50})
-	x.Sent("r", 1<<20, a, "own")
+	x.RecordSent("r", 1<<20, a, "own")
 	require.Zero(t, x.Matched("r", a), "one sighting is no reason to keep anything")
-	x.Sent("r", 1<<20, a, "own")
+	x.RecordSent("r", 1<<20, a, "own")
 	require.Equal(t, 544, x.Matched("r", a))
 	require.Equal(t, 496, x.Matched("r", chain(Part{1, 100}, Part{2, 400}, Part{8, 50})))
 	require.Equal(t, 96, x.Matched("r", chain(Part{1, 100}, Part{3, 400})))
 	require.Zero(t, x.Matched("r", chain(Part{2, 400}, Part{1, 100})), "a prefix, not a part")
 	require.Zero(t, x.Matched("other life", a))
-	require.Zero(t, x.Matched("r", NewChain(Root("m", 2), a.Parts)), "other weights")
-	require.Zero(t, x.Matched("r", NewChain(Root("n", 1), a.Parts)), "another model")
-	x.Keep(map[string]bool{})
+	require.Zero(t, x.Matched("r", NewChain(RootKey("m", 2), a.Parts)), "other weights")
+	require.Zero(t, x.Matched("r", NewChain(RootKey("n", 1), a.Parts)), "another model")
+	x.Retain(map[string]bool{})
 	require.Zero(t, x.Matched("r", a), "a life that is over")
 }
 
@@ -91,8 +91,8 @@
 	x := NewIndex()
 	for i := range 10 {
 		c := chain(Part{1, 100}, Part{uint64(10 + i), 100})
-		x.Sent("r", 500, c, "own")
-		x.Sent("r", 500, c, "own")
+		x.RecordSent("r", 500, c, "own")
+		x.RecordSent("r", 500, c, "own")
 	}
 	require.Equal(t, 192, x.Matched("r", chain(Part{1, 100}, Part{19, 100})))
 	require.Equal(t, 96, x.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared head is kept, the oldest is not")
@@ -103,8 +103,8 @@
 func TestAHintContradictedOftenIsDropped(t *testing.T) {
 	x := NewIndex()
 	c := chain(Part{1, 100}, Part{2, 100})
-	x.Sent("r", 1000, c, "own")
-	x.Sent("r", 1000, c, "own")
+	x.RecordSent("r", 1000, c, "own")
+	x.RecordSent("r", 1000, c, "own")
 	for range MaxContradictions - 1 {
 		x.Contradicted("r", c)
 	}
@@ -154,16 +154,16 @@
 }
 
 func TestAHeavyOwnerLeavesTheOthersTheirPortion(t *testing.T) {
-	x := SizedIndex(300)
+	x := NewSizedIndex(300)
 	light := func(i int) *Chain { return chain(Part{uint64(1000 + i), 64}, Part{uint64(5000 + i), 64}) }
 	for i := range 50 {
 		for range MinSightings {
-			x.Sent("r", 1<<30, light(i), "lookups")
+			x.RecordSent("r", 1<<30, light(i), "lookups")
 		}
 	}
 	for i := range 2000 {
 		for range MinSightings {
-			x.Sent("r", 1<<30, chain(Part{uint64(100000 + i), 64}), "ledgers")
+			x.RecordSent("r", 1<<30, chain(Part{uint64(100000 + i), 64}), "ledgers")
 		}
 	}
 	for i := range 50 {
@@ -171,11 +171,11 @@
 	}
 	runs, _, _ := x.Stats()
 	require.Equal(t, 300, runs, "the whole is never exceeded")
-	ps := x.Portions()
+	ps := x.OwnerShares()
 	require.Equal(t, "ledgers", ps[0].User)
 	require.Equal(t, int64(200), ps[0].Used, "and the heavy one has all that is left")
-	x.Keep(map[string]bool{})
+	x.Retain(map[string]bool{})
 	runs, _, _ = x.Stats()
 	require.Zero(t, runs)
-	require.Empty(t, x.Portions())
+	require.Empty(t, x.OwnerShares())
 }
--- a/internal/prefixindex/lookup.go
+++ b/internal/prefixindex/lookup.go
@@ -22,14 +22,14 @@
 		if _, kept := cache.runs[key]; !kept {
 			break
 		}
-		tokens = chain.Upto[i]
+		tokens = chain.PrefixTokens[i]
 	}
-	return tokens / x.block * x.block
+	return tokens / x.blockTokens * x.blockTokens
 }
 
 // Each is Matched for several replicas at once: replica names the i-th of n, and
 // tell is called with its tokens. It counts as one lookup.
-func (x *Index) Each(chain *Chain, n int, replica func(i int) string, tell func(i, tokens int)) {
+func (x *Index) MatchedEach(chain *Chain, n int, replica func(i int) string, tell func(i, tokens int)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	best := 0
@@ -53,7 +53,7 @@
 	seen := 0
 	for i := len(chain.Keys) - 1; i >= 0; i-- {
 		for _, run := range x.holders[chain.Keys[i]] {
-			if len(ids) == cap(ids) || seen == holdersSeen {
+			if len(ids) == cap(ids) || seen == maxHoldersExamined {
 				return ids
 			}
 			seen++
--- a/internal/prefixindex/lookup_test.go
+++ b/internal/prefixindex/lookup_test.go
@@ -26,12 +26,12 @@
 			return chain(ps...)
 		}
 		for range 60 {
-			x.Sent(ids[r.IntN(len(ids))], 16*(1+r.IntN(40)), some(), "own")
+			x.RecordSent(ids[r.IntN(len(ids))], 16*(1+r.IntN(40)), some(), "own")
 			if r.IntN(10) == 0 {
 				x.Forget(ids[r.IntN(len(ids))])
 			}
 			if r.IntN(10) == 0 {
-				x.Room(ids[r.IntN(len(ids))], float64(r.IntN(400)))
+				x.ReserveTokens(ids[r.IntN(len(ids))], float64(r.IntN(400)))
 			}
 		}
 		n := 0
@@ -65,7 +65,7 @@
 	c := chain(Part{1, 160}, Part{2, 160})
 	for i := range 5 {
 		for range MinSightings {
-			x.Sent(fmt.Sprintf("r%d", i), 10000, c, "own")
+			x.RecordSent(fmt.Sprintf("r%d", i), 10000, c, "own")
 		}
 	}
 	require.Equal(t, []string{"r3"}, x.Holders(c, make([]string, 0, 4), func(id string) bool { return id == "r3" }))
@@ -76,10 +76,10 @@
 
 func TestOtherBlockSizesCutElsewhere(t *testing.T) {
 	x := NewIndex()
-	x.Cut(64)
+	x.SetBlockTokens(64)
 	c := chain(Part{1, 100}, Part{2, 100})
 	for range MinSightings {
-		x.Sent("r", 10000, c, "own")
+		x.RecordSent("r", 10000, c, "own")
 	}
 	require.Equal(t, 192, x.Matched("r", c))
 	require.Equal(t, 64, x.Matched("r", chain(Part{1, 100}, Part{3, 100})))
@@ -89,10 +89,10 @@
 	x := NewIndex()
 	c := chain(Part{1, 160})
 	for range MinSightings {
-		x.Sent("r1", 10000, c, "own")
+		x.RecordSent("r1", 10000, c, "own")
 	}
 	ids, got := []string{"r0", "r1"}, make([]int, 2)
-	x.Each(c, 2, func(i int) string { return ids[i] }, func(i, n int) { got[i] = n })
+	x.MatchedEach(c, 2, func(i int) string { return ids[i] }, func(i, n int) { got[i] = n })
 	require.Equal(t, []int{0, 160}, got)
 	_, asked, hits := x.Stats()
 	require.Equal(t, int64(1), asked)
--- a/internal/prefixindex/sketch.go
+++ b/internal/prefixindex/sketch.go
@@ -14,7 +14,7 @@
 // Add counts one sighting and gives the key's count.
 func (s *Sketch) Add(key Key) int {
 	s.additions++
-	if s.additions >= sketchDecay {
+	if s.additions >= sketchHalvingInterval {
 		s.additions = 0
 		s.halve()
 	}
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -7,12 +7,12 @@
 
 // drainPart is the part of the queue's bound at which the queue is emptied while
 // the memory is full.
-const drainPart = 8
+const pendingBatchFraction = 8
 
 // Sent records that an owner's chain was sent to a replica. A run is entered at
 // its second sighting. What waits is entered in the order of its priority, which
 // is matched length times count.
-func (x *Index) Sent(replica string, capacity int, chain *Chain, owner string) {
+func (x *Index) RecordSent(replica string, capacity int, chain *Chain, owner string) {
 	if chain == nil || len(chain.Keys) == 0 {
 		return
 	}
@@ -30,14 +30,14 @@
 		chain:    chain,
 		owner:    owner,
 		upto:     upto,
-		priority: chain.Upto[upto-1] * count,
+		priority: chain.PrefixTokens[upto-1] * count,
 		sequence: x.sequence,
 	})
-	if len(x.queue) > storeQueue {
+	if len(x.queue) > pendingLimit {
 		heap.Remove(&x.queue, x.queue.lowest())
 	}
-	if len(x.queue) >= storeQueue/drainPart || !x.memory.OverCapacity() {
-		x.drain()
+	if len(x.queue) >= pendingLimit/pendingBatchFraction || !x.memory.OverCapacity() {
+		x.enterPending()
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // drain enters everything that waits.
-func (x *Index) drain() {
+func (x *Index) enterPending() {
 	for len(x.queue) > 0 {
 		waiting := heap.Pop(&x.queue).(pending)
 		if cache := x.caches[waiting.replica]; cache != nil {
--- a/internal/replicamodel/model.go
+++ b/internal/replicamodel/model.go
@@ -13,13 +13,13 @@
 
 // Spec is one replica's size and speed.
 type Spec struct {
-	Slots   int           // requests that run at once
-	Queue   int           // requests that may wait beyond them
-	Step    time.Duration // a batch step with one request in it
-	Each    time.Duration // what every further request adds to it
-	Prefill float64       // prompt tokens a second
-	Chunk   int           // prompt tokens at most between two tokens of the other requests
-	Memory  int           // tokens that running requests and the cache share
+	Slots                  int           // requests that run at once
+	QueueLimit             int           // requests that may wait beyond them
+	StepTime               time.Duration // a batch step with one request in it
+	StepTimePerRequest     time.Duration // what every further request adds to it
+	PrefillTokensPerSecond float64       // prompt tokens a second
+	ChunkTokens            int           // prompt tokens at most between two tokens of the other requests
+	MemoryTokens           int           // tokens that running requests and the cache share
 }
 
 // Part is one part of a prompt.
@@ -30,10 +30,10 @@
 
 // Job is a request to generate.
 type Job struct {
-	ID      string
-	Parts   []Part
-	Out     int // tokens to generate
-	Urgency int // 0 first
+	ID           string
+	Parts        []Part
+	OutputTokens int // tokens to generate
+	Urgency      int // 0 first
 }
 
 // promptTokens is the length of the prompt.
@@ -47,18 +47,18 @@
 
 // Token is one generated token.
 type Token struct {
-	ID   string // of the request
-	N    int    // its number in the request, from 1
-	Last bool
+	RequestID string // of the request
+	Number    int    // its number in the request, from 1
+	Last      bool
 }
 
 // Load is what a replica reports of itself.
 type Load struct {
-	Active int
-	Queued int
-	Used   int   // tokens in memory that can't be evicted
-	Kept   int   // all tokens in memory
-	Read   int64 // prompt tokens read since the start
+	Active          int
+	Queued          int
+	PinnedTokens    int   // tokens in memory that can't be evicted
+	MemoryTokens    int   // all tokens in memory
+	PrefilledTokens int64 // prompt tokens read since the start
 }
 
 // request is a job that waits or runs.
@@ -85,16 +85,16 @@
 
 // New makes an idle replica with an empty cache.
 func New(spec Spec) *Model {
-	return &Model{spec: spec, memory: newMemory(spec.Memory), reading: map[*request]int{}}
+	return &Model{spec: spec, memory: newMemory(spec.MemoryTokens), reading: map[*request]int{}}
 }
 
 // Offer takes a request at a time; false if the replica is full or could never
 // hold the request.
 func (m *Model) Offer(now time.Duration, job Job) bool {
-	if job.promptTokens()+job.Out > m.spec.Memory {
+	if job.promptTokens()+job.OutputTokens > m.spec.MemoryTokens {
 		return false
 	}
-	if len(m.running)+len(m.waiting) >= m.spec.Slots+m.spec.Queue {
+	if len(m.running)+len(m.waiting) >= m.spec.Slots+m.spec.QueueLimit {
 		return false
 	}
 	m.sequence++
@@ -119,7 +119,7 @@
 }
 
 // Drop ends a request whose caller has gone.
-func (m *Model) Drop(id string) {
+func (m *Model) Cancel(id string) {
 	for i, request := range m.waiting {
 		if request.ID == id {
 			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
@@ -135,7 +135,7 @@
 }
 
 // Next is the end of the step under way; false if the replica is idle.
-func (m *Model) Next() (time.Duration, bool) { return m.stepEnd, m.busy }
+func (m *Model) StepEnd() (time.Duration, bool) { return m.stepEnd, m.busy }
 
 // Step ends the step under way, begins the next and gives the generated tokens.
 func (m *Model) Step() []Token {
@@ -171,8 +171,8 @@
 	}
 	request.generated++
 	m.memory.reserve(1)
-	last := request.generated >= request.Out
-	token = Token{ID: request.ID, N: request.generated, Last: last}
+	last := request.generated >= request.OutputTokens
+	token = Token{RequestID: request.ID, Number: request.generated, Last: last}
 	if last {
 		m.release(request)
 	}
@@ -191,9 +191,9 @@
 		return
 	}
 	decoding, read := m.planStep()
-	duration := durations.FromSeconds(float64(read) / m.spec.Prefill)
+	duration := durations.FromSeconds(float64(read) / m.spec.PrefillTokensPerSecond)
 	if decoding > 0 {
-		duration += m.spec.Step + time.Duration(decoding-1)*m.spec.Each
+		duration += m.spec.StepTime + time.Duration(decoding-1)*m.spec.StepTimePerRequest
 	}
 	m.stepEnd = now + duration
 }
@@ -201,7 +201,7 @@
 // planStep shares a chunk among the requests that read their prompts. It tells
 // how many requests generate a token in the step, and the tokens that are read.
 func (m *Model) planStep() (decoding, read int) {
-	room := m.spec.Chunk
+	room := m.spec.ChunkTokens
 	for _, request := range m.running {
 		if request.unread == 0 {
 			decoding++
@@ -274,10 +274,10 @@
 // Load tells how busy the replica is.
 func (m *Model) Load() Load {
 	return Load{
-		Active: len(m.running),
-		Queued: len(m.waiting),
-		Used:   m.memory.pinned,
-		Kept:   m.memory.used,
-		Read:   m.read,
+		Active:          len(m.running),
+		Queued:          len(m.waiting),
+		PinnedTokens:    m.memory.pinned,
+		MemoryTokens:    m.memory.used,
+		PrefilledTokens: m.read,
 	}
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -44,7 +44,7 @@
 
 func (q *request) told(id, load string) {
 	if v, ok := loads(load); ok {
-		q.g.yard.Told(id, v[0], v[1], v[2])
+		q.g.yard.UpdateLoad(id, v[0], v[1], v[2])
 		q.g.long.load(q.ask.Pool, id, v)
 	}
 }
@@ -119,12 +119,12 @@
 // turnedAway deals with a whole answer that promises that the replica did not run the request; true
 // means that another replica may be tried.
 func (q *request) turnedAway(p *upstream.Part, id string) bool {
-	q.ask.Not[id] = true
+	q.ask.Excluded[id] = true
 	switch {
 	case p.Status == http.StatusMisdirectedRequest:
-		q.g.yard.Wrong(id)
+		q.g.yard.MarkMisaddressed(id)
 	case p.Status != http.StatusBadRequest && !full(p.Header.Get(upstream.HeaderLoad)):
-		q.blame(id, outlier.Shed)
+		q.blame(id, outlier.Rejected)
 	}
 	if p.Status == http.StatusBadRequest && !q.try.MayHaveRun() && !q.began {
 		q.answer(p)
@@ -137,7 +137,7 @@
 func (q *request) whole(p *upstream.Part, id string) bool {
 	failed := p.Status >= http.StatusInternalServerError && p.Status != http.StatusGatewayTimeout
 	if failed {
-		q.blame(id, outlier.Failed)
+		q.blame(id, outlier.ServerError)
 	}
 	if q.began {
 		if p.Bytes != nil { // a resumed run answered with something else than events
@@ -146,7 +146,7 @@
 		return false
 	}
 	switch {
-	case failed && q.try.MayRetry(q.path.Repeatable(), q.path.Attempts):
+	case failed && q.try.MayRetry(q.path.IsRetriable(), q.path.MaxAttempts):
 		return true
 	case promise(p.Status):
 		q.giveUp(errkind.UpstreamFailure, "the replica refused after it may have run")
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -25,7 +25,7 @@
 			q.giveUp(errkind.DeadlineExceeded, "time ran out")
 			return
 		}
-		if !q.try.MayRetry(q.path.Repeatable(), q.path.Attempts) {
+		if !q.try.MayRetry(q.path.IsRetriable(), q.path.MaxAttempts) {
 			q.giveUp(errkind.UpstreamFailure, "replicas failed")
 			return
 		}
@@ -37,7 +37,7 @@
 			continue
 		}
 		if q.try.Sends() == 0 && !letIn(choice, left) {
-			q.g.yard.Done(q.placed(choice))
+			q.g.yard.Release(q.placed(choice))
 			q.refuse(errkind.Overloaded)
 			return
 		}
@@ -48,8 +48,8 @@
 }
 
 // placed is the end of a placement, for the books of package placement.
-func (q *request) placed(c placement.Choice) *placement.End {
-	return &placement.End{Replica: c.Replica.ID, Chain: q.ask.Chain, Matched: c.Matched, OutMost: q.ask.OutMost}
+func (q *request) placed(c placement.Choice) *placement.Attempt {
+	return &placement.Attempt{ReplicaID: c.Replica.ID, Chain: q.ask.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: q.ask.MaxOutputTokens}
 }
 
 // awaitPlace waits a little while no replica can be used; false if the request was answered.
@@ -58,7 +58,7 @@
 		q.refuse(errkind.Overloaded)
 		return false
 	}
-	clear(q.ask.Not)
+	clear(q.ask.Excluded)
 	select {
 	case <-time.After(placeAgain):
 		return true
@@ -70,17 +70,17 @@
 
 // letIn tells whether a request is worth sending: not if the line before it alone is predicted to
 // outlast what is left of its time. The length of its own prompt never counts against it.
-func letIn(c placement.Choice, left time.Duration) bool { return c.Expect-c.Alone < left }
+func letIn(c placement.Choice, left time.Duration) bool { return c.PredictedTTFT-c.UnloadedTTFT < left }
 
 // refuseAt is when a request that could be sent nowhere is refused.
 func (q *request) refuseAt() time.Time {
-	return q.arrived.Add(time.Duration(float64(q.path.Aim) * refusePart))
+	return q.arrived.Add(time.Duration(float64(q.path.LatencyTarget) * refusePart))
 }
 
 // attempt sends to one replica; true means that another may be tried.
 func (q *request) attempt(c placement.Choice) bool {
 	end := q.placed(c)
-	defer q.g.yard.Done(end)
+	defer q.g.yard.Release(end)
 	connection, again := q.connect(c)
 	if connection == nil {
 		return again
@@ -98,7 +98,7 @@
 	}
 	defer answer.Close()
 	if q.ask.Chain != nil {
-		q.g.index.Sent(c.Replica.ID, q.ask.Capacity, q.ask.Chain, q.path.Name)
+		q.g.index.RecordSent(c.Replica.ID, q.ask.CapacityTokens, q.ask.Chain, q.path.Name)
 	}
 	l := listener{q: q, connection: connection, answer: answer, choice: c, end: end, at: at}
 	return l.listen()
@@ -111,7 +111,7 @@
 	id := c.Replica.ID
 	left := time.Until(q.deadline)
 	wait := min(left, max(placeAgain, time.Until(q.refuseAt())))
-	connection, err := q.g.pool(c.Replica, q.table).Get(q.path.Name, wait, !q.path.Repeatable(), q.r.Context().Done())
+	connection, err := q.g.pool(c.Replica, q.table).Get(q.path.Name, wait, !q.path.IsRetriable(), q.r.Context().Done())
 	if q.r.Context().Err() != nil {
 		if connection != nil {
 			connection.Release()
@@ -120,9 +120,9 @@
 		return nil, false
 	}
 	if err != nil {
-		q.ask.Not[id] = true
+		q.ask.Excluded[id] = true
 		if errkind.KindOf(err) == errkind.UpstreamFailure {
-			q.blame(id, outlier.Refused)
+			q.blame(id, outlier.ConnectionRefused)
 		} else {
 			q.g.long.short()
 		}
@@ -141,7 +141,7 @@
 		}
 		q.g.count.further.Inc()
 	}
-	if !q.g.yard.May(id) {
+	if !q.g.yard.Allowed(id) {
 		connection.Release()
 		return nil, true
 	}
@@ -156,7 +156,7 @@
 	head.Set(upstream.HeaderExpectedReplica, c.Replica.ID)
 	head.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 	if q.ask.Chain != nil {
-		head.Set(upstream.HeaderUrgency, strconv.Itoa(q.urgency(c.Alone)))
+		head.Set(upstream.HeaderUrgency, strconv.Itoa(q.urgency(c.UnloadedTTFT)))
 	}
 	if q.lastID >= 0 {
 		head.Set(upstream.HeaderLastEventID, strconv.FormatInt(q.lastID, 10))
@@ -172,7 +172,7 @@
 		Header:    head,
 		Body:      q.body,
 		AttemptID: q.id,
-		Events:    q.path.Kind == routing.Stream,
+		Events:    q.path.Kind == routing.Streaming,
 		NotAfter:  notAfter,
 		Deadline:  q.deadline,
 	}
@@ -181,7 +181,7 @@
 // sendFailed deals with a request that was not sent whole; true means that another replica may be tried.
 func (q *request) sendFailed(id string, c *upstream.Connection, state attempt.State, err error) bool {
 	if !errors.Is(err, upstream.ErrTooLate) && !errors.Is(err, upstream.ErrSameAttempt) {
-		q.ended(id, c, outlier.Reset, true)
+		q.ended(id, c, outlier.ConnectionReset, true)
 	}
 	if !state.MayHaveRun() {
 		return true
@@ -195,29 +195,29 @@
 	if q.long {
 		return urgencyLong
 	}
-	if alone > q.path.Aim {
+	if alone > q.path.LatencyTarget {
 		return urgencyLate
 	}
-	part := float64(alone) / float64(max(q.path.Aim, 1))
+	part := float64(alone) / float64(max(q.path.LatencyTarget, 1))
 	return min(urgencyLate-1, int(part*7))
 }
 
 // blame holds a failure against a replica; another one is tried next.
-func (q *request) blame(id string, k outlier.Kind) {
-	q.ask.Not[id] = true
+func (q *request) blame(id string, k outlier.FailureKind) {
+	q.ask.Excluded[id] = true
 	q.g.blame(id, k)
 }
 
 // ended notes that a connection failed. One that had been idle and is reset before any answer was most
 // likely forgotten: that says little, and the same replica may be tried again on another; after silence
 // the other idle connections are in doubt too.
-func (q *request) ended(id string, c *upstream.Connection, k outlier.Kind, reset bool) {
+func (q *request) ended(id string, c *upstream.Connection, k outlier.FailureKind, reset bool) {
 	if reset && c.WasStale() {
-		q.g.blame(id, outlier.Stale)
+		q.g.blame(id, outlier.StaleConnection)
 		return
 	}
 	q.blame(id, k)
-	if k == outlier.Silent {
+	if k == outlier.Timeout {
 		c.MarkUncertain()
 	}
 }
@@ -227,7 +227,7 @@
 // the last.
 func (q *request) again(why string) bool {
 	resumable := !q.began || q.lastID >= 0
-	if resumable && q.try.MayRetry(q.path.Repeatable(), q.path.Attempts) {
+	if resumable && q.try.MayRetry(q.path.IsRetriable(), q.path.MaxAttempts) {
 		return true
 	}
 	q.giveUp(errkind.UpstreamFailure, why)
@@ -236,13 +236,13 @@
 
 // patience is how long a replica may be silent before another one is tried; 0 if none may be.
 func (q *request) patience() time.Duration {
-	if !q.path.Repeatable() || q.try.Sends() >= q.path.Attempts {
+	if !q.path.IsRetriable() || q.try.Sends() >= q.path.MaxAttempts {
 		return 0
 	}
 	if q.began {
-		return time.Duration(float64(q.path.Gap) * silenceGaps)
+		return time.Duration(float64(q.path.EventGapTarget) * silenceGaps)
 	}
-	return time.Duration(float64(q.path.Aim) * silenceAims)
+	return time.Duration(float64(q.path.LatencyTarget) * silenceAims)
 }
 
 // listener takes the parts of one attempt's answer.
@@ -251,7 +251,7 @@
 	connection *upstream.Connection
 	answer     *upstream.Response
 	choice     placement.Choice
-	end        *placement.End
+	end        *placement.Attempt
 	at         time.Time // the attempt was sent
 	heard      time.Time // the newest part
 	head       upstream.Part
@@ -263,14 +263,14 @@
 	q, id := l.q, l.choice.Replica.ID
 	l.joined = !q.began // the first event of a run that goes on must follow the last
 	l.heard = l.at
-	due, known := q.g.yard.Health().Due(id, l.choice.Expect, q.path.Aim)
+	due, known := q.g.yard.Health().OverdueAfter(id, l.choice.PredictedTTFT, q.path.LatencyTarget)
 	for {
 		wait := time.Until(q.deadline)
 		if p := q.patience(); p > 0 {
 			wait = min(wait, p-time.Since(l.heard))
 		}
 		untilDue := due - time.Since(l.at)
-		watch := known && !l.end.First && !l.end.Overdue && untilDue < wait
+		watch := known && !l.end.FirstTokenSeen && !l.end.OverdueReported && untilDue < wait
 		if watch {
 			wait = untilDue
 		}
@@ -291,9 +291,9 @@
 		if !watch {
 			return l.silent()
 		}
-		l.end.Overdue = true // it is waited for still
-		if !q.g.yard.Queued(id) {
-			q.g.blame(id, outlier.Slow)
+		l.end.OverdueReported = true // it is waited for still
+		if !q.g.yard.IsQueued(id) {
+			q.g.blame(id, outlier.Overdue)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 		l.q.giveUp(errkind.DeadlineExceeded, "time ran out")
 		return false
 	}
-	l.q.ended(l.choice.Replica.ID, l.connection, outlier.Silent, false)
+	l.q.ended(l.choice.Replica.ID, l.connection, outlier.Timeout, false)
 	return l.q.again("silence")
 }
 
@@ -316,9 +316,9 @@
 		q.told(id, part.Header.Get(upstream.HeaderLoad))
 		l.head = *part
 	case upstream.PartEvent:
-		q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
+		q.g.yard.FirstToken(l.end, time.Since(l.at), l.choice.PredictedTTFT)
 		if !q.event(part, l.head.Header, &l.joined) {
-			q.blame(id, outlier.Cut)
+			q.blame(id, outlier.InvalidAnswer)
 			return q.again("events out of order"), true
 		}
 	case upstream.PartBody:
@@ -326,7 +326,7 @@
 	case upstream.PartEnd:
 		q.try.Advance(part.State)
 		if part.State == attempt.Answered && l.head.Status < http.StatusInternalServerError {
-			q.g.yard.Began(l.end, time.Since(l.at), l.choice.Expect)
+			q.g.yard.FirstToken(l.end, time.Since(l.at), l.choice.PredictedTTFT)
 		}
 		if part.State == attempt.NotExecuted {
 			return q.turnedAway(&l.head, id), true
@@ -344,10 +344,10 @@
 	id := l.choice.Replica.ID
 	switch {
 	case part.Reset:
-		l.q.ended(id, l.connection, outlier.Reset, true)
+		l.q.ended(id, l.connection, outlier.ConnectionReset, true)
 	case part.ConnectionLost:
-		l.q.ended(id, l.connection, outlier.Silent, false)
+		l.q.ended(id, l.connection, outlier.Timeout, false)
 	default:
-		l.q.blame(id, outlier.Cut)
+		l.q.blame(id, outlier.InvalidAnswer)
 	}
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -14,15 +14,15 @@
 
 // channels is this process's share of the connections that each replica of a service takes.
 func (g *Router) channels(s *routing.Pool, id string) int {
-	if s == nil || s.Channels <= 0 {
+	if s == nil || s.MaxConnections <= 0 {
 		return channelsGuess
 	}
 	v, n := g.book.View(), g.fleet()
-	if s.Channels >= n || len(v.Nodes) == 0 {
-		return s.Channels / n
+	if s.MaxConnections >= n || len(v.Nodes) == 0 {
+		return s.MaxConnections / n
 	}
 	// fewer connections than nodes: some nodes by rendezvous have one each, the others none
-	if rankOf(v.Nodes, id, g.env.Load().Port(portGate)) < s.Channels {
+	if rankOf(v.Nodes, id, g.env.Load().Port(portGate)) < s.MaxConnections {
 		return 1
 	}
 	return 0
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -23,7 +23,7 @@
 	if !due {
 		return nil
 	}
-	ws := g.yard.Health().Words(xxhash.Sum64String(g.env.Load().Port(portGate)), now)
+	ws := g.yard.Health().TakeReports(xxhash.Sum64String(g.env.Load().Port(portGate)), now)
 	if len(ws) == 0 {
 		return nil
 	}
@@ -32,9 +32,9 @@
 }
 
 // blame holds a failure against a replica, and tells of it at once if nothing was told for a beat.
-func (g *Router) blame(id string, k outlier.Kind) {
+func (g *Router) blame(id string, k outlier.FailureKind) {
 	now := time.Now()
-	g.yard.Health().Bad(id, k, now)
+	g.yard.Health().RecordFailure(id, k, now)
 	g.mu.Lock()
 	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval
 	g.mu.Unlock()
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -3,21 +3,21 @@
 import "shaletrestle/internal/metrics"
 
 // figures are what the state port tells under meter.Path.
-func (g *Router) figures() []metrics.Figure {
+func (g *Router) figures() []metrics.Sample {
 	v := g.book.View()
 	_, num := g.cursor.At()
 	runs, asked, hits := g.index.Stats()
-	count := func(name, help string, n int64) metrics.Figure {
-		return metrics.Figure{Name: "router_" + name, Help: help, Count: true, Value: float64(n)}
+	count := func(name, help string, n int64) metrics.Sample {
+		return metrics.Sample{Name: "router_" + name, Help: help, IsCounter: true, Value: float64(n)}
 	}
-	gauge := func(name, help string, x float64) metrics.Figure {
-		return metrics.Figure{Name: "router_" + name, Help: help, Value: x}
+	gauge := func(name, help string, x float64) metrics.Sample {
+		return metrics.Sample{Name: "router_" + name, Help: help, Value: x}
 	}
 	ready := 0.0
 	if g.ready.Load() && !g.leaving.Load() {
 		ready = 1
 	}
-	out := []metrics.Figure{
+	out := []metrics.Sample{
 		count("requests_total", "Requests read from clients.", g.count.inquiries.Load()),
 		count("refused_total", "Requests answered with a promise that nothing ran.", g.count.refused.Load()),
 		count("failed_total", "Requests that ended without a replica's whole answer and without such a promise.", g.count.failed.Load()),
@@ -36,7 +36,7 @@
 		gauge("suspected_nodes", "Watched nodes that do not answer.", float64(len(g.watcher.Suspected()))),
 	}
 	for pool := range g.table.Load().Pools {
-		out = append(out, metrics.Figure{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: g.budget.Remaining(pool, g.fleet()), Label: pool})
+		out = append(out, metrics.Sample{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: g.budget.Remaining(pool, g.fleet()), Service: pool})
 	}
 	return out
 }
--- a/internal/router/loadsum.go
+++ b/internal/router/loadsum.go
@@ -15,7 +15,7 @@
 	var last []loadsum.Load
 	var at time.Time
 	wait.Every(g.ctx, deckTell, func() bool {
-		now, ps := time.Now(), g.yard.Waiting()
+		now, ps := time.Now(), g.yard.PendingPrefill()
 		if slices.Equal(ps, last) && (len(ps) == 0 || now.Sub(at) < deckAgain) {
 			return true
 		}
@@ -28,6 +28,6 @@
 // hearDeck takes the fleet's sum.
 func (g *Router) hearDeck(n *rpc.Message) {
 	if n.Kind == rpc.LoadSums {
-		g.yard.Hear(loadsum.Decode(n.Body))
+		g.yard.UpdateFleetLoad(loadsum.Decode(n.Body))
 	}
 }
--- a/internal/router/longwork_neighbours.go
+++ b/internal/router/longwork_neighbours.go
@@ -89,7 +89,7 @@
 
 // reserveNeighbour chooses the node with most room that may have a request of a
 // path, and takes a place there; empty if there is none.
-func (l *longWork) reserveNeighbour(path *routing.Path) string {
+func (l *longWork) reserveNeighbour(path *routing.Route) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	env := l.gate.env.Load()
@@ -113,11 +113,11 @@
 }
 
 // mayHave tells whether a request of a path may go to the neighbour's zone.
-func (n neighbour) mayHave(env *settings.Settings, path *routing.Path) bool {
+func (n neighbour) mayHave(env *settings.Settings, path *routing.Route) bool {
 	if n.zone != env.Zone && !env.LongWork.OtherZones {
 		return false
 	}
-	return path.Regions == nil || path.Regions[env.Zones[n.zone]]
+	return path.AllowedRegions == nil || path.AllowedRegions[env.Zones[n.zone]]
 }
 
 // addRoom corrects a neighbour's room until it reports again; the caller holds
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -27,10 +27,10 @@
 	in, out := tokenCounts(q.r.Header.Get("Token-Counts"))
 	marks := handoff.Thresholds{Patient: settings.PatientTargets, Heavy: settings.HeavyTargets}
 	q.long = marks.IsLong(handoff.Demand{
-		Stream:       q.path.Kind == routing.Stream,
-		Aim:          q.path.Aim,
+		Stream:       q.path.Kind == routing.Streaming,
+		Aim:          q.path.LatencyTarget,
 		Timeout:      q.path.Timeout,
-		Gap:          q.path.Gap,
+		Gap:          q.path.EventGapTarget,
 		Stride:       engine.Stride,
 		PromptTokens: in,
 		OutputTokens: out,
@@ -149,7 +149,7 @@
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	deadline := work.now() + time.Until(q.deadline) - budgetReserve
-	job.number = work.owner.Take(deadline, q.path.Repeatable(), q.path.Attempts)
+	job.number = work.owner.Take(deadline, q.path.IsRetriable(), q.path.MaxAttempts)
 	work.inboxes[job.number] = job.inbox
 	work.counters.offered++
 	work.apply(work.owner.Offer(work.now(), job.number, node, body))
@@ -221,7 +221,7 @@
 		work.counters.lost++
 		work.log.Warn("a neighbour was lost, its job is placed anew", "node", j.node, "request", q.id)
 	}
-	q.try.AddRemote(q.path.Attempts-attemptsLeft-q.try.Sends(), lost)
+	q.try.AddRemote(q.path.MaxAttempts-attemptsLeft-q.try.Sends(), lost)
 	return true
 }
 
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -201,12 +201,12 @@
 // measure of how long prompt answers take in parts of their target latency.
 func (q *request) promptCame() {
 	work := q.g.long
-	if q.long || q.taken || q.path.Aim <= 0 || q.ask.Chain == nil || !work.enabled() {
+	if q.long || q.taken || q.path.LatencyTarget <= 0 || q.ask.Chain == nil || !work.enabled() {
 		return
 	}
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	queue := work.queue(q.ask.Pool)
-	queue.handoff.RecordPrompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.Aim))
+	queue.handoff.RecordPrompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.LatencyTarget))
 	work.admit(queue)
 }
--- a/internal/router/longwork_taken.go
+++ b/internal/router/longwork_taken.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	limited := *path
-	limited.Attempts = min(limited.Attempts, message.Attempts)
+	limited.MaxAttempts = min(limited.MaxAttempts, message.Attempts)
 	q.path = &limited
 	q.arrived = offered
 	q.taken = true
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -33,16 +33,16 @@
 			h.neighbours = map[string]neighbour{"near": {1, "a", time.Now()}, "far": {3, "b", time.Now()}, "full": {0, "a", time.Now()}}
 		}
 		fill()
-		require.Equal(t, "near", h.reserveNeighbour(&routing.Path{}))
-		require.Empty(t, h.reserveNeighbour(&routing.Path{}), "its room is used up until it speaks again")
+		require.Equal(t, "near", h.reserveNeighbour(&routing.Route{}))
+		require.Empty(t, h.reserveNeighbour(&routing.Route{}), "its room is used up until it speaks again")
 		e.LongWork.OtherZones = true
 		fill()
-		require.Equal(t, "far", h.reserveNeighbour(&routing.Path{}))
-		require.Equal(t, "near", h.reserveNeighbour(&routing.Path{Regions: map[string]bool{"east": true}}), "a body stays in the route's regions")
-		require.Empty(t, h.reserveNeighbour(&routing.Path{Regions: map[string]bool{"north": true}}))
+		require.Equal(t, "far", h.reserveNeighbour(&routing.Route{}))
+		require.Equal(t, "near", h.reserveNeighbour(&routing.Route{AllowedRegions: map[string]bool{"east": true}}), "a body stays in the route's regions")
+		require.Empty(t, h.reserveNeighbour(&routing.Route{AllowedRegions: map[string]bool{"north": true}}))
 		fill()
 		<-time.After(longKnown + 1)
-		require.Empty(t, h.reserveNeighbour(&routing.Path{}), "what is not heard of any more has no room")
+		require.Empty(t, h.reserveNeighbour(&routing.Route{}), "what is not heard of any more has no room")
 	})
 }
 
@@ -96,7 +96,7 @@
 			w := newWorld(t, worldBudget, stepOK)
 			defer w.end()
 			h := w.g.long
-			q := &request{g: w.g, path: &routing.Path{Attempts: 3}}
+			q := &request{g: w.g, path: &routing.Route{MaxAttempts: 3}}
 			in := make(chan handoff.Effect, 4)
 			job := h.owner.Take(h.now()+durations.FromSeconds(1), true, 3)
 			h.inboxes[job] = in
@@ -131,7 +131,7 @@
 				x.handoff.Join(0, false)
 			}
 			w := httptest.NewRecorder()
-			q := &request{g: h.gate, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), ask: &placement.Request{Pool: "p"}, path: &routing.Path{Aim: durations.FromSeconds(1)},
+			q := &request{g: h.gate, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), ask: &placement.Request{Pool: "p"}, path: &routing.Route{LatencyTarget: durations.FromSeconds(1)},
 				arrived: time.Now(), deadline: time.Now().Add(durations.FromSeconds(9)), taken: taken, long: true}
 			var pumps sync.WaitGroup
 			defer pumps.Wait()
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -23,7 +23,7 @@
 		"ready":         g.ready.Load(),
 		"leaving":       g.leaving.Load(),
 		"news":          g.newsSection(),
-		"setup":         map[string]any{"revision": v.Config.Revision, "routes": g.table.Load().Paths},
+		"setup":         map[string]any{"revision": v.Config.Revision, "routes": g.table.Load().RouteCount},
 		"evacuated":     v.Evacuated,
 		"fleet":         v.FleetSize,
 		"inflight":      g.inflight.Load(),
@@ -63,5 +63,5 @@
 
 func (g *Router) indexSection() map[string]any {
 	runs, asked, hits := g.index.Stats()
-	return map[string]any{"runs": runs, "asked": asked, "hits": hits, "portions": g.index.Portions()}
+	return map[string]any{"runs": runs, "asked": asked, "hits": hits, "portions": g.index.OwnerShares()}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -33,7 +33,7 @@
 	r        *http.Request
 	rc       *http.ResponseController
 	table    *routing.Table
-	path     *routing.Path
+	path     *routing.Route
 	pool     *routing.Pool
 	id       string
 	arrived  time.Time
@@ -109,7 +109,7 @@
 		httpreply.Error(q.w, errkind.New(errkind.InvalidInput, "both a length and chunks"))
 		return false
 	}
-	if limit := q.table.Limits.Head; limit > 0 && headSize(q.r) > limit {
+	if limit := q.table.Limits.MaxHeaderBytes; limit > 0 && headSize(q.r) > limit {
 		q.w.Header().Set("Connection", "close")
 		httpreply.Error(q.w, errkind.New(errkind.HeaderTooLarge, "head over the limit"))
 		return false
@@ -142,25 +142,25 @@
 }
 
 // do is the interpreter: one step of a path; false ends it.
-func (q *request) do(op routing.Op) bool {
+func (q *request) do(op routing.Step) bool {
 	switch op {
-	case routing.TakeBody:
+	case routing.ReadBody:
 		return q.takeBody()
-	case routing.SetClock:
+	case routing.SetDeadline:
 		return q.setClock()
-	case routing.Split:
+	case routing.ChooseBackend:
 		return q.split()
-	case routing.Fence:
-		q.ask.Regions = func(zone string) bool { return q.path.Regions[q.g.env.Load().Zones[zone]] }
+	case routing.RestrictRegions:
+		q.ask.AllowsZone = func(zone string) bool { return q.path.AllowedRegions[q.g.env.Load().Zones[zone]] }
 		return true
-	case routing.Whole, routing.Events:
+	case routing.RelayComplete, routing.RelayEvents:
 		q.send()
 	}
 	return false
 }
 
 func (q *request) takeBody() bool {
-	most := q.table.Limits.Body
+	most := q.table.Limits.MaxBodyBytes
 	if most <= 0 {
 		most = adminapi.MaxConfigurationBytes
 	}
@@ -239,13 +239,13 @@
 func (q *request) split() bool {
 	parts := prefixindex.ParseParts(q.r.Header.Get("Prompt-Prefix"))
 	key := q.id
-	if q.path.Sticky && len(parts) > 0 {
+	if q.path.SessionAffinity && len(parts) > 0 {
 		key = ""
 		for _, p := range parts[:max(1, len(parts)-1)] {
 			key += strconv.FormatUint(p.ID, 16) + ","
 		}
 	}
-	name := q.path.Choose(key)
+	name := q.path.ChooseService(key)
 	q.pool = q.table.Pools[name]
 	if q.pool == nil {
 		q.refuse(errkind.Unavailable)
@@ -253,11 +253,11 @@
 	}
 	q.head = passOn(q.r.Header)
 	q.ask = &placement.Request{
-		Pool:     name,
-		Locality: q.g.env.Load().Zone,
-		Not:      map[string]bool{},
-		Bold:     q.path.Repeatable() && q.path.Attempts > 1,
-		ColdRate: func(id string) float64 { return q.g.cold.Load().rate(q.pool.ColdPerS, id) },
+		Pool:       name,
+		Zone:       q.g.env.Load().Zone,
+		Excluded:   map[string]bool{},
+		Retriable:  q.path.IsRetriable() && q.path.MaxAttempts > 1,
+		WarmupRate: func(id string) float64 { return q.g.cold.Load().rate(q.pool.WarmupPerSecond, id) },
 	}
 	q.askEngine(parts)
 	if !q.taken {
@@ -278,10 +278,10 @@
 		parts = []prefixindex.Part{{ID: uint64(q.arrived.UnixNano()), Tokens: in}}
 	}
 	weights := q.g.weights.Load().of(q.pool.Name, model)
-	q.ask.Chain = prefixindex.NewChain(prefixindex.Root(model, weights), parts)
-	q.ask.Capacity = int(e.Tokens)
-	q.ask.OutMost = out
-	q.ask.Aim = q.path.Aim
+	q.ask.Chain = prefixindex.NewChain(prefixindex.RootKey(model, weights), parts)
+	q.ask.CapacityTokens = int(e.KVCapacityTokens)
+	q.ask.MaxOutputTokens = out
+	q.ask.LatencyTarget = q.path.LatencyTarget
 }
 
 func tokenCounts(s string) (in, out int) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -99,8 +99,8 @@
 		bad:       map[string]time.Time{},
 	}
 	g.env.Store(env)
-	g.yard = placement.NewYard(g.index)
-	g.yard.Use(env.Placement)
+	g.yard = placement.NewPlacer(g.index)
+	g.yard.Configure(env.Placement)
 	bounds := env.Bounds
 	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), fairshare.BudgetMargin)
 	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemory)
@@ -191,12 +191,12 @@
 // Reload takes new settings.
 func (g *Router) Reload(e *settings.Settings) {
 	g.env.Store(e)
-	g.yard.Use(e.Placement)
+	g.yard.Configure(e.Placement)
 	g.cold.Store(newColdShares(g.book.View().Nodes, e.Port(portGate)))
 }
 
 // MaySend tells whether a replica may be sent to, as this process knows it now.
-func (g *Router) MaySend(replica string) bool { return g.yard.May(replica) }
+func (g *Router) MaySend(replica string) bool { return g.yard.Allowed(replica) }
 
 // InForce tells which configuration and which evacuations are in force here.
 func (g *Router) InForce() (revision int64, evacuated map[string]bool) {
@@ -205,4 +205,4 @@
 }
 
 // Health tells what is held against replicas here.
-func (g *Router) Health() map[string]outlier.Stat { return g.yard.Health().Stats(time.Now()) }
+func (g *Router) Health() map[string]outlier.ReplicaStats { return g.yard.Health().Stats(time.Now()) }
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -75,15 +75,15 @@
 	require.Equal(t, 20*coldMargin/2, g.cold.Load().rate(20, "r"))
 	fold(&state.Event{Kind: state.List, Replicas: []*state.Replica{{ID: "r", Pool: "p", State: "ready", Models: []state.Model{{Name: "m", Revision: 4}}}}})
 	require.Equal(t, int64(4), g.weights.Load().of("p", "m"))
-	require.True(t, g.yard.May("r"))
+	require.True(t, g.yard.Allowed("r"))
 	require.Equal(t, 20*coldMargin/2, g.cold.Load().rate(20, "r"), "a list leaves the shares")
 	fold(&state.Event{Kind: state.Fleet, Size: 1, Nodes: []string{"10.0.0.2:702"}})
 	require.Zero(t, g.cold.Load().rate(20, "r"))
-	require.True(t, g.yard.May("r"), "a change of the fleet leaves the replicas")
+	require.True(t, g.yard.Allowed("r"), "a change of the fleet leaves the replicas")
 	fold(&state.Event{Kind: state.Evacuate, Zone: ""})
-	require.False(t, g.yard.May("r"))
+	require.False(t, g.yard.Allowed("r"))
 	o := *e
-	o.IP, o.Placement.PrefillScale = "10.0.0.2", 7
+	o.IP, o.Placement.PrefillLoadScale = "10.0.0.2", 7
 	g.Reload(&o)
 	require.Equal(t, 20*coldMargin, g.cold.Load().rate(20, "r"))
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -13,7 +13,7 @@
 // changed brings everything that is derived up to date with a new view.
 func (g *Router) changed(old, v *state.View, e *state.Event) {
 	if e != nil && e.Kind == state.Health {
-		g.yard.Health().Suspected(e.Suspects, time.Now())
+		g.yard.Health().SetSuspects(e.Suspects, time.Now())
 		return
 	}
 	if old.Config != v.Config {
@@ -48,7 +48,7 @@
 // useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their answers.
 func (g *Router) useReplicas(v *state.View) {
 	back := durations.FromMilliseconds(g.env.Load().Cloud.MaxLagMs) + 2*discovery.ListInterval
-	g.yard.Set(v.Replicas, v.Evacuated, back)
+	g.yard.SetReplicas(v.Replicas, v.Evacuated, back)
 	g.weights.Store(newWeights(v.Replicas))
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/routing/compile.go
+++ b/internal/routing/compile.go
@@ -13,31 +13,31 @@
 // Compile makes the table of a configuration.
 func Compile(doc *config.Document) *Table {
 	table := &Table{
-		Epoch: doc.Revision,
-		hosts: compileHosts(doc.Parsed.RouteTable),
-		Pools: map[string]*Pool{},
-		Paths: len(doc.Parsed.RouteTable),
+		Revision:   doc.Revision,
+		hosts:      compileHosts(doc.Parsed.RouteTable),
+		Pools:      map[string]*Pool{},
+		RouteCount: len(doc.Parsed.RouteTable),
 	}
 	for _, service := range doc.Parsed.BackendPools {
 		table.Pools[service.Name] = compilePool(service)
 	}
 	if limits := doc.Parsed.Limits; limits != nil {
 		table.Limits = Limits{
-			Head:     int(limits.MaxHeaderBytes),
-			Body:     int64(limits.MaxBodyBytes),
-			HeadWait: durations.FromMilliseconds(limits.HeaderTimeoutMs),
-			IdleWait: durations.FromMilliseconds(limits.IdleTimeoutMs),
+			MaxHeaderBytes: int(limits.MaxHeaderBytes),
+			MaxBodyBytes:   int64(limits.MaxBodyBytes),
+			HeaderTimeout:  durations.FromMilliseconds(limits.HeaderTimeoutMs),
+			IdleTimeout:    durations.FromMilliseconds(limits.IdleTimeoutMs),
 		}
 	}
 	return table
 }
 
 // compileHosts groups the paths by host, the longest prefix first.
-func compileHosts(routes []*configpb.Route) map[string][]*Path {
-	hosts := map[string][]*Path{}
+func compileHosts(routes []*configpb.Route) map[string][]*Route {
+	hosts := map[string][]*Route{}
 	for _, route := range routes {
 		host := strings.ToLower(route.Hostname)
-		hosts[host] = append(hosts[host], compilePath(route))
+		hosts[host] = append(hosts[host], compileRoute(route))
 	}
 	for _, paths := range hosts {
 		sort.SliceStable(paths, func(i, j int) bool {
@@ -49,12 +49,12 @@
 
 func compilePool(service *configpb.Service) *Pool {
 	return &Pool{
-		Name:     service.Name,
-		Health:   service.HealthCheckPath,
-		Channels: int(service.MaxConnections),
-		ColdPerS: service.WarmupPerS,
-		ColdS:    service.WarmupS,
-		Engine:   compileEngine(service.Engine),
+		Name:            service.Name,
+		HealthCheckPath: service.HealthCheckPath,
+		MaxConnections:  int(service.MaxConnections),
+		WarmupPerSecond: service.WarmupPerS,
+		WarmupSeconds:   service.WarmupS,
+		Engine:          compileEngine(service.Engine),
 	}
 }
 
@@ -63,11 +63,11 @@
 		return nil
 	}
 	compiled := &Engine{
-		Slots:      engine.Slots,
-		Tokens:     engine.KvCapacityTokens,
-		TokenBytes: engine.KvTokenBytes,
-		LinkMbps:   engine.LinkMbps,
-		Stride:     engine.Stride,
+		Slots:            engine.Slots,
+		KVCapacityTokens: engine.KvCapacityTokens,
+		KVTokenBytes:     engine.KvTokenBytes,
+		LinkMbps:         engine.LinkMbps,
+		Stride:           engine.Stride,
 	}
 	for _, model := range engine.Models {
 		compiled.Models = append(compiled.Models, model.Name)
@@ -75,20 +75,20 @@
 	return compiled
 }
 
-func compilePath(route *configpb.Route) *Path {
-	path := &Path{
-		Name:     route.Name,
-		Prefix:   route.PathPrefix,
-		Kind:     kindOf(route),
-		Parts:    compileParts(route),
-		Timeout:  durations.FromMilliseconds(route.TimeoutMs),
-		Aim:      durations.FromMilliseconds(route.TargetLatencyMs),
-		Gap:      durations.FromMilliseconds(route.TargetGapMs),
-		Priority: int(route.Priority),
-		Attempts: max(1, int(route.MaxAttempts)),
-		Sticky:   route.SessionAffinity,
-		Resume:   route.StreamResume,
-		Regions:  compileRegions(route.AllowedRegions),
+func compileRoute(route *configpb.Route) *Route {
+	path := &Route{
+		Name:            route.Name,
+		Prefix:          route.PathPrefix,
+		Kind:            kindOf(route),
+		Backends:        compileBackends(route),
+		Timeout:         durations.FromMilliseconds(route.TimeoutMs),
+		LatencyTarget:   durations.FromMilliseconds(route.TargetLatencyMs),
+		EventGapTarget:  durations.FromMilliseconds(route.TargetGapMs),
+		Priority:        int(route.Priority),
+		MaxAttempts:     max(1, int(route.MaxAttempts)),
+		SessionAffinity: route.SessionAffinity,
+		Resumable:       route.StreamResume,
+		AllowedRegions:  compileRegions(route.AllowedRegions),
 	}
 	path.Steps = stepsOf(path)
 	return path
@@ -97,40 +97,40 @@
 func kindOf(route *configpb.Route) Kind {
 	switch route.RouteType {
 	case "idempotent":
-		return Repeat
+		return Idempotent
 	case "streaming":
-		return Stream
+		return Streaming
 	}
-	return Once
+	return AtMostOnce
 }
 
 // stepsOf lists the steps of a path whose other fields are set.
-func stepsOf(path *Path) []Op {
-	steps := []Op{TakeBody, SetClock, Split}
-	if path.Regions != nil {
-		steps = append(steps, Fence)
+func stepsOf(path *Route) []Step {
+	steps := []Step{ReadBody, SetDeadline, ChooseBackend}
+	if path.AllowedRegions != nil {
+		steps = append(steps, RestrictRegions)
 	}
-	if path.Kind == Stream {
-		return append(steps, Events)
+	if path.Kind == Streaming {
+		return append(steps, RelayEvents)
 	}
-	return append(steps, Whole)
+	return append(steps, RelayComplete)
 }
 
 // compileParts cumulates the weights of a path's services.
-func compileParts(route *configpb.Route) []Part {
+func compileBackends(route *configpb.Route) []Backend {
 	if len(route.WeightedBackends) == 0 {
-		return []Part{{Pool: route.BackendPool, Upto: 1}}
+		return []Backend{{Pool: route.BackendPool, CumulativeShare: 1}}
 	}
 	sum := 0.0
 	for _, backend := range route.WeightedBackends {
 		sum += backend.Weight
 	}
-	var parts []Part
+	var parts []Backend
 	upto := 0.0
 	for _, backend := range route.WeightedBackends {
 		if backend.Weight > 0 {
 			upto += backend.Weight / sum
-			parts = append(parts, Part{Pool: backend.BackendPool, Upto: upto})
+			parts = append(parts, Backend{Pool: backend.BackendPool, CumulativeShare: upto})
 		}
 	}
 	return parts
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -9,45 +9,45 @@
 
 // Pool is one compiled service.
 type Pool struct {
-	Name     string
-	Health   string  // path of the health check
-	Channels int     // connections at most
-	ColdPerS float64 // requests a second that a replica takes while it warms up
-	ColdS    float64 // seconds that a replica warms up
-	Engine   *Engine // nil: its replicas run no model
+	Name            string
+	HealthCheckPath string  // path of the health check
+	MaxConnections  int     // connections at most
+	WarmupPerSecond float64 // requests a second that a replica takes while it warms up
+	WarmupSeconds   float64 // seconds that a replica warms up
+	Engine          *Engine // nil: its replicas run no model
 }
 
 // Engine describes the memory of a model replica.
 type Engine struct {
-	Slots      float64
-	Tokens     float64
-	TokenBytes float64
-	LinkMbps   float64
-	Stride     float64
-	Models     []string
+	Slots            float64
+	KVCapacityTokens float64
+	KVTokenBytes     float64
+	LinkMbps         float64
+	Stride           float64
+	Models           []string
 }
 
 // Limits bound what a client may send.
 type Limits struct {
-	Head     int   // bytes
-	Body     int64 // bytes
-	HeadWait time.Duration
-	IdleWait time.Duration
+	MaxHeaderBytes int   // bytes
+	MaxBodyBytes   int64 // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Table holds what was compiled from one revision of the configuration. It is
 // never changed after it was made.
 type Table struct {
-	Epoch  int64              // the configuration's revision
-	hosts  map[string][]*Path // by lower-case host, longest prefix first
-	Pools  map[string]*Pool
-	Limits Limits
-	Paths  int // routes in the configuration
+	Revision   int64               // the configuration's revision
+	hosts      map[string][]*Route // by lower-case host, longest prefix first
+	Pools      map[string]*Pool
+	Limits     Limits
+	RouteCount int // routes in the configuration
 }
 
 // Match finds the path with the longest prefix for a host and a raw target, nil
 // if there is none.
-func (t *Table) Match(host, target string) *Path {
+func (t *Table) Match(host, target string) *Route {
 	host = withoutPort(host)
 	if i := strings.IndexAny(target, "?#"); i >= 0 {
 		target = target[:i]
--- a/internal/routing/table_bench_test.go
+++ b/internal/routing/table_bench_test.go
@@ -34,6 +34,6 @@
 	path := benchmarkTable(b).Match("h.x", "/p0050/")
 	b.ReportAllocs()
 	for b.Loop() {
-		path.Choose("session-17")
+		path.ChooseService("session-17")
 	}
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -35,15 +35,15 @@
 	n := map[string]int{}
 	for i := range 10000 {
 		k := fmt.Sprint("key", i)
-		n[p.Choose(k)]++
-		require.Equal(t, p.Choose(k), p.Choose(k))
+		n[p.ChooseService(k)]++
+		require.Equal(t, p.ChooseService(k), p.ChooseService(k))
 	}
 	require.InDelta(t, 1000, n["u"], 150)
 }
 
 func TestStepsOfAPath(t *testing.T) {
 	p := table(t, `{"name":"a","hostname":"h","path_prefix":"/","route_type":"streaming","stream_resume":true,"allowed_regions":["r"],"timeout_ms":1,"backend_pool":"s"}`).Match("h", "/")
-	require.Equal(t, []Op{TakeBody, SetClock, Split, Fence, Events}, p.Steps)
-	require.True(t, p.Repeatable())
-	require.Equal(t, 1, p.Attempts)
+	require.Equal(t, []Step{ReadBody, SetDeadline, ChooseBackend, RestrictRegions, RelayEvents}, p.Steps)
+	require.True(t, p.IsRetriable())
+	require.Equal(t, 1, p.MaxAttempts)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,7 +40,7 @@
 	e, err = Parse([]byte(good+"placement: {prefill_load_scale: 3, count_active: false}\n"), Need{})
 	require.NoError(t, err)
 	want := placement.Defaults()
-	want.PrefillScale, want.Active = 3, false
+	want.PrefillLoadScale, want.CountActive = 3, false
 	require.Equal(t, want, e.Placement)
 }
 
