--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -111,12 +111,17 @@
 			body := strings.Repeat("x", 2000) // at 250 a second half of the link's rate
 			pushing, stopPushing := context.WithCancel(ctx)
 			go wait.Every(pushing, 4*time.Millisecond, func() bool { push(body); return true })
-			go NewFollower(ctx, l, c, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+			go NewFollower(FollowerOptions{
+				Net:        l,
+				Sink:       c,
+				Self:       rpc.Member{ID: 1},
+				NextSource: func(string) string { return "x" },
+			}).Run(ctx)
 			start := time.Now()
 			for time.Since(start) < 20*time.Second {
-				_, at := f.At()
-				_, have := c.At()
-				if have >= uint64(missed) && at-have < newsWindow {
+				at := f.Position().Number
+				have := c.Position().Number
+				if have >= uint64(missed) && at-have < ackWindow {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -124,14 +129,14 @@
 			t.Logf("%d changes missed: caught up after %v", missed, time.Since(start))
 			require.Less(t, time.Since(start), 20*time.Second)
 			time.Sleep(3 * time.Second)
-			_, at := f.At()
-			_, have := c.At()
-			require.Less(t, at-have, uint64(2*newsWindow), "it stays near while changes go on")
+			at := f.Position().Number
+			have := c.Position().Number
+			require.Less(t, at-have, uint64(2*ackWindow), "it stays near while changes go on")
 			stopPushing()
 			time.Sleep(5 * time.Second)
 			require.Equal(t, string(b.Snapshot()), string(got.Snapshot()))
 			require.Equal(t, 1, l.dials, "one connection did it all")
-			require.LessOrEqual(t, len(f.kept), newsKeep, "what is kept is bounded")
+			require.LessOrEqual(t, len(f.kept), keepChanges, "what is kept is bounded")
 		})
 	}
 }
@@ -150,7 +155,12 @@
 		start := time.Now()
 		for i := range cursors {
 			cursors[i] = NewCursor(&words{})
-			go NewFollower(ctx, l, cursors[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil).Run()
+			go NewFollower(FollowerOptions{
+				Net:        l,
+				Sink:       cursors[i],
+				Self:       rpc.Member{ID: uint64(i + 1)},
+				NextSource: func(string) string { return "x" },
+			}).Run(ctx)
 		}
 		most := 0
 		for f.Acked() == 0 && time.Since(start) < time.Minute {
@@ -170,7 +180,7 @@
 		require.LessOrEqual(t, b.made, 2, "encoded once a state, for all")
 		require.Equal(t, many, l.dials, "nobody gave up")
 		for _, c := range cursors {
-			_, at := c.At()
+			at := c.Position().Number
 			require.Equal(t, uint64(1), at)
 		}
 	})
--- a/coord/distribution/compatibility_test.go
+++ b/coord/distribution/compatibility_test.go
@@ -15,8 +15,8 @@
 	recording := recordedtest.Open(t, "testdata/messages.txt")
 	at := Position{Epoch: 0x2001, Number: 0x2002}
 	self := rpc.Member{ID: 0x2003, Address: "10.0.0.1:7720", Zone: "zone-1"}
-	listed := ackMessage(self, 0x2001, 0x2004, 0x2002)
-	listed.Text, listed.Body = seatsListed, []byte("carried")
+	listed := ackMessage(self, Position{0x2001, 0x2004}, 0x2002)
+	listed.Text, listed.Body = followersListed, []byte("carried")
 	listed.Members = []rpc.Member{{ID: 0x2005, Address: "10.0.0.2:7720", Zone: "zone-2"}}
 	for name, message := range map[string]*rpc.Message{
 		"change":             changeMessage(at, []byte("change")),
@@ -25,9 +25,9 @@
 		"heartbeat":          stateMessage(formHeartbeat, at, true),
 		"heartbeat-refused":  stateMessage(formHeartbeat, at, false),
 		"wait":               stateMessage(formWait, at, true),
-		"follow-relay":       followMessage(self, at, roleRelay),
-		"follow-end":         followMessage(self, at, roleEnd),
-		"ack":                ackMessage(self, 0x2001, 0x2004, 0x2002),
+		"follow-relay":       subscribeMessage(self, at, roleRelay),
+		"follow-end":         subscribeMessage(self, at, roleEnd),
+		"ack":                ackMessage(self, Position{0x2001, 0x2004}, 0x2002),
 		"ack-listed":         listed,
 	} {
 		got, err := rpc.Decode(recording.Same(name, message.Encode()))
@@ -43,7 +43,7 @@
 	at := Position{Epoch: 0x2001, Number: 1}
 	next := Position{Epoch: 0x2001, Number: 2}
 	cursor := NewCursor(&recordedState{})
-	follower := &Follower{sink: cursor}
+	follower := NewFollower(FollowerOptions{Sink: cursor})
 	for _, x := range []struct {
 		name    string
 		message *rpc.Message
@@ -61,7 +61,7 @@
 	} {
 		message, err := rpc.Decode(recording.Same(x.name, x.message.Encode()))
 		require.NoError(t, err, x.name)
-		require.Equal(t, x.taken, follower.take(message), x.name)
+		require.Equal(t, x.taken, follower.apply(message), x.name)
 		require.Equal(t, x.state, cursor.board.(*recordedState).text, x.name)
 	}
 	require.Equal(t, next, cursor.ResumeFrom())
--- a/coord/distribution/constants.go
+++ b/coord/distribution/constants.go
@@ -10,11 +10,11 @@
 // News to the routers.
 const (
 	lookAgain       = 40 * time.Millisecond   // a follower without anybody to follow looks again
-	newsLost        = 1300 * time.Millisecond // three beats: the channel counts as dead
+	updateTimeout   = 1300 * time.Millisecond // three beats: the channel counts as dead
 	relayStale      = 1200 * time.Millisecond // a relay without its primary this long says so
-	newsWindow      = 64                      // changes sent to a follower that it has not acknowledged: a fraction of OutboxLen
+	ackWindow       = 64                      // changes sent to a follower that it has not acknowledged: a fraction of OutboxLen
 	snapshotsAtOnce = 4                       // snapshots that one process sends at a time: a few hundred kilobytes each, a link carries 8 MB/s
-	newsKeep        = 512                     // deltas kept for those that come back
+	keepChanges     = 512                     // deltas kept for those that come back
 )
 
 const (
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -58,11 +58,11 @@
 	c.mu.Unlock()
 }
 
-// At tells the epoch and the newest number taken.
-func (c *Cursor) At() (epoch, number uint64) {
+// Position is that of the newest update taken, the zero Position if none was.
+func (c *Cursor) Position() Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.progress.at.Epoch, c.progress.at.Number
+	return c.progress.at
 }
 
 // ResumeFrom is the position to ask a source for.
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -84,7 +84,12 @@
 		p := &pipes{ctx: ctx, feed: f}
 		got := &words{}
 		c := NewCursor(got)
-		go NewFollower(ctx, p, c, rpc.Member{ID: 1, Address: "n1"}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       c,
+			Self:       rpc.Member{ID: 1, Address: "n1"},
+			NextSource: func(string) string { return "x" },
+		}).Run(ctx)
 		push := begin(f, 1)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, "old", string(got.Snapshot()))
@@ -108,9 +113,7 @@
 		push = begin(f, 2)
 		push("+d")
 		time.Sleep(100 * time.Millisecond)
-		ep, num := c.At()
-		require.Equal(t, uint64(2), ep)
-		require.Equal(t, uint64(1), num)
+		require.Equal(t, Position{Epoch: 2, Number: 1}, c.Position())
 		require.Error(t, c.Restore(Position{1, 9}, []byte("stale"), true), "an older life is refused")
 		require.False(t, c.Apply(Position{2, 7}, []byte("gap")))
 		require.True(t, c.Apply(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
@@ -165,10 +168,16 @@
 	p.feeds = map[string]*Feed{"source": src}
 	for i := range relays {
 		var fo *Follower
-		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { fo.ReportProgress() })
+		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(Position) { fo.ReportProgress() })
 		p.feeds[fmt.Sprint("relay", i)] = f
-		fo = NewFollower(p.ctx, p, f, rpc.Member{ID: uint64(i) + 1000}, true, func(string) string { return "source" }, f.EndFollowers)
-		go fo.Run()
+		fo = NewFollower(FollowerOptions{
+			Net:          p,
+			Sink:         f,
+			Self:         rpc.Member{ID: uint64(i) + 1000},
+			NextSource:   func(string) string { return "source" },
+			EndFollowers: f.EndFollowers,
+		})
+		go fo.Run(p.ctx)
 	}
 	push = begin(src, 1)
 	lives = map[uint64]context.CancelFunc{}
@@ -181,7 +190,12 @@
 func (p *tree) end(lives map[uint64]context.CancelFunc, id uint64, at string) {
 	ctx, cancel := context.WithCancel(p.ctx)
 	lives[id] = cancel
-	go NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: id, Address: fmt.Sprint("n", id)}, false, func(string) string { return at }, nil).Run()
+	go NewFollower(FollowerOptions{
+		Net:        p,
+		Sink:       NewCursor(&words{}),
+		Self:       rpc.Member{ID: id, Address: fmt.Sprint("n", id)},
+		NextSource: func(string) string { return at },
+	}).Run(ctx)
 }
 
 func TestReachedStaysRightThroughLosses(t *testing.T) {
@@ -213,7 +227,7 @@
 					}
 					time.Sleep(time.Duration(r.IntN(300)) * time.Millisecond)
 				}
-				time.Sleep(3 * newsLost)
+				time.Sleep(3 * updateTimeout)
 				got := map[uint64]bool{}
 				for _, s := range src.EndFollowers() {
 					require.False(t, got[s.ID], "%d is listed twice", s.ID)
@@ -299,13 +313,18 @@
 		begin(f, 1)
 		p := &pipes{ctx: ctx, feed: f}
 		var tried []string
-		fo := NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: 1}, false, func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) }, nil)
-		go fo.Run()
+		fo := NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       NewCursor(&words{}),
+			Self:       rpc.Member{ID: 1},
+			NextSource: func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) },
+		})
+		go fo.Run(ctx)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		require.Len(t, tried, 1)
 		f.End() // a relay that hears nothing says so after a while
-		time.Sleep(relayStale + newsLost)
+		time.Sleep(relayStale + updateTimeout)
 		synctest.Wait()
 		require.Greater(t, len(tried), 1)
 		require.True(t, strings.HasPrefix(tried[1], "at1"))
@@ -340,14 +359,25 @@
 		push := begin(src, 1)
 		up := &pipes{ctx: ctx, feed: src}
 		var relay *Follower
-		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(uint64, uint64) { relay.ReportProgress() })
-		relay = NewFollower(ctx, up, mid, rpc.Member{ID: 1, Address: "relay"}, true, func(string) string { return "src" }, mid.EndFollowers)
-		go relay.Run()
+		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(Position) { relay.ReportProgress() })
+		relay = NewFollower(FollowerOptions{
+			Net:          up,
+			Sink:         mid,
+			Self:         rpc.Member{ID: 1, Address: "relay"},
+			NextSource:   func(string) string { return "src" },
+			EndFollowers: mid.EndFollowers,
+		})
+		go relay.Run(ctx)
 		time.Sleep(time.Second)
 		const many = 30
 		for i := range many {
 			p := &pipes{ctx: ctx, feed: mid}
-			go NewFollower(ctx, p, NewCursor(&words{}), rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)}, false, func(string) string { return "mid" }, nil).Run()
+			go NewFollower(FollowerOptions{
+				Net:        p,
+				Sink:       NewCursor(&words{}),
+				Self:       rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)},
+				NextSource: func(string) string { return "mid" },
+			}).Run(ctx)
 		}
 		time.Sleep(5 * time.Second)
 		require.Len(t, src.EndFollowers(), many)
@@ -391,20 +421,25 @@
 		cs := make([]*Cursor, 5)
 		for i := range cs {
 			cs[i] = NewCursor(&words{})
-			fo := NewFollower(ctx, p, cs[i], rpc.Member{ID: uint64(i + 1)}, false, func(string) string { return "x" }, nil)
-			fo.Others(func(n *rpc.Message) {
-				if n.Kind == rpc.LoadSums && string(n.Body) == "sum" {
-					got.Add(1)
-				}
+			fo := NewFollower(FollowerOptions{
+				Net:        p,
+				Sink:       cs[i],
+				Self:       rpc.Member{ID: uint64(i + 1)},
+				NextSource: func(string) string { return "x" },
+				OnMessage: func(n *rpc.Message) {
+					if n.Kind == rpc.LoadSums && string(n.Body) == "sum" {
+						got.Add(1)
+					}
+				},
 			})
-			go fo.Run()
+			go fo.Run(ctx)
 		}
 		time.Sleep(HeartbeatInterval)
 		f.Broadcast(&rpc.Message{Kind: rpc.LoadSums, Body: []byte("sum")})
 		time.Sleep(HeartbeatInterval / 2)
 		require.Equal(t, int64(len(cs)), got.Load())
 		for _, c := range cs {
-			_, at := c.At()
+			at := c.Position().Number
 			require.Equal(t, n, at)
 		}
 	})
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"shaletrestle/coord/wait"
+	"github.com/cockroachdb/errors"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
+	"shaletrestle/coord/wait"
 )
 
 // State is the view that changes are folded into. Its methods are never called at the same time.
@@ -42,11 +42,11 @@
 	queue       []*subscriber // those that wait for a snapshot, in order
 	underWay    int           // snapshots sent and not acknowledged yet
 	wake        chan struct{}
-	onAck       func(epoch, number uint64)
+	onAck       func(all Position)
 }
 
 // NewFeed makes a feed over a board. onAck, which may be nil, is told the number that all followers have taken.
-func NewFeed(ctx context.Context, log *slog.Logger, b State, onAck func(epoch, number uint64)) *Feed {
+func NewFeed(ctx context.Context, log *slog.Logger, b State, onAck func(all Position)) *Feed {
 	f := &Feed{
 		ctx:         ctx,
 		log:         log.With("part", "distribution"),
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.source != nil && at.Epoch <= f.source.epoch {
-		return errkind.New(errkind.VersionConflict, "this process is the source of epoch %d", f.source.epoch)
+		return errors.Wrapf(ErrStale, "this process is the source of epoch %d", f.source.epoch)
 	}
 	if err := f.progress.mayRestore(at); err != nil {
 		return err
@@ -185,7 +185,7 @@
 	f.progress.at = at
 	f.snapshot = nil
 	f.kept = append(f.kept, change{at.Number, changeMessage(at, body).Encode()})
-	if len(f.kept) > newsKeep {
+	if len(f.kept) > keepChanges {
 		f.kept = append([]change{}, f.kept[len(f.kept)/2:]...)
 	}
 	for _, s := range f.subscribers {
@@ -263,11 +263,11 @@
 	return out
 }
 
-// At tells the epoch and the newest number in it.
-func (f *Feed) At() (epoch, number uint64) {
+// Position is that of the newest update here, the zero Position if none has come.
+func (f *Feed) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.progress.at.Epoch, f.progress.at.Number
+	return f.progress.at
 }
 
 // ResumeFrom is the position to ask this process's own source for.
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -9,10 +9,10 @@
 
 	"shaletrestle/coord/wait"
 
+	"github.com/cockroachdb/errors"
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
 )
 
 // Sink is where a follower puts what it is told.
@@ -20,198 +20,215 @@
 	Restore(at Position, body []byte, current bool) error
 	Apply(at Position, body []byte) bool
 	MarkContact()
-	At() (epoch, number uint64)
+	Position() Position
 	ResumeFrom() Position
 }
 
 // Follower keeps a sink up to date from one source at a time.
 type Follower struct {
-	ctx   context.Context
-	net   rpc.Net
-	sink  Sink
-	self  rpc.Member
-	relay bool
-	pick  func(failed string) string
-	seats func() []rpc.Member
-	now   atomic.String
-	carry func() []byte
-	other func(*rpc.Message)
-	ch    atomic.Pointer[rpc.Channel]
-	mu    sync.Mutex
-	said  said
+	options FollowerOptions
+	source  atomic.String               // address followed now; empty: none
+	channel atomic.Pointer[rpc.Channel] // the newest, perhaps closed; nil: none yet
+
+	mu           sync.Mutex
+	acknowledged acknowledgement // guarded by mu: what was sent last
 }
 
-// NewFollower makes a follower. pick names the next address to follow, given the one that failed; seats, for a relay, lists its own followers.
-func NewFollower(ctx context.Context, n rpc.Net, s Sink, self rpc.Member, relay bool, pick func(string) string, seats func() []rpc.Member) *Follower {
-	return &Follower{ctx: ctx, net: n, sink: s, self: self, relay: relay, pick: pick, seats: seats}
+// FollowerOptions configure a follower.
+type FollowerOptions struct {
+	// Net reaches the sources. Required.
+	Net rpc.Net
+	// Sink takes the updates; a *Cursor at the end of the tree, a *Feed in a relay. Required.
+	Sink Sink
+	// Self is how the follower names itself to its source.
+	Self rpc.Member
+	// NextSource names the address to follow next, given the one that was followed or dialled last ("" at first).
+	// An empty result means that nobody is known; it is asked again soon. Required.
+	NextSource func(failed string) string
+	// EndFollowers makes the follower a relay: it lists the end followers below this process, which are passed on
+	// to the source. nil: this is an end follower.
+	EndFollowers func() []rpc.Member
+	// AckBody gives the body of an acknowledgement that is about to be sent, or nil for none. It is called with the
+	// follower locked and must not call its methods. nil: acknowledgements have no body.
+	AckBody func() []byte
+	// OnMessage takes the source's messages that are no updates, one at a time. nil: they are dropped.
+	OnMessage func(*rpc.Message)
 }
 
-// Carry sets what acknowledgements carry along; f gives nil when there is nothing to tell. It is set before Run.
-func (f *Follower) Carry(c func() []byte) { f.carry = c }
+// NewFollower makes a follower, which does nothing until Run.
+func NewFollower(options FollowerOptions) *Follower { return &Follower{options: options} }
 
-// Self is the seat that this follower tells of itself.
-func (f *Follower) Self() rpc.Member { return f.self }
+// Self is how this follower names itself to its source.
+func (f *Follower) Self() rpc.Member { return f.options.Self }
 
 // SourceAddress is the address followed now, empty if none.
-func (f *Follower) SourceAddress() string { return f.now.Load() }
+func (f *Follower) SourceAddress() string { return f.source.Load() }
 
 // Disconnect ends the connection held now; the next address is picked.
 func (f *Follower) Disconnect() {
-	if ch := f.ch.Load(); ch != nil {
-		ch.Close()
+	if channel := f.channel.Load(); channel != nil {
+		channel.Close()
 	}
 }
 
-// Run follows until the scope ends.
-func (f *Follower) Run() {
-	bad := ""
-	for f.ctx.Err() == nil {
-		at := f.pick(bad)
-		if at != "" {
-			f.follow(at)
-			f.now.Store("")
+// Run follows one source after another until the context ends. It is called once.
+func (f *Follower) Run(ctx context.Context) {
+	failed := ""
+	for ctx.Err() == nil {
+		address := f.options.NextSource(failed)
+		if address != "" {
+			f.follow(ctx, address)
+			f.source.Store("")
 		}
-		bad = at
+		failed = address
 		pause := stepPause
-		if at == "" {
+		if address == "" {
 			pause = lookAgain
 		}
-		if !wait.Sleep(f.ctx, pause) {
+		if !wait.Sleep(ctx, pause) {
 			return
 		}
 	}
 }
 
 func (f *Follower) role() role {
-	if f.relay {
+	if f.options.EndFollowers != nil {
 		return roleRelay
 	}
 	return roleEnd
 }
 
 // receive takes one message of the source; a source that can't be followed on is left.
-func (f *Follower) receive(ch *rpc.Channel, n *rpc.Message) {
-	if n.Kind != rpc.Update {
-		if f.other != nil {
-			f.other(n)
+func (f *Follower) receive(channel *rpc.Channel, message *rpc.Message) {
+	if message.Kind != rpc.Update {
+		if f.options.OnMessage != nil {
+			f.options.OnMessage(message)
 		}
 		return
 	}
-	if !f.take(n) || !n.OK {
-		ch.Close()
+	if !f.apply(message) || !message.OK {
+		channel.Close()
 		return
 	}
-	f.ack(ch, false)
+	f.ack(channel, false)
 }
 
-func (f *Follower) follow(at string) {
-	c, err := f.net.Dial(at, rpc.DialTimeout)
+// follow follows one address until its channel ends or is silent.
+func (f *Follower) follow(ctx context.Context, address string) {
+	connection, err := f.options.Net.Dial(address, rpc.DialTimeout)
 	if err != nil {
 		return
 	}
-	ch := rpc.Open(f.ctx, c, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
-		f.receive(ch, n)
+	channel := rpc.Open(ctx, connection, func(channel *rpc.Channel, message *rpc.Message) *rpc.Message {
+		f.receive(channel, message)
 		return nil
 	})
-	defer ch.Close()
-	f.ch.Store(ch)
-	ch.Send(followMessage(f.self, f.sink.ResumeFrom(), f.role()))
-	f.now.Store(at)
-	t := time.After(newsLost)
+	defer channel.Close()
+	f.channel.Store(channel)
+	channel.Send(subscribeMessage(f.options.Self, f.options.Sink.ResumeFrom(), f.role()))
+	f.source.Store(address)
+	silent := time.After(updateTimeout)
 	for {
 		select {
-		case <-ch.Done():
+		case <-channel.Done():
 			return
-		case <-f.ctx.Done():
+		case <-ctx.Done():
 			return
-		case <-t:
-			if ch.IdleTime() >= newsLost {
+		case <-silent:
+			if channel.IdleTime() >= updateTimeout {
 				return
 			}
-			t = time.After(newsLost - ch.IdleTime())
+			silent = time.After(updateTimeout - channel.IdleTime())
 		}
 	}
 }
 
-// Others sets what takes the source's notes that are no news. Call it before Run.
-func (f *Follower) Others(take func(*rpc.Message)) { f.other = take }
-
-// Send passes a note to the source followed now, if there is one.
-func (f *Follower) Send(n *rpc.Message) bool {
-	ch := f.ch.Load()
-	return ch != nil && ch.Send(n)
+// Send passes a message to the source followed now. It tells whether it was queued: false if there is no source or
+// its channel has closed.
+func (f *Follower) Send(message *rpc.Message) bool {
+	channel := f.channel.Load()
+	return channel != nil && channel.Send(message)
 }
 
-// Call asks the source followed now.
-func (f *Follower) Call(n *rpc.Message, d time.Duration) (*rpc.Message, error) {
-	ch := f.ch.Load()
-	if ch == nil {
-		return nil, errkind.New(errkind.Unavailable, "nobody is followed")
+// Call asks the source followed now and waits for its answer, no longer than the timeout. The error is ErrNoSource
+// if none was followed yet, else one of rpc.Channel.Call.
+func (f *Follower) Call(message *rpc.Message, timeout time.Duration) (*rpc.Message, error) {
+	channel := f.channel.Load()
+	if channel == nil {
+		return nil, errors.WithStack(ErrNoSource)
 	}
-	return ch.Call(n, d)
+	return channel.Call(message, timeout)
 }
 
 // ReportProgress sends the acknowledgement again if this relay's own followers have moved on or are others.
 func (f *Follower) ReportProgress() {
-	if ch := f.ch.Load(); ch != nil {
-		f.ack(ch, true)
+	if channel := f.channel.Load(); channel != nil {
+		f.ack(channel, true)
 	}
 }
 
-type lower interface{ Acked() uint64 }
+// acker is a sink with followers of its own: its Acked is the number that all of them have taken.
+type acker interface{ Acked() uint64 }
 
-// said is what a channel's other end was told last.
-type said struct {
-	ch            *rpc.Channel
-	epoch, number uint64
-	seats         []rpc.Member
+// acknowledgement is what the source on a channel was sent last.
+type acknowledgement struct {
+	channel   *rpc.Channel
+	at        Position     // the number that all below this process have taken
+	followers []rpc.Member // a relay's end followers, in order
 }
 
-// ack acknowledges; a relay's followers are listed only if they are others than this channel was told before.
-func (f *Follower) ack(ch *rpc.Channel, ifMoved bool) {
+// ack acknowledges; with ifMoved only if that says something new. A relay's followers are listed only if they are
+// others than those listed on this channel before: else each heartbeat of each follower would pass the list on.
+func (f *Follower) ack(channel *rpc.Channel, ifMoved bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ep, own := f.sink.At()
-	num := own
-	if l, ok := f.sink.(lower); ok {
-		num = l.Acked()
+	own := f.options.Sink.Position()
+	below := own
+	if sink, ok := f.options.Sink.(acker); ok {
+		below.Number = sink.Acked()
 	}
-	n := ackMessage(f.self, ep, own, num)
-	was := f.said
-	f.said = said{ch, ep, num, nil}
-	if f.seats != nil {
-		f.said.seats = f.seats()
-		slices.SortFunc(f.said.seats, func(a, b rpc.Member) int {
-			return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Zone, b.Zone))
-		})
-		if was.ch != ch || !slices.Equal(was.seats, f.said.seats) {
-			n.Text, n.Members = seatsListed, f.said.seats
+	message := ackMessage(f.options.Self, own, below.Number)
+	previous := f.acknowledged
+	f.acknowledged = acknowledgement{channel: channel, at: below}
+	if f.options.EndFollowers != nil {
+		f.acknowledged.followers = sortedMembers(f.options.EndFollowers())
+		if previous.channel != channel || !slices.Equal(previous.followers, f.acknowledged.followers) {
+			message.Text, message.Members = followersListed, f.acknowledged.followers
 		}
 	}
-	if f.carry != nil {
-		n.Body = f.carry()
+	if f.options.AckBody != nil {
+		message.Body = f.options.AckBody()
 	}
-	if ifMoved && was.ch == ch && was.epoch == ep && was.number == num && n.Text == "" && len(n.Body) == 0 {
+	moved := previous.channel != channel || previous.at != below
+	if ifMoved && !moved && message.Text == "" && len(message.Body) == 0 {
 		return
 	}
-	ch.Send(n)
+	channel.Send(message)
+}
+
+func sortedMembers(members []rpc.Member) []rpc.Member {
+	slices.SortFunc(members, func(a, b rpc.Member) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Zone, b.Zone))
+	})
+	return members
 }
 
-// take puts one message of the source into the sink; false means that the source can't be followed on.
-func (f *Follower) take(n *rpc.Message) bool {
-	at := positionOf(n)
-	epoch, number := f.sink.At()
-	switch form(n.Text) {
+// apply puts one message of the source into the sink; false means that the source can't be followed on.
+func (f *Follower) apply(message *rpc.Message) bool {
+	sink := f.options.Sink
+	at := positionOf(message)
+	here := sink.Position()
+	switch form(message.Text) {
 	case formSnapshot:
-		return f.sink.Restore(at, n.Body, n.OK) == nil
+		return sink.Restore(at, message.Body, message.OK) == nil
 	case formWait:
-		return at.Epoch >= epoch
+		return at.Epoch >= here.Epoch
 	case formHeartbeat:
-		if !n.OK || at.Epoch != epoch || at.Number > number {
+		if !message.OK || at.Epoch != here.Epoch || at.Number > here.Number {
 			return false
 		}
-		f.sink.MarkContact()
+		sink.MarkContact()
 		return true
 	}
-	return f.sink.Apply(at, n.Body)
+	return sink.Apply(at, message.Body)
 }
--- a/coord/distribution/messages.go
+++ b/coord/distribution/messages.go
@@ -20,8 +20,8 @@
 	roleEnd   role = "end"
 )
 
-// seatsListed marks an acknowledgement that lists all of a relay's followers; the others say nothing of them.
-const seatsListed = "seats"
+// followersListed marks an acknowledgement that lists all of a relay's end followers; the others say nothing of them.
+const followersListed = "seats"
 
 func changeMessage(at Position, body []byte) *rpc.Message {
 	return &rpc.Message{Kind: rpc.Update, OK: true, Epoch: at.Epoch, Number: at.Number, Base: at.Number - 1, Body: body}
@@ -37,13 +37,13 @@
 	return n
 }
 
-func followMessage(self rpc.Member, at Position, r role) *rpc.Message {
+func subscribeMessage(self rpc.Member, at Position, r role) *rpc.Message {
 	return &rpc.Message{Kind: rpc.Subscribe, From: self, Epoch: at.Epoch, Number: at.Number, Text: string(r)}
 }
 
 // ackMessage says that its sender has taken all up to own, and all that follow it all up to below.
-func ackMessage(self rpc.Member, epoch, own, below uint64) *rpc.Message {
-	return &rpc.Message{Kind: rpc.UpdateAck, From: self, Epoch: epoch, Number: below, Base: own}
+func ackMessage(self rpc.Member, own Position, below uint64) *rpc.Message {
+	return &rpc.Message{Kind: rpc.UpdateAck, From: self, Epoch: own.Epoch, Number: below, Base: own.Number}
 }
 
 func positionOf(n *rpc.Message) Position { return Position{n.Epoch, n.Number} }
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -95,7 +95,12 @@
 		push := begin(f, 1)
 		p := &pipes{ctx: ctx, feed: f}
 		got := &refusing{bad: "+b"}
-		go NewFollower(ctx, p, NewCursor(got), rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       NewCursor(got),
+			Self:       rpc.Member{ID: 1},
+			NextSource: func(string) string { return "x" },
+		}).Run(ctx)
 		time.Sleep(time.Second)
 		push("+a")
 		push("+b")
@@ -116,16 +121,26 @@
 
 		held := NewCursor(&words{})
 		require.NoError(t, held.Restore(Position{1, 4}, []byte("held"), true))
-		go NewFollower(ctx, p, held, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       held,
+			Self:       rpc.Member{ID: 1},
+			NextSource: func(string) string { return "x" },
+		}).Run(ctx)
 		time.Sleep(5 * time.Second)
-		epoch, _ := held.At()
+		epoch := held.Position().Epoch
 		require.Equal(t, uint64(1), epoch)
 		require.GreaterOrEqual(t, held.SinceContact(), 5*time.Second, "nothing current was heard")
 
 		empty := NewCursor(&words{})
-		go NewFollower(ctx, p, empty, rpc.Member{ID: 2}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       empty,
+			Self:       rpc.Member{ID: 2},
+			NextSource: func(string) string { return "x" },
+		}).Run(ctx)
 		time.Sleep(5 * time.Second)
-		epoch, _ = empty.At()
+		epoch = empty.Position().Epoch
 		require.Equal(t, uint64(2), epoch, "one that has nothing takes the last that is known")
 		require.GreaterOrEqual(t, empty.SinceContact(), 5*time.Second, "but not as current")
 	})
@@ -141,7 +156,12 @@
 		got := &words{}
 		ahead := NewCursor(got)
 		require.NoError(t, ahead.Restore(Position{2, 5}, []byte("5"), true))
-		go NewFollower(ctx, p, ahead, rpc.Member{ID: 1}, false, func(string) string { return "x" }, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        p,
+			Sink:       ahead,
+			Self:       rpc.Member{ID: 1},
+			NextSource: func(string) string { return "x" },
+		}).Run(ctx)
 		time.Sleep(time.Second)
 		for n := uint64(4); n <= 7; n++ {
 			require.True(t, relay.Apply(Position{2, n}, []byte(fmt.Sprint("+", n))))
@@ -253,7 +273,12 @@
 		pick := rand.New(rand.NewPCG(seed, uint64(100+i)))
 		next := func(string) string { return controllerName(pick.IntN(webControllers)) }
 		cursor := NewCursor(&labelled{faults: w.faults})
-		go NewFollower(ctx, &webNet{w, endName(i)}, cursor, rpc.Member{ID: uint64(i + 1)}, false, next, nil).Run()
+		go NewFollower(FollowerOptions{
+			Net:        &webNet{w, endName(i)},
+			Sink:       cursor,
+			Self:       rpc.Member{ID: uint64(i + 1)},
+			NextSource: next,
+		}).Run(ctx)
 	}
 	return w
 }
@@ -266,12 +291,18 @@
 	ctx, stop := context.WithCancel(w.ctx)
 	w.lives[name] = stop
 	var up *Follower
-	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(uint64, uint64) { up.ReportProgress() })
-	up = NewFollower(ctx, &webNet{w, name}, feed, rpc.Member{ID: w.r.Uint64()}, true, func(string) string { return w.follows(name) }, feed.EndFollowers)
+	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(Position) { up.ReportProgress() })
+	up = NewFollower(FollowerOptions{
+		Net:          &webNet{w, name},
+		Sink:         feed,
+		Self:         rpc.Member{ID: w.r.Uint64()},
+		NextSource:   func(string) string { return w.follows(name) },
+		EndFollowers: feed.EndFollowers,
+	})
 	w.mu.Lock()
 	w.feeds[name] = feed
 	w.mu.Unlock()
-	go up.Run()
+	go up.Run(ctx)
 }
 
 func (w *web) follows(name string) string {
@@ -389,10 +420,10 @@
 			w.takeOver("c1", true)
 			time.Sleep(10 * time.Second)
 			require.Empty(t, w.faults.all())
-			epoch, number := w.feeds["c1"].At()
-			require.Equal(t, w.epoch, epoch)
+			position := w.feeds["c1"].Position()
+			require.Equal(t, w.epoch, position.Epoch)
 			require.Len(t, w.feeds["c1"].EndFollowers(), webEnds, "all came back to the newest source")
-			require.Equal(t, number, w.feeds["c1"].Acked())
+			require.Equal(t, position.Number, w.feeds["c1"].Acked())
 		})
 	}
 }
--- a/coord/distribution/position.go
+++ b/coord/distribution/position.go
@@ -1,6 +1,6 @@
 package distribution
 
-import "shaletrestle/internal/errkind"
+import "github.com/cockroachdb/errors"
 
 // Position orders all updates of all sources: first by the epoch of the view whose primary gave them, then by
 // their number within it. A follower never goes back in it.
@@ -48,7 +48,7 @@
 // mayRestore refuses a snapshot that is older than what is held.
 func (p *progress) mayRestore(snapshot Position) error {
 	if snapshot.Before(p.at) {
-		return errkind.New(errkind.VersionConflict, "snapshot at %d/%d, held is %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
+		return errors.Wrapf(ErrStale, "snapshot at %d/%d, held is %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
 	}
 	return nil
 }
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -146,7 +146,7 @@
 	if s.need != needChanges {
 		return
 	}
-	for s.sent < f.progress.at.Number && s.sent < s.received+newsWindow {
+	for s.sent < f.progress.at.Number && s.sent < s.received+ackWindow {
 		next := s.sent + 1
 		if len(f.kept) == 0 || f.kept[0].number > next {
 			f.needSnapshot(s)
@@ -177,10 +177,10 @@
 // patience is how long a subscriber may be silent: longer while a snapshot is on its way to it.
 func (f *Feed) patience(s *subscriber) time.Duration {
 	if s.need != needUnderWay {
-		return newsLost
+		return updateTimeout
 	}
 	bytes := s.snapshotBytes * snapshotsAtOnce
-	return newsLost + time.Duration((float64(bytes)/rpc.LinkBytesPerSecond)*float64(time.Second))
+	return updateTimeout + time.Duration((float64(bytes)/rpc.LinkBytesPerSecond)*float64(time.Second))
 }
 
 func (f *Feed) sendBeats() {
@@ -209,16 +209,16 @@
 	if s != nil {
 		f.acknowledge(s, n)
 	}
-	epoch, low := f.progress.at.Epoch, f.low()
+	low := Position{Epoch: f.progress.at.Epoch, Number: f.low()}
 	f.signal()
 	f.mu.Unlock()
 	if s != nil && f.onAck != nil {
-		f.onAck(epoch, low)
+		f.onAck(low)
 	}
 }
 
 func (f *Feed) acknowledge(s *subscriber, n *rpc.Message) {
-	if n.Text == seatsListed {
+	if n.Text == followersListed {
 		s.below = n.Members
 	}
 	if n.Epoch != f.progress.at.Epoch || s.need == needQueued {
--- a/coord/failuredetector/watcher.go
+++ b/coord/failuredetector/watcher.go
@@ -19,62 +19,75 @@
 
 // Watcher pings the nodes that are assigned to one node.
 type Watcher struct {
-	ctx      context.Context
-	log      *slog.Logger
-	self     string
-	nodes    func() []string
-	ping     Pinger
-	report   func(node string, alive bool)
-	interval time.Duration // between two rounds
-
-	mu        sync.Mutex
-	members   []string // the nodes that the assignment was computed for
-	assigned  []string
-	misses    map[string]int // pings missed in a row, by node
-	suspected map[string]bool
+	options Options
+	log     *slog.Logger
+
+	mu        sync.Mutex      // guards what follows
+	members   []string        // the nodes that the assignment was computed for
+	assigned  []string        // the nodes to ping, in order
+	misses    map[string]int  // pings missed in a row, by node
+	suspected map[string]bool // by node
+}
+
+// Options configure a watcher.
+type Options struct {
+	// Log takes one line for each change of a node's state. nil: nothing is logged.
+	Log *slog.Logger
+	// Self is this node's name among Nodes; a node never watches itself.
+	Self string
+	// Interval is the time between two rounds of pings. Required by Run.
+	Interval time.Duration
+	// Nodes lists all known nodes, Self included, in the same order as long as nothing changes. All nodes should
+	// know the same list; while they don't, some are watched by too few. Required.
+	Nodes func() []string
+	// Ping asks one node whether it is alive. It bounds its own time: a round waits for all of its
+	// pings. It is called for several nodes at a time. Required.
+	Ping Pinger
+	// Report is told of a node that became suspected, again in each round that it still is, and once when it came
+	// back. It is called for several nodes at a time. Required.
+	Report func(node string, alive bool)
 }
 
-// New makes a watcher. The function nodes lists all known nodes; report is
-// called for a node that became suspected, that still is, or that came back.
-func New(ctx context.Context, log *slog.Logger, self string, interval time.Duration, nodes func() []string, ping Pinger, report func(string, bool)) *Watcher {
+// New makes a watcher, which does nothing until Run or Round.
+func New(options Options) *Watcher {
+	log := options.Log
+	if log == nil {
+		log = slog.New(slog.DiscardHandler)
+	}
 	return &Watcher{
-		ctx:       ctx,
+		options:   options,
 		log:       log.With("part", "failuredetector"),
-		self:      self,
-		nodes:     nodes,
-		ping:      ping,
-		report:    report,
-		interval:  interval,
 		misses:    map[string]int{},
 		suspected: map[string]bool{},
 	}
 }
 
-// Run pings until the scope ends. Between two rounds the nodes that missed a
+// Run pings until the context ends. Between two rounds the nodes that missed a
 // ping are asked again, so that a lost one is known soon.
-func (w *Watcher) Run() {
+func (w *Watcher) Run(ctx context.Context) {
+	interval := w.options.Interval
 	nextRound := time.Now()
 	for {
-		nextRound = nextRound.Add(w.interval)
-		if !w.retryUntil(nextRound) {
+		nextRound = nextRound.Add(interval)
+		if !w.retryUntil(ctx, nextRound) {
 			return
 		}
-		if !wait.Sleep(w.ctx, time.Until(nextRound)) {
+		if !wait.Sleep(ctx, time.Until(nextRound)) {
 			return
 		}
-		if time.Until(nextRound) < -w.interval { // this process stood still
+		if time.Until(nextRound) < -interval { // this process stood still
 			nextRound = time.Now()
 		}
 		w.Round()
 	}
 }
 
-// retryUntil asks the nodes that missed a ping again, several times before the
-// next round; false if the scope ended.
-func (w *Watcher) retryUntil(nextRound time.Time) bool {
-	pause := w.interval / againPart
+// retryUntil pings the nodes that missed a ping again, several times before the
+// next round; false if the context ended.
+func (w *Watcher) retryUntil(ctx context.Context, nextRound time.Time) bool {
+	pause := w.options.Interval / retriesPerRound
 	for len(w.unconfirmed()) > 0 && time.Until(nextRound) > pause {
-		if !wait.Sleep(w.ctx, pause) {
+		if !wait.Sleep(ctx, pause) {
 			return false
 		}
 		w.pingAll(w.unconfirmed())
@@ -99,12 +112,12 @@
 // assignment lists the nodes to ping; it is computed again only when the
 // membership changed.
 func (w *Watcher) assignment() []string {
-	members := w.nodes()
+	members := w.options.Nodes()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !slices.Equal(members, w.members) {
 		w.members = members
-		w.assigned = WatchedBy(w.self, members, watchersEach)
+		w.assigned = WatchedBy(w.options.Self, members, watchersPerNode)
 	}
 	return w.assigned
 }
@@ -126,7 +139,7 @@
 func (w *Watcher) pingAll(nodes []string) {
 	var pings sync.WaitGroup
 	for _, node := range nodes {
-		pings.Go(func() { w.record(node, w.ping(node)) })
+		pings.Go(func() { w.record(node, w.options.Ping(node)) })
 	}
 	pings.Wait()
 }
@@ -140,7 +153,7 @@
 		w.log.Info("watched node", "node", node, "alive", alive)
 	}
 	if after || before {
-		w.report(node, alive)
+		w.options.Report(node, alive)
 	}
 }
 
@@ -156,7 +169,7 @@
 		return before, false
 	}
 	w.misses[node]++
-	if w.misses[node] >= missesMost {
+	if w.misses[node] >= missesToSuspect {
 		w.suspected[node] = true
 	}
 	return before, w.suspected[node]
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"slices"
 	"sort"
@@ -29,13 +28,13 @@
 	for _, n := range []int{1, 2, 3, 12, 50} {
 		by := map[string]int{}
 		for _, s := range names(n) {
-			for _, w := range WatchedBy(s, names(n), watchersEach) {
+			for _, w := range WatchedBy(s, names(n), watchersPerNode) {
 				require.NotEqual(t, s, w)
 				by[w]++
 			}
 		}
 		for _, s := range names(n) {
-			require.Equal(t, min(watchersEach, n-1), by[s], "%s of %d", s, n)
+			require.Equal(t, min(watchersPerNode, n-1), by[s], "%s of %d", s, n)
 		}
 	}
 }
@@ -73,8 +72,13 @@
 func TestTheAssignmentFollowsTheNodes(t *testing.T) {
 	var mu sync.Mutex
 	known, asked := []string{"a", "b"}, map[string]bool{}
-	w := New(context.Background(), slog.New(slog.DiscardHandler), "a", 1*time.Second, func() []string { return known },
-		func(n string) bool { mu.Lock(); asked[n] = true; mu.Unlock(); return true }, func(string, bool) {})
+	w := New(Options{
+		Self:     "a",
+		Interval: time.Second,
+		Nodes:    func() []string { return known },
+		Ping:     func(n string) bool { mu.Lock(); asked[n] = true; mu.Unlock(); return true },
+		Report:   func(string, bool) {},
+	})
 	w.Round()
 	require.Equal(t, map[string]bool{"b": true}, asked)
 	known = []string{"a", "c"}
@@ -89,13 +93,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				WatchedBy(ns[0], ns, watchersEach)
+				WatchedBy(ns[0], ns, watchersPerNode)
 			}
 		})
 		b.Run(fmt.Sprint("definition-", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				plainAssignment(ns[0], ns, watchersEach)
+				plainAssignment(ns[0], ns, watchersPerNode)
 			}
 		})
 	}
@@ -121,18 +125,23 @@
 func TestSuspicionNeedsSeveralMissesAndEnds(t *testing.T) {
 	up := true
 	var told []string
-	w := New(context.Background(), slog.New(slog.DiscardHandler), "a", 1*time.Second, func() []string { return []string{"a", "b"} },
-		func(string) bool { return up }, func(n string, alive bool) { told = append(told, fmt.Sprint(n, alive)) })
+	w := New(Options{
+		Self:     "a",
+		Interval: time.Second,
+		Nodes:    func() []string { return []string{"a", "b"} },
+		Ping:     func(string) bool { return up },
+		Report:   func(n string, alive bool) { told = append(told, fmt.Sprint(n, alive)) },
+	})
 	w.Round()
 	up = false
-	for range missesMost - 1 {
+	for range missesToSuspect - 1 {
 		w.Round()
 	}
 	up = true
 	w.Round()
 	require.Empty(t, told, "a few misses are chance")
 	up = false
-	for range missesMost - 1 {
+	for range missesToSuspect - 1 {
 		w.Round()
 	}
 	require.Empty(t, told)
@@ -156,22 +165,28 @@
 		var mu sync.Mutex
 		var told []time.Time
 		asked := map[string]int{}
-		w := New(ctx, slog.New(slog.DiscardHandler), "a", every, func() []string { return []string{"a", "b", "c"} }, func(n string) bool {
-			mu.Lock()
-			asked[n]++
-			ok := up || n != "b"
-			mu.Unlock()
-			if !ok {
-				time.Sleep(rpc.CallTimeout)
-			}
-			return ok
-		}, func(n string, alive bool) {
-			require.Equal(t, "bfalse", fmt.Sprint(n, alive))
-			mu.Lock()
-			told = append(told, time.Now())
-			mu.Unlock()
+		w := New(Options{
+			Self:     "a",
+			Interval: every,
+			Nodes:    func() []string { return []string{"a", "b", "c"} },
+			Ping: func(n string) bool {
+				mu.Lock()
+				asked[n]++
+				ok := up || n != "b"
+				mu.Unlock()
+				if !ok {
+					time.Sleep(rpc.CallTimeout)
+				}
+				return ok
+			},
+			Report: func(n string, alive bool) {
+				require.Equal(t, "bfalse", fmt.Sprint(n, alive))
+				mu.Lock()
+				told = append(told, time.Now())
+				mu.Unlock()
+			},
 		})
-		go w.Run()
+		go w.Run(ctx)
 		time.Sleep(8*every + 50*time.Millisecond) // just after a round: the longest way
 		mu.Lock()
 		require.LessOrEqual(t, asked["b"], 10, "a well one is asked once a round")
@@ -184,33 +199,33 @@
 		require.Less(t, told[0].Sub(lost)+ReportInterval, 4*time.Second)
 		for i := 1; i < len(told); i++ {
 			require.Less(t, told[i].Sub(told[i-1]), 2*every)
-			require.Greater(t, told[i].Sub(told[i-1]), every/againPart)
+			require.Greater(t, told[i].Sub(told[i-1]), every/retriesPerRound)
 		}
 	})
 }
 
 func TestTheAssignmentIsComputedOnlyWhenTheNodesChanged(t *testing.T) {
 	known := names(40)
-	w := New(context.Background(), slog.New(slog.DiscardHandler), "node-7", 1*time.Second, func() []string { return known }, nil, nil)
+	w := New(Options{Self: "node-7", Interval: time.Second, Nodes: func() []string { return known }})
 	first := w.assignment()
-	require.Equal(t, WatchedBy("node-7", known, watchersEach), first)
+	require.Equal(t, WatchedBy("node-7", known, watchersPerNode), first)
 	require.NotEmpty(t, first)
 	known = names(40)
 	again := w.assignment()
 	require.Same(t, &first[0], &again[0], "nothing changed, nothing is computed")
 	known = names(60)
-	require.Equal(t, WatchedBy("node-7", known, watchersEach), w.assignment())
+	require.Equal(t, WatchedBy("node-7", known, watchersPerNode), w.assignment())
 }
 
 func TestWatchesAreSpreadOverTheNodes(t *testing.T) {
 	ns := names(390)
 	total := 0
 	for _, s := range ns {
-		n := len(WatchedBy(s, ns, watchersEach))
+		n := len(WatchedBy(s, ns, watchersPerNode))
 		total += n
 		require.Less(t, n, 12, "%s", s)
 	}
-	require.Equal(t, 390*watchersEach, total)
+	require.Equal(t, 390*watchersPerNode, total)
 }
 
 func ExampleWatchedBy() {
--- a/coord/lease/compatibility_test.go
+++ b/coord/lease/compatibility_test.go
@@ -1,7 +1,6 @@
 package lease
 
 import (
-	"context"
 	"errors"
 	"testing"
 	"testing/synctest"
@@ -40,8 +39,14 @@
 		self := rpc.Member{ID: 0x3001, Address: "10.0.0.1:7720", Zone: "zone-1"}
 		grantors := func() []rpc.Member { return []rpc.Member{{ID: 0x3002, Address: "10.0.0.2:7720", Zone: "zone-2"}} }
 		wanted := true
-		holder := NewHolder(context.Background(), "list", self, r, grantors, func() bool { return wanted }, nil)
-		holder.life = 0x3003 // drawn at random otherwise
+		holder := NewHolder(HolderOptions{
+			Duty:     "list",
+			Self:     self,
+			Caller:   r,
+			Grantors: grantors,
+			Wanted:   func() bool { return wanted },
+		})
+		holder.incarnation = 0x3003 // drawn at random otherwise
 		require.False(t, holder.Renew(), "a grantor that has just started grants nothing")
 		time.Sleep(Duration)
 		require.True(t, holder.Renew())
--- a/coord/lease/constants.go
+++ b/coord/lease/constants.go
@@ -4,8 +4,8 @@
 
 // Leases.
 const (
-	leaseMargin = 120 * time.Millisecond // holder stops this much earlier: clock drift and late timers
-	leaseRenew  = 150 * time.Millisecond // three renewals fit into a span
+	safetyMargin  = 120 * time.Millisecond // holder stops this much earlier: clock drift and late timers
+	renewInterval = 150 * time.Millisecond // three renewals fit into a span
 )
 
 const (
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -80,34 +80,37 @@
 
 // Holder keeps one duty's lease while it is wanted.
 type Holder struct {
-	ctx   context.Context
-	duty  string
-	self  rpc.Member
-	ask   Caller
-	from  func() []rpc.Member
-	want  func() bool
-	local *Grantor
-	life  uint64 // of this holder: its requests are numbered within it
-
-	mu        sync.Mutex
-	until     time.Time
-	since     time.Time
-	requests  uint64 // sent
-	givenBack uint64 // times; a renewal that was under way then counts no more
-}
-
-// NewHolder makes a holder; from names the grantors of the moment, want says whether the duty is wanted, local is this process's own grantor.
-func NewHolder(ctx context.Context, duty string, self rpc.Member, ask Caller, from func() []rpc.Member, want func() bool, local *Grantor) *Holder {
-	return &Holder{
-		ctx:   ctx,
-		duty:  duty,
-		self:  self,
-		ask:   ask,
-		from:  from,
-		want:  want,
-		local: local,
-		life:  rand.Uint64(),
-	}
+	options     HolderOptions
+	incarnation uint64 // of this holder: its requests are numbered within it
+
+	mu       sync.Mutex // guards what follows
+	until    time.Time  // the lease is held before this; zero: not held
+	since    time.Time  // held without a gap since this
+	requests uint64     // numbered so far
+	releases uint64     // counted: a renewal that was under way during one counts no more
+}
+
+// HolderOptions configure a holder.
+type HolderOptions struct {
+	// Duty names the lease at the grantors. Required.
+	Duty string
+	// Self is the process that asks; its ID tells holders apart and must be unique. Required.
+	Self rpc.Member
+	// Caller carries requests to the other grantors. Required unless Local is the only grantor.
+	Caller Caller
+	// Grantors lists all grantors of the moment; a majority of them decides. Required.
+	Grantors func() []rpc.Member
+	// Wanted tells whether the lease is to be held; when it turns false the next renewal gives the lease back.
+	// Required.
+	Wanted func() bool
+	// Local is this process's own grantor, asked without Caller for a grantor whose ID is Self's. nil: no grantor
+	// listed has that ID.
+	Local *Grantor
+}
+
+// NewHolder makes a holder that doesn't hold its lease yet.
+func NewHolder(options HolderOptions) *Holder {
+	return &Holder{options: options, incarnation: rand.Uint64()}
 }
 
 // Held tells whether the duty may be done now. Ask again after every wait: the process may have stood still.
@@ -124,47 +127,48 @@
 	return h.since, time.Now().Before(h.until)
 }
 
-// Run renews until the scope ends, then gives back.
-func (h *Holder) Run() {
-	wait.Every(h.ctx, leaseRenew, func() bool { h.Renew(); return true })
-	h.giveBack()
+// Run renews until the context ends, then gives the lease back.
+func (h *Holder) Run(ctx context.Context) {
+	wait.Every(ctx, renewInterval, func() bool { h.Renew(); return true })
+	h.release()
 }
 
-func (h *Holder) giveBack() {
+func (h *Holder) release() {
 	h.mu.Lock()
 	had := !h.until.IsZero()
 	h.until = time.Time{}
-	h.givenBack++
+	h.releases++
 	number := h.nextRequest() // under the same lock: a renewal that begins after this has a higher one
 	h.mu.Unlock()
 	if had {
-		h.round(0, number)
+		h.request(0, number)
 	}
 }
 
-// Renew asks for the lease once, if it is wanted.
+// Renew asks for the lease once if it is wanted, else gives it back. It tells whether the grantors granted it; that
+// may be too late to be of use, so ask Held.
 func (h *Holder) Renew() bool {
-	if !h.want() {
-		h.giveBack()
+	if !h.options.Wanted() {
+		h.release()
 		return false
 	}
 	h.mu.Lock()
-	givenBack := h.givenBack
+	releases := h.releases
 	number := h.nextRequest()
 	h.mu.Unlock()
 	start := time.Now()
-	if !h.round(uint64(Duration), number) {
+	if !h.request(Duration, number) {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.givenBack != givenBack {
+	if h.releases != releases {
 		return false
 	}
 	if !start.Before(h.until) {
 		h.since = time.Now()
 	}
-	end := start.Add(Duration - leaseMargin)
+	end := start.Add(Duration - safetyMargin)
 	if end.After(h.until) {
 		h.until = end
 	}
@@ -177,29 +181,40 @@
 	return h.requests
 }
 
-// round asks all grantors and tells whether most of them agreed.
-func (h *Holder) round(span, number uint64) bool {
-	seats := h.from()
-	ch := make(chan bool, len(seats))
-	for _, s := range seats {
-		n := &rpc.Message{Kind: rpc.Lease, From: h.self, To: s.ID, Text: h.duty, Duration: span, Ballot: h.life, Number: number}
-		go func() {
-			if s.ID == h.self.ID {
-				ch <- h.local.Handle(n).OK
-				return
-			}
-			a, err := h.ask.Call(s.Address, n, rpc.CallTimeout)
-			ch <- err == nil && a.OK
-		}()
+// request asks all grantors for a duration, or to take the lease back if that is zero, and tells as soon as a
+// majority has agreed. Calls still under way then end by their time-out and nobody waits for them.
+func (h *Holder) request(duration time.Duration, number uint64) bool {
+	grantors := h.options.Grantors()
+	agreed := make(chan bool, len(grantors))
+	for _, grantor := range grantors {
+		message := &rpc.Message{
+			Kind:     rpc.Lease,
+			From:     h.options.Self,
+			To:       grantor.ID,
+			Text:     h.options.Duty,
+			Duration: uint64(duration),
+			Ballot:   h.incarnation,
+			Number:   number,
+		}
+		go func() { agreed <- h.ask(grantor, message) }()
 	}
-	got := 0
-	for range seats {
-		if <-ch {
-			got++
+	grants := 0
+	for range grantors {
+		if <-agreed {
+			grants++
 		}
-		if got > len(seats)/2 {
+		if grants > len(grantors)/2 {
 			return true
 		}
 	}
 	return false
 }
+
+// ask tells whether one grantor agrees.
+func (h *Holder) ask(grantor rpc.Member, message *rpc.Message) bool {
+	if grantor.ID == h.options.Self.ID {
+		return h.options.Local.Handle(message).OK
+	}
+	answer, err := h.options.Caller.Call(grantor.Address, message, rpc.CallTimeout)
+	return err == nil && answer.OK
+}
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -34,7 +34,7 @@
 	return f.g[i].Handle(n), nil
 }
 
-func (f *fleet) seats() (out []rpc.Member) {
+func (f *fleet) members() (out []rpc.Member) {
 	for i := range f.g {
 		out = append(out, rpc.Member{ID: uint64(100 + i), Address: fmt.Sprint(i)})
 	}
@@ -50,7 +50,13 @@
 }
 
 func (f *fleet) holder(id uint64) *Holder {
-	return NewHolder(context.Background(), "list", rpc.Member{ID: id}, f, f.seats, func() bool { return true }, nil)
+	return NewHolder(HolderOptions{
+		Duty:     "list",
+		Self:     rpc.Member{ID: id},
+		Caller:   f,
+		Grantors: f.members,
+		Wanted:   func() bool { return true },
+	})
 }
 
 func TestOneHolderAtATime(t *testing.T) {
@@ -186,8 +192,14 @@
 			wants := make([]atomic.Bool, holders)
 			hs := make([]*Holder, holders)
 			for i := range hs {
-				hs[i] = NewHolder(ctx, "list", rpc.Member{ID: uint64(i + 1)}, d, f.seats, wants[i].Load, nil)
-				go hs[i].Run()
+				hs[i] = NewHolder(HolderOptions{
+					Duty:     "list",
+					Self:     rpc.Member{ID: uint64(i + 1)},
+					Caller:   d,
+					Grantors: f.members,
+					Wanted:   wants[i].Load,
+				})
+				go hs[i].Run(ctx)
 			}
 			next := time.Now()
 			for range 6000 {
@@ -227,7 +239,7 @@
 		f := newFleet()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
-		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 1}
+		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 1}
 		require.True(t, a.Renew())
 		require.True(t, a.Renew())
 		for _, g := range f.g {
@@ -246,8 +258,8 @@
 		a, b := f.holder(1), f.holder(2)
 		a.requests = 2 // the first two are under way still
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 1, Duration: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life, Number: 2}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 1, Duration: uint64(Duration)}
+		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 2}
 		for _, g := range f.g {
 			g.Handle(renewal)
 			g.Handle(giveBack)
@@ -264,8 +276,8 @@
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
-		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life + 1, Number: 8, Duration: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.life + 1, Number: 9}
+		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation + 1, Number: 8, Duration: uint64(Duration)}
+		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation + 1, Number: 9}
 		for _, g := range f.g {
 			g.Handle(renewal)
 			g.Handle(giveBack)
@@ -283,7 +295,7 @@
 		a := f.holder(1)
 		require.True(t, a.Renew())
 		f.lag = 20 * time.Millisecond
-		go a.giveBack()
+		go a.release()
 		synctest.Wait()
 		require.Equal(t, uint64(2), a.requests, "numbered when the lease is given up, not when it is sent")
 		time.Sleep(time.Second)
--- a/coord/slowness/monitor.go
+++ b/coord/slowness/monitor.go
@@ -1,7 +1,6 @@
 package slowness
 
 import (
-	"context"
 	"log/slog"
 	"sync"
 	"time"
@@ -11,22 +10,21 @@
 
 // Monitor steps a detector with what this process measures of itself.
 type Monitor struct {
-	ctx  context.Context
 	log  *slog.Logger
 	work func() time.Duration
 
-	mu       sync.Mutex
-	detector *Detector
-	lastLook time.Time
+	mu           sync.Mutex // guards what follows
+	detector     *Detector
+	lastMeasured time.Time // zero: not yet
 }
 
 // NewMonitor makes a monitor. The function work does the piece of work and gives its
 // time; nil stands for the usual piece of work.
-func NewMonitor(ctx context.Context, log *slog.Logger, work func() time.Duration) *Monitor {
+func NewMonitor(log *slog.Logger, work func() time.Duration) *Monitor {
 	if work == nil {
 		work = hashingWork()
 	}
-	return &Monitor{ctx: ctx, log: log.With("part", "slowness"), work: work, detector: NewDetector()}
+	return &Monitor{log: log.With("part", "slowness"), work: work, detector: NewDetector()}
 }
 
 // hashingWork makes the usual piece of work: it hashes a buffer a few times and
@@ -73,8 +71,8 @@
 // lateness is by how much a look is late after the one before it; the caller
 // holds the lock.
 func (w *Monitor) lateness(now time.Time) time.Duration {
-	previous := w.lastLook
-	w.lastLook = now
+	previous := w.lastMeasured
+	w.lastMeasured = now
 	if previous.IsZero() {
 		return 0
 	}
--- a/coord/slowness/monitor_test.go
+++ b/coord/slowness/monitor_test.go
@@ -1,7 +1,6 @@
 package slowness
 
 import (
-	"context"
 	"log/slog"
 	"testing"
 	"testing/synctest"
@@ -13,7 +12,7 @@
 func TestAWatchSeesLateLooksAndSlowWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := 10 * us
-		w := NewMonitor(context.Background(), slog.New(slog.DiscardHandler), func() time.Duration { return work })
+		w := NewMonitor(slog.New(slog.DiscardHandler), func() time.Duration { return work })
 		look := func(n int, every time.Duration) {
 			for range n {
 				w.UpdatePeer("n1", false)
@@ -38,7 +37,7 @@
 }
 
 func TestTheUsualPieceOfWorkTakesTime(t *testing.T) {
-	w := NewMonitor(context.Background(), slog.New(slog.DiscardHandler), nil)
+	w := NewMonitor(slog.New(slog.DiscardHandler), nil)
 	require.Positive(t, w.work())
 	w.Measure()
 	require.False(t, w.Slow())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -93,7 +93,7 @@
 		fleet:    map[string]time.Time{},
 	}
 	c.lines = rpc.NewPool(ctx, p.Net, c.handle)
-	c.feed = distribution.NewFeed(ctx, log, c.news, func(uint64, uint64) {
+	c.feed = distribution.NewFeed(ctx, log, c.news, func(distribution.Position) {
 		if c.follower != nil {
 			c.follower.ReportProgress()
 		}
@@ -103,10 +103,23 @@
 		return nil, err
 	}
 	c.replica = currentMember{member}
-	c.follower = distribution.NewFollower(ctx, p.Net, c.feed, member.Self(), true, c.upstream, c.feed.EndFollowers)
-	c.follower.Carry(c.carry)
-	c.follower.Others(c.spread)
-	c.duty = lease.NewHolder(ctx, "list", member.Self(), c.lines, c.witnesses, c.wantsDuty, c.grantor)
+	c.follower = distribution.NewFollower(distribution.FollowerOptions{
+		Net:          p.Net,
+		Sink:         c.feed,
+		Self:         member.Self(),
+		NextSource:   c.upstream,
+		EndFollowers: c.feed.EndFollowers,
+		AckBody:      c.carry,
+		OnMessage:    c.spread,
+	})
+	c.duty = lease.NewHolder(lease.HolderOptions{
+		Duty:     "list",
+		Self:     member.Self(),
+		Caller:   c.lines,
+		Grantors: c.witnesses,
+		Wanted:   c.wantsDuty,
+		Local:    c.grantor,
+	})
 	c.state.OnChange(c.committed)
 	return c, nil
 }
@@ -179,8 +192,8 @@
 
 func (c *Controller) startDuties() {
 	go c.replica.Run()
-	go c.follower.Run()
-	go c.duty.Run()
+	go c.follower.Run(c.ctx)
+	go c.duty.Run(c.ctx)
 	go c.read()
 	go wait.Every(c.ctx, failuredetector.ReportInterval, func() bool { c.count(); return true })
 	go wait.Every(c.ctx, distribution.HeartbeatInterval, func() bool { c.judge(); return true })
--- a/internal/controller/figures.go
+++ b/internal/controller/figures.go
@@ -4,7 +4,7 @@
 
 // figures are what the state port tells under meter.Path.
 func (c *Controller) figures() []metrics.Sample {
-	ep, num := c.feed.At()
+	position := c.feed.Position()
 	is := func(so bool) float64 {
 		if so {
 			return 1
@@ -21,8 +21,8 @@
 		gauge("primary", "1 if this member is primary and tells the news.", is(c.IsActivePrimary())),
 		gauge("list_duty", "1 if this member holds the duty of reading the list.", is(c.duty.Held())),
 		gauge("members", "Control members known.", float64(len(c.replica.Members()))),
-		gauge("news_epoch", "Life of the news.", float64(ep)),
-		gauge("news_number", "Newest change of this life.", float64(num)),
+		gauge("news_epoch", "Life of the news.", float64(position.Epoch)),
+		gauge("news_number", "Newest change of this life.", float64(position.Number)),
 		gauge("news_acked_number", "Newest change that every follower has taken.", float64(c.feed.Acked())),
 		gauge("setup_revision", "Revision of the configuration held.", float64(c.state.View().Config.Revision)),
 		gauge("evacuated_zones", "Zones that take nothing more.", float64(len(c.state.View().Evacuated))),
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -39,12 +39,12 @@
 		httpreply.Bytes(w, http.StatusOK, v.Encode())
 		return
 	}
-	ep, num := c.feed.At()
+	position := c.feed.Position()
 	v := c.news.View()
 	httpreply.JSON(w, http.StatusOK, map[string]any{
 		"maintenance": c.maintenance(),
 		"program":     "controller", "version": version.Number, "node": c.settings.NodeName, "replication": c.replica.State(),
-		"news":           map[string]any{"epoch": ep, "number": num, "acked": c.feed.Acked(), "source": c.follower.SourceAddress(), "live": c.IsActivePrimary()},
+		"news":           map[string]any{"epoch": position.Epoch, "number": position.Number, "acked": c.feed.Acked(), "source": c.follower.SourceAddress(), "live": c.IsActivePrimary()},
 		"setup_revision": c.state.View().Config.Revision, "evacuated": c.state.View().Evacuated, "replicas": len(v.Replicas), "fleet": v.FleetSize,
 		"list_duty": c.duty.Held(), "suspects": c.jury.Published(), "list_calls": c.polls.Load(), "list_failures": c.fails.Load(),
 	})
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -122,12 +122,12 @@
 		r := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: network})
 		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
 		require.NoError(t, r.book.Update((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
-		go r.follower.Run()
+		go r.follower.Run(ctx)
 		synctest.Wait()
 		for r.budget.Take("service-1", r.fleet()) { // the own share is used up first
 		}
 		require.True(t, r.further("service-1", time.Second))
-		go r.watcher.Run()
+		go r.watcher.Run(ctx)
 		time.Sleep(3 * time.Second)
 		cancel()
 		synctest.Wait()
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -5,7 +5,7 @@
 // figures are what the state port tells under meter.Path.
 func (g *Router) figures() []metrics.Sample {
 	v := g.book.View()
-	_, num := g.cursor.At()
+	num := g.cursor.Position().Number
 	runs, asked, hits := g.index.Stats()
 	count := func(name, help string, n int64) metrics.Sample {
 		return metrics.Sample{Name: "router_" + name, Help: help, IsCounter: true, Value: float64(n)}
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -44,10 +44,10 @@
 }
 
 func (g *Router) newsSection() map[string]any {
-	epoch, number := g.cursor.At()
+	position := g.cursor.Position()
 	return map[string]any{
-		"epoch":        epoch,
-		"number":       number,
+		"epoch":        position.Epoch,
+		"number":       position.Number,
 		"source":       g.follower.SourceAddress(),
 		"heard_ago_ms": g.cursor.SinceContact().Milliseconds(),
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -110,12 +110,17 @@
 	g.cold.Store(newColdShares(nil, self))
 	g.cursor = distribution.NewCursor(g.book)
 	seat := rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone}
-	g.follower = distribution.NewFollower(ctx, p.Net, g.cursor, seat, false, g.pick, nil)
-	g.level = slowness.NewMonitor(ctx, log, p.SlownessProbe)
+	g.follower = distribution.NewFollower(distribution.FollowerOptions{
+		Net:        p.Net,
+		Sink:       g.cursor,
+		Self:       seat,
+		NextSource: g.pick,
+		AckBody:    g.words,
+		OnMessage:  g.hearDeck,
+	})
+	g.level = slowness.NewMonitor(log, p.SlownessProbe)
 	g.long = newLongWork(g)
 	g.watcher = g.newWatcher(self)
-	g.follower.Carry(g.words)
-	g.follower.Others(g.hearDeck)
 	g.book.OnChange(g.changed)
 	return g
 }
@@ -128,7 +133,14 @@
 	tell := func(node string, alive bool) {
 		g.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Text: node})
 	}
-	return failuredetector.New(g.ctx, g.log, self, every, nodes, ping, tell)
+	return failuredetector.New(failuredetector.Options{
+		Log:      g.log,
+		Self:     self,
+		Interval: every,
+		Nodes:    nodes,
+		Ping:     ping,
+		Report:   tell,
+	})
 }
 
 // Run serves until the context ends.
@@ -157,8 +169,8 @@
 	ps := &http.Server{Handler: http.HandlerFunc(g.page), ReadHeaderTimeout: settings.HeaderTimeout}
 	go func() { _ = rs.Serve(rl) }()
 	go func() { _ = ps.Serve(pl) }()
-	go g.follower.Run()
-	go g.watcher.Run()
+	go g.follower.Run(g.ctx)
+	go g.watcher.Run(g.ctx)
 	go g.tellDeck()
 	go g.keep()
 	go g.long.run()
