--- a/coord/replication/figures_test.go
+++ b/coord/replication/figures_test.go
@@ -131,24 +131,24 @@
 		t.Skip("only with -control-figures")
 	}
 	for _, orders := range []int{1, 512, 1000} {
-		book := state.NewOrderStore()
-		require.NoError(t, book.Update(state.OrderEvent(state.Put, 0, wholeConfiguration(400, 250, 26)).Encode()))
+		book := state.NewStore(state.Options{History: true})
+		require.NoError(t, book.Update(state.EncodeEvent(state.NewPutConfig(0, wholeConfiguration(400, 250, 26)))))
 		patch := 0
 		for number := 2; number <= orders; number++ {
 			body := fmt.Appendf(nil, `{"revision":%d,"upsert":{"route_table":[%s]}}`, number, routeText(number%400, 250, 26, 5000+number))
-			event := state.OrderEvent(state.Patch, int64(number-1), body).Encode()
+			event := state.EncodeEvent(state.NewPatchConfig(int64(number-1), body))
 			require.NoError(t, book.Update(event))
 			patch = len(event)
 		}
 		plain := len(book.Snapshot())
-		list := &state.Event{Kind: state.List}
+		list := state.UpdateReplicas{}
 		for i := range 1500 {
-			list.Replicas = append(list.Replicas, &state.Replica{
+			list.Changed = append(list.Changed, &state.Replica{
 				ID: fmt.Sprintf("replica-%05d", i), Pool: fmt.Sprintf("model-%02d", i%26), Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250),
 				Zone: fmt.Sprintf("zone-%02d", i%15), SoftwareRevision: "r1", Slots: 8, State: "ready",
 			})
 		}
-		require.NoError(t, book.Update(list.Encode()))
+		require.NoError(t, book.Update(state.EncodeEvent(list)))
 		fmt.Printf("%d orders: snapshot of 400 routes, 250 tenants, 26 models %d bytes; with 1,500 replicas %d; a change of one route %d\n",
 			orders, plain, len(book.Snapshot()), patch)
 	}
--- a/internal/adminapi/orders.go
+++ b/internal/adminapi/orders.go
@@ -21,10 +21,7 @@
 
 // Order is one change that the operator asks for.
 type ChangeRequest struct {
-	Kind       string
-	Base       int64
-	Body       []byte
-	Zone       string
+	Event      state.Event
 	Deadline   time.Time       // past it the order doesn't begin: its caller has gone on
 	CallerGone <-chan struct{} // closed when the caller closes its connection; nil: never
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -60,13 +60,13 @@
 	case len(path) == 2 && name == "GET v1/config":
 		s.route(c, s.read)
 	case len(path) == 2 && name == "PUT v1/config":
-		s.route(c, func(c *call) { s.config(c, state.Put) })
+		s.route(c, func(c *call) { s.config(c, putConfig) })
 	case len(path) == 2 && name == "PATCH v1/config":
-		s.route(c, func(c *call) { s.config(c, state.Patch) })
+		s.route(c, func(c *call) { s.config(c, patchConfig) })
 	case len(path) == 3 && name == "POST v1/evacuation":
-		s.route(c, func(c *call) { s.evacuate(c, path[2], state.Evacuate) })
+		s.route(c, func(c *call) { s.evacuate(c, path[2], evacuateZone) })
 	case len(path) == 3 && name == "DELETE v1/evacuation":
-		s.route(c, func(c *call) { s.evacuate(c, path[2], state.Return) })
+		s.route(c, func(c *call) { s.evacuate(c, path[2], readmitZone) })
 	default:
 		httpreply.Error(w, errkind.New(errkind.NoRoute, "no such call"))
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (s *Server) config(c *call, kind string) {
+func (s *Server) config(c *call, event func(base int64, body []byte) state.Event) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, MaxConfigurationBytes))
 	if err != nil {
 		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "body can't be read whole"))
@@ -162,7 +162,7 @@
 		httpreply.Error(c.writer, err)
 		return
 	}
-	s.take(c, &ChangeRequest{Kind: kind, Base: base, Body: body})
+	s.take(c, event(base, body))
 }
 
 // builtOn reads the version that a change builds on.
@@ -175,22 +175,34 @@
 	return base, nil
 }
 
-func (s *Server) evacuate(c *call, segment, kind string) {
+func (s *Server) evacuate(c *call, segment string, event func(zone string) state.Event) {
 	zone, err := url.PathUnescape(segment)
 	if err != nil || zone == "" {
 		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "no zone"))
 		return
 	}
-	s.take(c, &ChangeRequest{Kind: kind, Zone: zone})
+	s.take(c, event(zone))
 }
 
-func (s *Server) take(c *call, order *ChangeRequest) {
-	order.Deadline = c.deadline
-	order.CallerGone = c.request.Context().Done()
-	if err := s.orders.Commit(s.ctx, order); err != nil {
-		s.log.Info("order not taken", "kind", order.Kind, "base", order.Base, "err", err.Error())
+func (s *Server) take(c *call, event state.Event) {
+	request := &ChangeRequest{Event: event, Deadline: c.deadline, CallerGone: c.request.Context().Done()}
+	if err := s.orders.Commit(s.ctx, request); err != nil {
+		s.logRejected(event, err)
 		s.fault(c, err)
 		return
 	}
 	httpreply.JSON(c.writer, http.StatusOK, map[string]bool{"ok": true})
 }
+
+func (s *Server) logRejected(event state.Event, err error) {
+	attributes := []any{"kind", event.Kind(), "error", err.Error()}
+	if change, ok := event.(state.ConfigEvent); ok {
+		attributes = append(attributes, "base", change.BaseRevision())
+	}
+	s.log.Info("config change rejected", attributes...)
+}
+
+func putConfig(base int64, body []byte) state.Event   { return state.NewPutConfig(base, body) }
+func patchConfig(base int64, body []byte) state.Event { return state.NewPatchConfig(base, body) }
+func evacuateZone(zone string) state.Event            { return state.EvacuateZone{Zone: zone} }
+func readmitZone(zone string) state.Event             { return state.ReadmitZone{Zone: zone} }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -24,7 +24,7 @@
 	primary string
 	here    bool
 	fail    error
-	got     []*ChangeRequest
+	got     []state.Event
 }
 
 func (d *desk) set(primary string, here bool) {
@@ -40,9 +40,7 @@
 }
 
 func (d *desk) Commit(_ context.Context, o *ChangeRequest) error {
-	asked := *o
-	asked.Deadline, asked.CallerGone = time.Time{}, nil
-	d.got = append(d.got, &asked)
+	d.got = append(d.got, o.Event)
 	if d.after != nil {
 		d.after()
 	}
@@ -68,11 +66,11 @@
 	require.Equal(t, 200, ask(d, "PATCH", "/v1/config", "7", "{}").Code)
 	require.Equal(t, 200, ask(d, "POST", "/v1/evacuation/north%20hall", "", "").Code)
 	require.Equal(t, 200, ask(d, "DELETE", "/v1/evacuation/north", "", "").Code)
-	require.Equal(t, []*ChangeRequest{
-		{Kind: state.Put, Base: 5, Body: []byte("{}")},
-		{Kind: state.Patch, Base: 7, Body: []byte("{}")},
-		{Kind: state.Evacuate, Zone: "north hall"},
-		{Kind: state.Return, Zone: "north"},
+	require.Equal(t, []state.Event{
+		state.NewPutConfig(5, []byte("{}")),
+		state.NewPatchConfig(7, []byte("{}")),
+		state.EvacuateZone{Zone: "north hall"},
+		state.ReadmitZone{Zone: "north"},
 	}, d.got)
 	for _, x := range [][2]string{{"POST", "/v1/config"}, {"GET", "/v1/evacuation/x"}, {"POST", "/v1/evacuation"}, {"POST", "/v1/evacuation/a/b"}, {"GET", "/"}, {"BREW", "/v1/config"}} {
 		require.Equal(t, 404, ask(d, x[0], x[1], "", "").Code, x)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"crypto/sha256"
 	"encoding/json"
+	"fmt"
 	"io"
 	"math"
 	"sort"
@@ -13,7 +14,6 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"shaletrestle/internal/config/configpb"
-	"shaletrestle/internal/errkind"
 )
 
 // Names of the wire's fields that the merge needs.
@@ -44,7 +44,12 @@
 	return &Document{top: map[string]json.RawMessage{}, lists: map[string]list{fieldPaths: {items: map[string]json.RawMessage{}}, fieldPools: {items: map[string]json.RawMessage{}}}, Parsed: &configpb.Configuration{}}
 }
 
-func bad(format string, a ...any) error { return errkind.New(errkind.InvalidInput, format, a...) }
+// InvalidError says why a configuration or a change of it is invalid, and names the value that makes it so.
+type InvalidError struct{ Reason string }
+
+func (e *InvalidError) Error() string { return e.Reason }
+
+func bad(format string, a ...any) error { return &InvalidError{Reason: fmt.Sprintf(format, a...)} }
 
 // object reads one whole JSON object in which no name stands twice.
 func object(b []byte) (map[string]json.RawMessage, error) {
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -7,8 +7,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/errkind"
 )
 
 const whole = `{"revision":5,"x":{"a":1.50},"route_table":[{"name":"a","hostname":"h","path_prefix":"/a/","timeout_ms":100,"backend_pool":"s","odd":[1,{"k":null}]},{"name":"b","hostname":"h","path_prefix":"/b/","timeout_ms":100.5,"weighted_backends":[{"backend_pool":"s","weight":1}]}],"backend_pools":[{"name":"s","max_connections":9,"engine":{"kv_capacity_tokens":5,"models":[{"name":"m"}]}}],"limits":{"max_body_bytes":10}}`
@@ -50,12 +48,13 @@
 		b := strings.Replace(up, x.old, x.now, 1)
 		require.NotEqual(t, up, b, x.old)
 		_, err := d.Put([]byte(b))
-		require.Error(t, err, x.now)
-		require.Equal(t, errkind.InvalidInput, errkind.KindOf(err), x.now)
+		var invalid *InvalidError
+		require.ErrorAs(t, err, &invalid, x.now)
 	}
 	for _, p := range []string{`{"revision":6,"remove":{"backend_pools":["s"]}}`, `{"revision":6,"remove":{"nothing":["s"]}}`, `{"revision":6,"upsert":{"route_table":{}}}`, `{"revision":6,"upsert":7}`} {
 		_, err := d.Patch([]byte(p))
-		require.Error(t, err, p)
+		var invalid *InvalidError
+		require.ErrorAs(t, err, &invalid, p)
 	}
 	require.JSONEq(t, whole, string(d.JSON()))
 }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -104,7 +104,7 @@
 	opened, err := store.Open(store.OSFiles{}, dir, false)
 	require.NoError(t, err)
 	defer opened.Close()
-	b := state.NewOrderStore()
+	b := state.NewStore(state.Options{History: true})
 	require.NoError(t, b.Restore(opened.Load().Snapshot.Data))
 	for _, entry := range opened.Load().Entries {
 		require.NoError(t, b.Update(entry.Data))
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -36,14 +36,14 @@
 	sort.Strings(nodes)
 	v := c.news.View()
 	if !slices.Equal(nodes, v.Nodes) && len(nodes) > 0 {
-		c.publish(state.FleetEvent(v.Nodes, nodes))
+		c.publish(state.NewUpdateFleet(v.Nodes, nodes))
 	}
 	var hs []state.Controller
 	for _, s := range c.replica.Members() {
 		hs = append(hs, state.Controller{Address: s.Address, Zone: s.Zone})
 	}
 	if !slices.Equal(hs, v.Controllers) {
-		c.publish(&state.Event{Kind: state.Controllers, Controllers: hs})
+		c.publish(state.UpdateControllers{Controllers: hs})
 	}
 }
 
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -37,8 +37,11 @@
 	}
 	c.polling.Lock()
 	defer c.polling.Unlock()
-	c.publishIf(may, func() *state.Event {
+	c.publishIf(may, func() state.Event {
 		v := c.news.View()
-		return c.differ.Diff(v.Replicas, v.ReplicasKnown, now)
+		if changes := c.differ.Diff(v.Replicas, v.ReplicasKnown, now); changes != nil {
+			return *changes
+		}
+		return nil
 	})
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"shaletrestle/internal/adminapi"
-	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
 )
 
@@ -24,64 +23,64 @@
 // Take makes one order. It returns once the order is in force for good and the connected followers have it, as
 // far as the order's time allows to wait for them.
 func (c *Controller) Commit(ctx context.Context, order *adminapi.ChangeRequest) error {
-	event := eventOf(order)
+	event := order.Event
 	decide := func() ([]byte, error) {
 		if order.Expired(time.Now()) {
-			return nil, errkind.New(errkind.Unavailable, "nobody waits for the answer any more")
+			return nil, ErrAbandoned
 		}
 		return decideOn(c.state.View(), event)
 	}
 	if err := c.replica.Propose(order.Deadline, decide); err != nil {
-		return err
+		return withKind(err)
 	}
-	if anotherWon(c.state.View(), event) {
-		return errkind.New(errkind.Unavailable, "another order on this version is in force")
+	if superseded(c.state.View(), event) {
+		return withKind(ErrSuperseded)
 	}
 	c.awaitFollowers(ctx, order.Deadline)
 	return nil
 }
 
-func eventOf(order *adminapi.ChangeRequest) *state.Event {
-	switch order.Kind {
-	case state.Put, state.Patch:
-		return state.OrderEvent(order.Kind, order.Base, order.Body)
+// decideOn checks an event against the state as it is and gives the entry to commit; no entry and no error mean that
+// it is in force already.
+func decideOn(view *state.View, event state.Event) ([]byte, error) {
+	switch event := event.(type) {
+	case state.EvacuateZone:
+		return decideEvacuation(event, view.Evacuated[event.Zone], true)
+	case state.ReadmitZone:
+		return decideEvacuation(event, view.Evacuated[event.Zone], false)
+	case state.ConfigEvent:
+		return decideConfig(view, event)
 	}
-	return &state.Event{Kind: order.Kind, Zone: order.Zone}
+	return nil, &state.UnknownKindError{Kind: event.Kind()}
 }
 
-// decideOn holds an order against the state as it is; a nil entry means that it is in force already.
-func decideOn(view *state.View, event *state.Event) ([]byte, error) {
-	if event.Kind == state.Evacuate || event.Kind == state.Return {
-		return decideEvacuation(view, event)
-	}
+func decideConfig(view *state.View, event state.ConfigEvent) ([]byte, error) {
 	switch view.Outcome(event) {
 	case state.OutcomeCommitted:
 		return nil, nil
 	case state.OutcomeUnknown:
-		return nil, errkind.New(errkind.Unavailable, "whether an order on version %d was taken is no longer known", event.Base)
-	}
-	if event.Base != view.Config.Revision {
-		return nil, errkind.New(errkind.VersionConflict, "version %d is current", view.Config.Revision)
+		return nil, &OutcomeUnknownError{Base: event.BaseRevision()}
 	}
 	if _, err := view.Next(event); err != nil {
 		return nil, err
 	}
-	return event.Encode(), nil
+	return state.EncodeEvent(event), nil
 }
 
-func decideEvacuation(view *state.View, event *state.Event) ([]byte, error) {
-	if view.Evacuated[event.Zone] == (event.Kind == state.Evacuate) {
+func decideEvacuation(event state.Event, evacuated, wanted bool) ([]byte, error) {
+	if evacuated == wanted {
 		return nil, nil
 	}
-	return event.Encode(), nil
+	return state.EncodeEvent(event), nil
 }
 
-// anotherWon guards the acknowledgement: the state that was folded must not hold another order in this one's place.
-func anotherWon(view *state.View, event *state.Event) bool {
-	if event.Kind != state.Put && event.Kind != state.Patch {
+// superseded guards the acknowledgement: the state must not hold another change in this one's place.
+func superseded(view *state.View, event state.Event) bool {
+	change, ok := event.(state.ConfigEvent)
+	if !ok {
 		return false
 	}
-	return event.Base < view.Config.Revision && view.Outcome(event) == state.OutcomeNotCommitted
+	return change.BaseRevision() < view.Config.Revision && view.Outcome(change) == state.OutcomeNotCommitted
 }
 
 // awaitFollowers waits a little until the connected followers have what was pushed up to now.
@@ -103,7 +102,7 @@
 	var view *state.View
 	look := func() { view = c.state.View() }
 	if err := c.replica.Read(deadline, look); err != nil {
-		return nil, err
+		return nil, withKind(err)
 	}
 	return view, nil
 }
--- a/internal/controller/outliers.go
+++ b/internal/controller/outliers.go
@@ -62,6 +62,6 @@
 		size[r.Pool]++
 	}
 	if ids, news := c.jury.Evaluate(size, now); news {
-		c.publish(&state.Event{Kind: state.Health, Suspects: ids})
+		c.publish(state.UpdateSuspects{Replicas: ids})
 	}
 }
--- a/internal/controller/source.go
+++ b/internal/controller/source.go
@@ -44,30 +44,31 @@
 }
 
 // committed publishes what the replicated state has taken in.
-func (c *Controller) committed(_, _ *state.View, event *state.Event) {
-	if event == nil {
-		return
+func (c *Controller) committed(_, _ *state.View, event state.Event) {
+	switch change := event.(type) {
+	case nil:
+	case state.ConfigEvent:
+		c.publish(change.WithoutDigest())
+	default:
+		c.publish(event)
 	}
-	public := *event
-	public.Digest = nil
-	c.publish(&public)
 }
 
 // publish pushes an event to the followers if this process is the source.
-func (c *Controller) publish(event *state.Event) {
+func (c *Controller) publish(event state.Event) {
 	if source := c.source.Load(); source != nil {
-		source.Push(event.Encode())
+		source.Push(state.EncodeEvent(event))
 	}
 }
 
 // publishIf pushes the event that make gives, if there is one and the condition holds at the last moment before.
-func (c *Controller) publishIf(holds func() bool, make func() *state.Event) {
+func (c *Controller) publishIf(holds func() bool, make func() state.Event) {
 	source := c.source.Load()
 	if source == nil || !holds() {
 		return
 	}
 	if event := make(); event != nil {
-		source.PushIf(holds, event.Encode())
+		source.PushIf(holds, state.EncodeEvent(event))
 	}
 }
 
--- a/internal/discovery/differ.go
+++ b/internal/discovery/differ.go
@@ -16,20 +16,20 @@
 // if nothing changed. A replica counts as gone at its second whole listing
 // without it; an empty listing changes nothing. The argument initialized tells
 // whether a listing was applied before: the first one is an event in any case.
-func (d *Differ) Diff(known map[string]*state.Replica, initialized bool, listed []*state.Replica) *state.Event {
+func (d *Differ) Diff(known map[string]*state.Replica, initialized bool, listed []*state.Replica) *state.UpdateReplicas {
 	if len(listed) == 0 && len(known) > 0 {
 		return nil
 	}
-	event := &state.Event{Kind: state.List}
+	event := &state.UpdateReplicas{}
 	seen := make(map[string]bool, len(listed))
 	for _, replica := range listed {
 		seen[replica.ID] = true
 		if !replica.Equal(known[replica.ID]) {
-			event.Replicas = append(event.Replicas, replica)
+			event.Changed = append(event.Changed, replica)
 		}
 	}
-	event.Gone = d.gone(known, seen)
-	if initialized && len(event.Replicas) == 0 && len(event.Gone) == 0 {
+	event.Removed = d.gone(known, seen)
+	if initialized && len(event.Changed) == 0 && len(event.Removed) == 0 {
 		return nil
 	}
 	return event
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 	a, b := &state.Replica{ID: "a", State: "ready"}, &state.Replica{ID: "b", State: "ready"}
 	known := map[string]*state.Replica{}
 	e := d.Diff(known, false, []*state.Replica{a, b})
-	require.Len(t, e.Replicas, 2)
+	require.Len(t, e.Changed, 2)
 	known["a"], known["b"] = a, b
 	require.Nil(t, d.Diff(known, true, []*state.Replica{a, b}))
 	require.Nil(t, d.Diff(known, true, nil), "an empty listing changes nothing")
@@ -87,10 +87,10 @@
 	require.Nil(t, d.Diff(known, true, []*state.Replica{a, b}), "and back")
 	require.Nil(t, d.Diff(known, true, []*state.Replica{a}))
 	e = d.Diff(known, true, []*state.Replica{a})
-	require.Equal(t, []string{"b"}, e.Gone)
+	require.Equal(t, []string{"b"}, e.Removed)
 	warm := *a
 	warm.WarmupLeftMs = 900
-	require.Len(t, d.Diff(known, true, []*state.Replica{&warm, b}).Replicas, 1)
+	require.Len(t, d.Diff(known, true, []*state.Replica{&warm, b}).Changed, 1)
 	cooler := warm
 	cooler.WarmupLeftMs = 100
 	known["a"] = &warm
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -211,8 +211,8 @@
 func measureFolding(x float64) values {
 	size := targetSize
 	size.Routes = int(x)
-	book := state.NewStore(true)
-	book.OnChange(func(old, now *state.View, _ *state.Event) {
+	book := state.NewStore(state.Options{Monotonic: true})
+	book.OnChange(func(old, now *state.View, _ state.Event) {
 		if old.Config != now.Config {
 			routing.Compile(now.Config)
 		}
@@ -221,7 +221,7 @@
 	first.Revision = 1
 	body, _ := json.Marshal(first)
 	heap, _ := cost(func() any {
-		book.Update((&state.Event{Kind: state.Put, Body: body}).Encode())
+		book.Update(state.EncodeEvent(state.NewPutConfig(0, body).WithoutDigest()))
 		return book
 	})
 	changeBytes := 0
@@ -247,15 +247,15 @@
 	change := upsertRoute(route)
 	change.Revision = int64(revision + 1)
 	body, _ := json.Marshal(change)
-	return (&state.Event{Kind: state.Patch, Base: int64(revision), Body: body}).Encode()
+	return state.EncodeEvent(state.NewPatchConfig(int64(revision), body).WithoutDigest())
 }
 
 // measureListing folds a list of more and more replicas, then changes of one of them;
 // the replicas known to placement are brought up to date with each.
 func measureListing(x float64) values {
-	book := state.NewStore(true)
+	book := state.NewStore(state.Options{Monotonic: true})
 	placer := placement.NewPlacer(prefixindex.NewIndex())
-	book.OnChange(func(_, now *state.View, _ *state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
+	book.OnChange(func(_, now *state.View, _ state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
 	replicas := madeUpReplicas(int(x), targetSize.Models, targetSize.Controllers)
 	first := listEvent(replicas...)
 	heap, wholeTime := cost(func() any {
@@ -283,5 +283,5 @@
 }
 
 func listEvent(replicas ...*state.Replica) []byte {
-	return (&state.Event{Kind: state.List, Replicas: replicas}).Encode()
+	return state.EncodeEvent(state.UpdateReplicas{Changed: replicas})
 }
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -70,6 +70,14 @@
 	return &kinded{k, errors.Wrap(err, note)}
 }
 
+// With gives an error a kind and leaves its text as it is.
+func With(k Kind, err error) error {
+	if err == nil {
+		return nil
+	}
+	return &kinded{k, err}
+}
+
 // KindOf tells an error's kind; errors from elsewhere are Internal.
 func KindOf(err error) Kind {
 	if err == nil {
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -121,7 +121,7 @@
 		}
 		r := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: network})
 		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
-		require.NoError(t, r.book.Update((&state.Event{Kind: state.Fleet, Size: len(nodes), Nodes: nodes}).Encode()))
+		require.NoError(t, r.book.Update(state.EncodeEvent(state.UpdateFleet{Size: len(nodes), Nodes: nodes})))
 		go r.follower.Run(ctx)
 		synctest.Wait()
 		for r.budget.Take("service-1", r.fleet()) { // the own share is used up first
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -89,7 +89,7 @@
 		log:       log,
 		net:       p.Net,
 		dialer:    p.Dialer,
-		book:      state.NewStore(true),
+		book:      state.NewStore(state.Options{Monotonic: true}),
 		index:     prefixindex.NewIndex(),
 		pools:     map[string]*upstream.Pool{},
 		keeps:     map[string]*upstream.KeepAlive{},
--- a/internal/router/shares_test.go
+++ b/internal/router/shares_test.go
@@ -70,17 +70,17 @@
 	g := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}})
 	require.Equal(t, 20*coldMargin/fleetGuess, g.cold.Load().rate(20, "r"))
 	self := e.Port(portGate)
-	fold := func(e *state.Event) { g.book.Update(e.Encode()) }
-	fold(&state.Event{Kind: state.Fleet, Size: 2, Nodes: []string{self, "10.0.0.2:702"}})
+	fold := func(e state.Event) { require.NoError(t, g.book.Update(state.EncodeEvent(e))) }
+	fold(state.UpdateFleet{Size: 2, Nodes: []string{self, "10.0.0.2:702"}})
 	require.Equal(t, 20*coldMargin/2, g.cold.Load().rate(20, "r"))
-	fold(&state.Event{Kind: state.List, Replicas: []*state.Replica{{ID: "r", Pool: "p", State: "ready", Models: []state.Model{{Name: "m", Revision: 4}}}}})
+	fold(state.UpdateReplicas{Changed: []*state.Replica{{ID: "r", Pool: "p", State: "ready", Models: []state.Model{{Name: "m", Revision: 4}}}}})
 	require.Equal(t, int64(4), g.weights.Load().of("p", "m"))
 	require.True(t, g.yard.Allowed("r"))
 	require.Equal(t, 20*coldMargin/2, g.cold.Load().rate(20, "r"), "a list leaves the shares")
-	fold(&state.Event{Kind: state.Fleet, Size: 1, Nodes: []string{"10.0.0.2:702"}})
+	fold(state.UpdateFleet{Size: 1, Nodes: []string{"10.0.0.2:702"}})
 	require.Zero(t, g.cold.Load().rate(20, "r"))
 	require.True(t, g.yard.Allowed("r"), "a change of the fleet leaves the replicas")
-	fold(&state.Event{Kind: state.Evacuate, Zone: ""})
+	fold(state.EvacuateZone{Zone: ""})
 	require.False(t, g.yard.Allowed("r"))
 	o := *e
 	o.IP, o.Placement.PrefillLoadScale = "10.0.0.2", 7
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -11,18 +11,18 @@
 )
 
 // changed brings everything that is derived up to date with a new view.
-func (g *Router) changed(old, v *state.View, e *state.Event) {
-	if e != nil && e.Kind == state.Health {
-		g.yard.Health().SetSuspects(e.Suspects, time.Now())
+func (g *Router) changed(old, v *state.View, e state.Event) {
+	if suspects, ok := e.(state.UpdateSuspects); ok {
+		g.yard.Health().SetSuspects(suspects.Replicas, time.Now())
 		return
 	}
 	if old.Config != v.Config {
 		g.useConfiguration(v)
 	}
-	if e.ChangesPlacement() {
+	if state.ChangesPlacement(e) {
 		g.useReplicas(v)
 	}
-	if e == nil || e.Kind == state.Fleet {
+	if _, fleet := e.(state.UpdateFleet); fleet || e == nil {
 		g.cold.Store(newColdShares(v.Nodes, g.env.Load().Port(portGate)))
 	}
 	if old.FleetSize != v.FleetSize || old.Config != v.Config || e == nil {
@@ -31,7 +31,7 @@
 	if v.Config.Revision > 0 && v.ReplicasKnown {
 		g.becomeReady(v)
 	}
-	if e == nil || e.Kind == state.Controllers {
+	if _, controllers := e.(state.UpdateControllers); controllers || e == nil {
 		g.nearer(v)
 	}
 }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net"
@@ -94,12 +93,12 @@
 	for i := range 3 {
 		replicas = append(replicas, &state.Replica{ID: fmt.Sprint("r", i+1), Pool: "p", Address: fmt.Sprint("r", i+1), Zone: "a", State: "ready", Slots: 8})
 	}
-	for _, e := range []*state.Event{
-		{Kind: state.Fleet, Size: 1, Nodes: []string{env.Port(portGate)}},
-		{Kind: state.Put, Body: json.RawMessage(put)},
-		{Kind: state.List, Replicas: replicas},
+	for _, e := range []state.Event{
+		state.UpdateFleet{Size: 1, Nodes: []string{env.Port(portGate)}},
+		state.NewPutConfig(0, []byte(put)).WithoutDigest(),
+		state.UpdateReplicas{Changed: replicas},
 	} {
-		w.g.book.Update(e.Encode())
+		require.NoError(t, w.g.book.Update(state.EncodeEvent(e)))
 	}
 	require.True(t, w.g.ready.Load())
 	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -1,7 +1,6 @@
 package state
 
 import (
-	"encoding/json"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -12,10 +11,10 @@
 // namedEvent is an event with the name of its record.
 type namedEvent struct {
 	name  string
-	event *Event
+	event Event
 }
 
-// recordedEvents are events of each kind; each field is set in one of them. They can be folded in this order.
+// recordedEvents are events of each kind; each field is set in one of them. They can be applied in this order.
 func recordedEvents() []namedEvent {
 	full := &Replica{
 		ID: "replica-1", Pool: "s", Address: "10.0.1.1:8000", Zone: "zone-1", SoftwareRevision: "build-7", Slots: 12, State: "ready",
@@ -23,18 +22,18 @@
 	}
 	patch := []byte(`{"revision":4,"upsert":{"unknown_key":{"kept":[1,2.50,"x"]}}}`)
 	return []namedEvent{
-		{"01-put", OrderEvent(Put, 0, doc("3"))},
-		{"02-patch", OrderEvent(Patch, 3, patch)},
-		{"03-patch-without-digest", &Event{Kind: Patch, Base: 4, Body: []byte(`{"revision":6,"upsert":{"later":1}}`)}},
-		{"04-evacuate", &Event{Kind: Evacuate, Zone: "zone-1"}},
-		{"05-evacuate-another", &Event{Kind: Evacuate, Zone: "zone-2"}},
-		{"06-return", &Event{Kind: Return, Zone: "zone-1"}},
-		{"07-list", &Event{Kind: List, Replicas: []*Replica{full, {ID: "replica-2", Pool: "s"}}}},
-		{"08-list-gone", &Event{Kind: List, Gone: []string{"replica-2"}}},
-		{"09-fleet", &Event{Kind: Fleet, Size: 3, Nodes: []string{"10.0.0.1:7720", "10.0.0.2:7720", "10.0.0.3:7720"}}},
-		{"10-fleet-change", &Event{Kind: Fleet, Size: 3, Nodes: []string{"10.0.0.4:7720"}, Gone: []string{"10.0.0.2:7720"}, Delta: true}},
-		{"11-houses", &Event{Kind: Controllers, Controllers: []Controller{{"10.0.0.1:7721", "zone-1"}, {"10.0.0.2:7721", "zone-2"}}}},
-		{"12-health", &Event{Kind: Health, Suspects: []string{"replica-1", "replica-3"}}},
+		{"01-put", NewPutConfig(0, configuration("3"))},
+		{"02-patch", NewPatchConfig(3, patch)},
+		{"03-patch-without-digest", PatchConfig{ConfigChange{Base: 4, Body: []byte(`{"revision":6,"upsert":{"later":1}}`)}}},
+		{"04-evacuate", EvacuateZone{Zone: "zone-1"}},
+		{"05-evacuate-another", EvacuateZone{Zone: "zone-2"}},
+		{"06-return", ReadmitZone{Zone: "zone-1"}},
+		{"07-list", UpdateReplicas{Changed: []*Replica{full, {ID: "replica-2", Pool: "s"}}}},
+		{"08-list-gone", UpdateReplicas{Removed: []string{"replica-2"}}},
+		{"09-fleet", UpdateFleet{Size: 3, Nodes: []string{"10.0.0.1:7720", "10.0.0.2:7720", "10.0.0.3:7720"}}},
+		{"10-fleet-change", UpdateFleet{Size: 3, Nodes: []string{"10.0.0.4:7720"}, Removed: []string{"10.0.0.2:7720"}, Incremental: true}},
+		{"11-houses", UpdateControllers{Controllers: []Controller{{"10.0.0.1:7721", "zone-1"}, {"10.0.0.2:7721", "zone-2"}}}},
+		{"12-health", UpdateSuspects{Replicas: []string{"replica-1", "replica-3"}}},
 	}
 }
 
@@ -42,59 +41,59 @@
 func TestEvent_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/events.txt")
 	for _, x := range recordedEvents() {
-		got := &Event{}
-		require.NoError(t, json.Unmarshal(recording.Same(x.name, x.event.Encode()), got), x.name)
+		got, err := DecodeEvent(recording.Same(x.name, EncodeEvent(x.event)))
+		require.NoError(t, err, x.name)
 		require.Equal(t, x.event, got, x.name)
 	}
 }
 
-// TestBook_RecordedCheckpoints_ReadAndWrittenAsBefore folds the events one after the other and holds the form of the
-// checkpoint after each, with the memory of orders and without.
-func TestBook_RecordedCheckpoints_ReadAndWrittenAsBefore(t *testing.T) {
+// TestStore_RecordedSnapshots_ReadAndWrittenAsBefore applies the events one after the other and holds the form of the
+// snapshot after each, with a history and without.
+func TestStore_RecordedSnapshots_ReadAndWrittenAsBefore(t *testing.T) {
 	for _, x := range []struct {
-		path  string
-		fresh func() *Store
+		path    string
+		options Options
 	}{
-		{"testdata/checkpoints-with-orders.txt", NewOrderStore},
-		{"testdata/checkpoints-without-orders.txt", func() *Store { return NewStore(true) }},
+		{"testdata/checkpoints-with-orders.txt", Options{History: true}},
+		{"testdata/checkpoints-without-orders.txt", Options{Monotonic: true}},
 	} {
 		recording := recordedtest.Open(t, x.path)
-		b := x.fresh()
-		restored := x.fresh()
+		b := NewStore(x.options)
+		restored := NewStore(x.options)
 		require.NoError(t, restored.Restore(recording.Same("00-empty", b.Snapshot())))
 		require.Equal(t, b.View(), restored.View())
 		for _, e := range recordedEvents() {
-			require.NoError(t, b.Update(e.event.Encode()), e.name)
-			checkpoint := b.Snapshot()
+			require.NoError(t, b.Update(EncodeEvent(e.event)), e.name)
+			snapshot := b.Snapshot()
 			if len(b.View().Evacuated) > 1 || len(b.View().Replicas) > 1 { // written in any order
-				checkpoint = recording.Bytes(e.name)
+				snapshot = recording.Bytes(e.name)
 			}
-			restored := x.fresh()
-			require.NoError(t, restored.Restore(recording.Same(e.name, checkpoint)), e.name)
+			restored := NewStore(x.options)
+			require.NoError(t, restored.Restore(recording.Same(e.name, snapshot)), e.name)
 			require.Equal(t, b.View(), restored.View(), e.name)
 		}
 	}
 }
 
-// TestBook_CheckpointOfAnotherMemory_IsRead crosses checkpoints with and without the memory of orders.
-func TestBook_CheckpointOfAnotherMemory_IsRead(t *testing.T) {
+// TestStore_SnapshotOfOtherOptions_IsRead crosses snapshots with and without a history.
+func TestStore_SnapshotOfOtherOptions_IsRead(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/last-checkpoints.txt")
-	b, guarded := NewOrderStore(), NewStore(true)
+	b, guarded := NewStore(Options{History: true}), NewStore(Options{Monotonic: true})
 	for _, x := range recordedEvents() {
-		require.NoError(t, b.Update(x.event.Encode()))
-		require.NoError(t, guarded.Update(x.event.Encode()))
+		require.NoError(t, b.Update(EncodeEvent(x.event)))
+		require.NoError(t, guarded.Update(EncodeEvent(x.event)))
 	}
 	with := recording.Same("with-orders", b.Snapshot())
 	without := recording.Same("without-orders", guarded.Snapshot())
-	follower := NewStore(true)
+	follower := NewStore(Options{Monotonic: true})
 	require.NoError(t, follower.Restore(with))
 	require.Nil(t, follower.View().History)
 	require.Equal(t, without, follower.Snapshot())
-	decides := NewOrderStore()
+	decides := NewStore(Options{History: true})
 	require.NoError(t, decides.Restore(without))
-	require.Equal(t, OutcomeUnknown, decides.View().Outcome(recordedEvents()[0].event))
+	require.Equal(t, OutcomeUnknown, decides.View().Outcome(recordedEvents()[0].event.(ConfigEvent)))
 	require.NoError(t, decides.Restore(with))
 	for _, x := range recordedEvents()[:3] {
-		require.Equal(t, OutcomeCommitted, decides.View().Outcome(x.event), x.name)
+		require.Equal(t, OutcomeCommitted, decides.View().Outcome(x.event.(ConfigEvent)), x.name)
 	}
 }
