--- a/coord/handoff/mutation_test.go
+++ b/coord/handoff/mutation_test.go
@@ -1,20 +1,14 @@
 package handoff
 
 import (
-	"flag"
 	"testing"
 
 	"shaletrestle/internal/mutation"
 )
 
-var mutants = flag.Bool("mutants", false, "build wrong versions of owner and taker and see that the model finds each; takes a minute")
-
 // TestTheModelFindsMutants shows that each mechanism is needed and that the model sees when it is missing.
 func TestTheModelFindsMutants(t *testing.T) {
-	if !*mutants {
-		t.Skip("with -mutants only; CI runs it so")
-	}
-	for _, m := range []mutation.Mutation{
+	mutation.AllFound(t, []mutation.Mutation{
 		{Name: "a go-ahead after the deadline", File: "owner.go", From: "now >= j.until || now >= j.deadline", To: "false", Run: "EveryOrder"},
 		{Name: "run here after the deadline", File: "owner.go", From: "j.shots < 1 || now >= j.deadline", To: "j.shots < 1", Run: "EveryOrder"},
 		{Name: "a go-ahead after the lease of the acceptance", File: "taker.go", From: "if now >= e.until {", To: "if false {", Run: "EveryOrder"},
@@ -22,10 +16,5 @@
 		{Name: "a promise while a go-ahead is open", File: "owner.go", From: "j.stage != gone && !j.lost", To: "!j.lost", Run: "EveryOrder"},
 		{Name: "parts with a gap", File: "owner.go", From: "m.Number == j.parts+1", To: "m.Number > j.parts", Run: "Schedules"},
 		{Name: "an acceptance for an earlier offer", File: "owner.go", From: "j.to == m.Peer && j.turn == m.OfferNumber\n}", To: "j.to == m.Peer\n}", Run: "EveryOrder"},
-	} {
-		t.Run(m.Name, func(t *testing.T) {
-			t.Parallel()
-			mutation.Found(t, m)
-		})
-	}
+	})
 }
--- a/coord/replication/core/mutants_test.go
+++ b/coord/replication/core/mutants_test.go
@@ -1,14 +1,11 @@
 package core
 
 import (
-	"flag"
 	"testing"
 
 	"shaletrestle/internal/mutation"
 )
 
-var mutants = flag.Bool("mutants", false, "build wrong versions of the core and see that its tests find each; takes some minutes")
-
 // detector is a run of tests that finds a mutant.
 type detector struct {
 	name  string
@@ -123,19 +120,15 @@
 
 // TestMutants_Core_AreFound shows that the search, the direct tests and the random schedules see when a rule of the protocol is missing.
 func TestMutants_Core_AreFound(t *testing.T) {
-	if !*mutants {
-		t.Skip("with -mutants only; CI runs it so")
-	}
+	var mutations []mutation.Mutation
 	for _, wrong := range plantedFaults {
 		for _, by := range wrong.found {
-			t.Run(wrong.name+"/"+by.name, func(t *testing.T) {
-				t.Parallel()
-				first := wrong.edits[0]
-				mutation.Found(t, mutation.Mutation{
-					Name: wrong.name, File: first.File, From: first.From, To: first.To, More: wrong.edits[1:],
-					Package: by.in, Run: by.tests, Args: by.args, Shows: by.shows,
-				})
+			first := wrong.edits[0]
+			mutations = append(mutations, mutation.Mutation{
+				Name: wrong.name + "/" + by.name, File: first.File, From: first.From, To: first.To, More: wrong.edits[1:],
+				Package: by.in, Run: by.tests, Args: by.args, Shows: by.shows,
 			})
 		}
 	}
+	mutation.AllFound(t, mutations)
 }
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,9 +1,12 @@
 // Package mutation shows that tests bite: it changes places of source files, runs chosen tests of a package on
 // the changed sources and wants them to fail. The sources on disk stay as they are. Only tests import it.
+//
+// It gives their binaries the flag -mutants. Without it nothing is built, and a mutation must only have its places.
 package mutation
 
 import (
 	"encoding/json"
+	"flag"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -19,7 +22,10 @@
 	runTime = "5m"
 )
 
-var slots = make(chan struct{}, atOnce)
+var (
+	slots   = make(chan struct{}, atOnce)
+	mutants = flag.Bool("mutants", false, "build wrong versions of the code and see that the tests find each; takes some minutes")
+)
 
 // Replacement is one changed place of a source file.
 type Replacement struct {
@@ -41,13 +47,27 @@
 	Shows   string        // what the failing tests have to print; empty: any failure finds the mutant
 }
 
-// Found fails the test unless the named tests fail on the mutant, and logs what they say.
+// AllFound fails the test unless the named tests fail on each of the mutants, and logs what they say.
 // A mutant that does not compile is no finding.
-func Found(t *testing.T, m Mutation) {
+//
+// Without the flag -mutants it fails the test only if a place to be replaced doesn't stand in its file exactly once.
+func AllFound(t *testing.T, mutations []Mutation) {
+	for _, m := range mutations {
+		t.Run(m.Name, func(t *testing.T) {
+			t.Parallel()
+			overlay := write(t, m)
+			if *mutants {
+				found(t, m, overlay)
+			}
+		})
+	}
+}
+
+// found runs the tests on one mutant.
+func found(t *testing.T, m Mutation, overlay string) {
 	t.Helper()
 	slots <- struct{}{}
 	defer func() { <-slots }()
-	overlay := write(t, m)
 	binary := filepath.Join(t.TempDir(), "mutant.test")
 	build := exec.Command("go", "test", "-c", "-vet=off", "-overlay", overlay, "-o", binary, "./"+m.Package)
 	if out, err := build.CombinedOutput(); err != nil {
--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -1,21 +1,15 @@
 package router
 
 import (
-	"flag"
 	"testing"
 
 	"shaletrestle/internal/mutation"
 )
 
-var mutants = flag.Bool("mutants", false, "build wrong versions of the request path and see that the model finds each; takes a minute")
-
 // TestTheModelFindsMutants shows that each mechanism is needed and that the model sees when it is missing.
 func TestTheModelFindsMutants(t *testing.T) {
-	if !*mutants {
-		t.Skip("with -mutants only; CI runs it so")
-	}
 	const attempts = "../../coord/attempt/attempt.go"
-	for _, m := range []mutation.Mutation{
+	mutation.AllFound(t, []mutation.Mutation{
 		{Name: "sent in part counts as not run", File: attempts, From: "return s == PartlySent || s == Sent || s == Answered", To: "return s == Sent || s == Answered", Run: "EveryByteOfARequest"},
 		{Name: "a silent replica counts as not run", File: attempts, From: "return s == PartlySent || s == Sent || s == Answered", To: "return s == PartlySent || s == Answered", Run: "EveryPair"},
 		{Name: "everything may be repeated", File: attempts, From: "return repeatable || !t.MayHaveRun()", To: "return true", Run: "EveryPair"},
@@ -26,13 +20,8 @@
 		{Name: "a cut stream ends as whole", File: "answer.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "EveryByteOfAnAnswer"},
 		{Name: "events of any run are joined", File: "answer.go", From: "if !q.follows(p.ID, *joined) {", To: "if false {", Run: "EveryPair|EveryByteOfAnAnswer|Joined"},
 		{Name: "a gone client gets an empty success", File: "answer.go", From: "func (q *request) abandon() {\n\tpanic(http.ErrAbortHandler)", To: "func (q *request) abandon() {", Run: "OwnDirection"},
-		{Name: "no time before the first byte", File: "attempt.go", From: "NotAfter: notAfter,", To: "NotAfter: notAfter.Add(1 << 60),", Run: "Wakes"},
+		{Name: "no time before the first byte", File: "attempt.go", From: "NotAfter:  notAfter,", To: "NotAfter:  notAfter.Add(1 << 60),", Run: "Wakes"},
 		{Name: "the route's timeout is not looked at", File: "request.go", From: "min(clientWaits(q.r.Header), q.path.Timeout)", To: "clientWaits(q.r.Header)", Run: "NothingIsHeld"},
 		{Name: "a wait goes on past the deadline", File: "attempt.go", From: "wait := time.Until(q.deadline)\n", To: "wait := time.Until(q.deadline) + q.path.Timeout\n", Run: "NothingIsHeld"},
-	} {
-		t.Run(m.Name, func(t *testing.T) {
-			t.Parallel()
-			mutation.Found(t, m)
-		})
-	}
+	})
 }
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -1,20 +1,14 @@
 package upstream
 
 import (
-	"flag"
 	"testing"
 
 	"shaletrestle/internal/mutation"
 )
 
-var mutants = flag.Bool("mutants", false, "build wrong versions of the package and see that the model finds each; takes a minute")
-
 // TestTheModelFindsMutants shows that each mechanism is needed and that the model sees when it is missing.
 func TestTheModelFindsMutants(t *testing.T) {
-	if !*mutants {
-		t.Skip("with -mutants only; CI runs it so")
-	}
-	for _, m := range []mutation.Mutation{
+	mutation.AllFound(t, []mutation.Mutation{
 		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeaderAttemptID) == x.request.AttemptID", To: "true", Run: "Answer|Surplus"},
 		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.AttemptID", To: "false", Run: "Surplus"},
 		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "ARequestCut"},
@@ -27,10 +21,5 @@
 		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "AnAnswerCut"},
 		{Name: "a dropped answer leaves its connection open", File: "answer.go", From: "\t\ta.connection.Close()\n", To: "", Run: "AnAnswerCut"},
 		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
-	} {
-		t.Run(m.Name, func(t *testing.T) {
-			t.Parallel()
-			mutation.Found(t, m)
-		})
-	}
+	})
 }
