--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -12,26 +12,26 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// kept is what a member holds.
-type kept struct {
+// usage is what a member holds.
+type usage struct {
 	recentBytes int // of entries in memory
-	tailBytes   int // of entries on disk and not applied: a member that is no copy since its restart has its whole log there
-	orders      int // that wait in the core
+	tailBytes   int // of entries on disk and not applied: a member that is no replica since its restart has its complete log there
+	commands    int // that wait in the core
 	calls       int // that wait in the driver
 	jobs        int // of the disk
 	logBytes    int // of entries in the store
 }
 
-// keptBy measures a member. The core tells nobody of its lists, so they are looked at by reflection.
-func (f *fleet) keptBy(i int) kept {
-	m := f.m[i]
+// usageOf measures a member. The core tells nobody of its lists, so they are looked at by reflection.
+func (f *fleet) usageOf(i int) usage {
+	m := f.members[i]
 	m.mu.Lock()
 	inside := reflect.ValueOf(m.core).Elem()
 	state := inside.FieldByName("state")
-	k := kept{
+	k := usage{
 		recentBytes: entryBytes(state.FieldByName("cachedEntries")),
 		tailBytes:   entryBytes(state.FieldByName("tail")),
-		orders:      inside.FieldByName("commands").Len(),
+		commands:    inside.FieldByName("commands").Len(),
 	}
 	m.mu.Unlock()
 	m.calls.mu.Lock()
@@ -40,7 +40,7 @@
 	m.disk.mu.Lock()
 	k.jobs = len(m.disk.jobs)
 	m.disk.mu.Unlock()
-	for _, entry := range f.st[i].content().entries {
+	for _, entry := range f.stores[i].content().entries {
 		k.logBytes += len(entry.Data)
 	}
 	return k
@@ -53,32 +53,32 @@
 	return bytes
 }
 
-// TestWhatIsKeptStaysBounded makes 10,000 changes, while the backup is away now and then.
-func TestWhatIsKeptStaysBounded(t *testing.T) {
+// TestMember_ManyChanges_MemoryAndDiskBounded makes 10,000 changes, while the backup is away now and then.
+func TestMember_ManyChanges_MemoryAndDiskBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(settingsCount, 0, "a", "b", "c")
 		defer f.end()
 		limits := core.DefaultLimits()
-		var most kept
-		for f.change < 10_000 {
-			f.orders(t, 125)
-			for i := range f.m {
-				if f.ctx[i].Err() != nil {
+		var most usage
+		for f.lastChange < 10_000 {
+			f.makeChanges(t, 125)
+			for i := range f.members {
+				if f.contexts[i].Err() != nil {
 					continue
 				}
-				k := f.keptBy(i)
+				k := f.usageOf(i)
 				most.recentBytes = max(most.recentBytes, k.recentBytes)
 				most.tailBytes = max(most.tailBytes, k.tailBytes)
 				most.logBytes = max(most.logBytes, k.logBytes)
 				most.calls = max(most.calls, k.calls)
 				most.jobs = max(most.jobs, k.jobs)
 			}
-			if f.change%1000 == 0 {
+			if f.lastChange%1000 == 0 {
 				_, backup, _ := f.roles(t)
 				f.stop(backup)
-				f.orders(t, 25)
+				f.makeChanges(t, 25)
 				f.start(backup)
-				f.orders(t, 100)
+				f.makeChanges(t, 100)
 			}
 		}
 		t.Logf("most that was kept: %+v; longest answer %v", most, f.longest)
@@ -87,39 +87,39 @@
 		require.LessOrEqual(t, most.tailBytes, limits.LogBytes+2*changeBytes)
 		require.Zero(t, most.calls)
 		require.LessOrEqual(t, most.jobs, 1)
-		require.Less(t, f.longest, takeoverWait)
-		f.copiesAgree(t)
+		require.Less(t, f.longest, maxTakeover)
+		f.requireReplicasAgree(t)
 	})
 }
 
-// TestWaitingOrdersAreBounded sends many orders at once to a primary whose disk stands still: so many wait, the others are told at once, and none is left when their time is over.
-func TestWaitingOrdersAreBounded(t *testing.T) {
+// TestMember_DiskStalled_PendingCommandsBounded sends many commands at once to a primary whose disk stands still: so many wait, the others are rejected at once, and none is left when their time is over.
+func TestMember_DiskStalled_PendingCommandsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(settingsCount, 0, "a", "b", "c")
 		defer f.end()
-		f.orders(t, 10)
-		p := f.newest()
-		resume := f.st[p].stall()
+		f.makeChanges(t, 10)
+		primary := f.newestPrimary()
+		resume := f.stores[primary].stall()
 		const sent = 500
 		var all sync.WaitGroup
 		for range sent {
 			all.Go(func() {
-				_ = f.m[p].Propose(time.Now().Add(orderWait), func() ([]byte, error) { return change(f.settings[p].lastChange() + 1), nil })
+				_ = f.members[primary].Propose(time.Now().Add(proposeTimeout), func() ([]byte, error) { return change(f.settings[primary].lastChange() + 1), nil })
 			})
 		}
 		time.Sleep(10 * time.Millisecond)
-		waiting := f.keptBy(p)
+		waiting := f.usageOf(primary)
 		limit := core.DefaultLimits().MaxPending
-		require.LessOrEqual(t, waiting.orders, limit)
+		require.LessOrEqual(t, waiting.commands, limit)
 		require.LessOrEqual(t, waiting.calls, limit+1, "the one that is written, and those that wait")
 		all.Wait()
 		resume()
 		time.Sleep(3 * time.Second)
-		after := f.keptBy(p)
-		require.Zero(t, after.orders)
+		after := f.usageOf(primary)
+		require.Zero(t, after.commands)
 		require.Zero(t, after.calls)
-		f.change = f.settings[f.newest()].lastChange()
-		f.orders(t, 10)
-		f.copiesAgree(t)
+		f.lastChange = f.settings[f.newestPrimary()].lastChange()
+		f.makeChanges(t, 10)
+		f.requireReplicasAgree(t)
 	})
 }
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -8,13 +8,13 @@
 	"shaletrestle/internal/errkind"
 )
 
-// call is an order or a read that waits for its answer.
+// call is a command or a read that waits for its answer.
 type call struct {
 	result chan core.Result
 	read   func() // of a read; it runs while the state is the confirmed one
 }
 
-// calls are the orders and reads that wait.
+// calls are the commands and reads that wait.
 type calls struct {
 	mu        sync.Mutex
 	lastToken core.Token
@@ -54,9 +54,9 @@
 	taken.result <- answer
 }
 
-// Propose makes one change. decide runs with nothing else in between, on the state as all earlier orders left it, and gives the entry, nil if nothing is to be done, or the error of a refusal; it must not wait.
+// Propose makes one change. decide runs with nothing else in between, on the state as all earlier commands left it, and gives the entry, nil if nothing is to be done, or the error of a refusal; it must not wait.
 //
-// No error means that the change is synced on all copies or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. NotHere means that this member is not the primary and that nothing was begun; Unready that the change may be made or not.
+// No error means that the change is synced on all replicas or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. NotHere means that this member is not the primary and that nothing was begun; Unready that the change may be made or not.
 func (m *Member) Propose(deadline time.Time, decide func() ([]byte, error)) error {
 	token, waiting := m.calls.add(nil)
 	order := core.Command{Token: token, Deadline: deadline.Sub(m.startedAt), Decide: decide}
--- a/coord/replication/figures_test.go
+++ b/coord/replication/capacity_test.go
@@ -18,41 +18,41 @@
 	"shaletrestle/internal/state"
 )
 
-// The figures of docs/CAPACITY.md: go test ./coord/replication -run Figures -control-figures -v
+// The figures of docs/CAPACITY.md: go test ./coord/replication -run Capacity -control-figures -v
 var controlFigures = flag.Bool("control-figures", false, "measure what the control state takes on disk and in memory, and its catching up")
 
-// diskLife is a life on a store with real files.
-type diskLife struct {
+// fileStore is an incarnation on a store with real files.
+type fileStore struct {
 	*store.Store
-	life *life
+	incarnation *incarnation
 }
 
-func (d diskLife) SaveRegister(r core.Register) error {
-	return d.life.write(func() error { return d.Store.SaveRegister(r) })
+func (d fileStore) SaveRegister(r core.Register) error {
+	return d.incarnation.write(func() error { return d.Store.SaveRegister(r) })
 }
 
-func (d diskLife) SaveSnapshot(s core.Snapshot, tail []core.Entry) error {
-	return d.life.write(func() error { return d.Store.SaveSnapshot(s, tail) })
+func (d fileStore) SaveSnapshot(s core.Snapshot, tail []core.Entry) error {
+	return d.incarnation.write(func() error { return d.Store.SaveSnapshot(s, tail) })
 }
 
-func (d diskLife) Append(e core.Entry) error {
-	return d.life.write(func() error { return d.Store.Append(e) })
+func (d fileStore) Append(e core.Entry) error {
+	return d.incarnation.write(func() error { return d.Store.Append(e) })
 }
 
-// useFiles keeps the members' disks in folders of their own.
+// useFiles keeps the members' disks in directories of their own.
 func (f *fleet) useFiles(folders []string) {
-	keepSettings := f.adjust
-	f.adjust = func(i int, config *Config) {
+	keepSettings := f.configure
+	f.configure = func(i int, config *Config) {
 		keepSettings(i, config)
 		opened, err := store.Open(store.OSFiles{}, folders[i], true)
 		if err != nil {
 			panic(err)
 		}
-		config.Store = diskLife{opened, f.lf[i]}
+		config.Store = fileStore{opened, f.incarnations[i]}
 	}
 }
 
-// folderBytes is what the files in a folder take, and those of its logs.
+// folderBytes is what the files in a directory take, and those of its logs.
 func folderBytes(t *testing.T, folder string) (all, logs int64) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -81,8 +81,8 @@
 	return stats.HeapAlloc
 }
 
-// TestControlFigures prints the figures of three members on real files after so many changes.
-func TestControlFigures(t *testing.T) {
+// TestCapacity_ControlState_Print prints the figures of three members on real files after so many changes.
+func TestCapacity_ControlState_Print(t *testing.T) {
 	if !*controlFigures {
 		t.Skip("only with -control-figures")
 	}
@@ -99,7 +99,7 @@
 	f.startAll()
 	defer f.end()
 	time.Sleep(2 * time.Second)
-	f.orders(t, changes)
+	f.makeChanges(t, changes)
 	primary, backup, _ := f.roles(t)
 	all, logs := folderBytes(t, folders[primary])
 	heap := liveHeap() - before
@@ -107,32 +107,32 @@
 	usual := f.longest
 
 	f.stop(backup)
-	f.orders(t, changes)
+	f.makeChanges(t, changes)
 	f.start(backup)
-	f.orders(t, 50)
+	f.makeChanges(t, 50)
 	f.longest = 0
 	leader, other, member := f.roles(t)
-	f.watchParts(member, nil)
+	f.watchChunks(member, nil)
 	require.Equal(t, backup, member)
 	lost := time.Now()
 	f.stop(other)
-	for index(f.m[leader].View().Replicas(), f.m[member].self.ID) < 0 {
-		f.order(t)
+	for memberIndex(f.members[leader].View().Replicas(), f.members[member].self.ID) < 0 {
+		f.makeChange(t)
 	}
 	sent, _ := f.stateSent(member)
 	fmt.Printf("%d changes: snapshot %d bytes; on disk %d, of it log %d; heap of three members %d; longest answer %v; away for as many: a copy again %v after the other's loss, %d bytes sent\n",
 		changes, snapshot, all, logs, heap, usual, time.Since(lost), sent)
-	f.copiesAgree(t)
+	f.requireReplicasAgree(t)
 }
 
-// TestOrderBookFigures prints the size of the order book's snapshot at the size to come.
-func TestOrderBookFigures(t *testing.T) {
+// TestCapacity_OrderStore_Print prints the size of the order store's snapshot at the size to come.
+func TestCapacity_OrderStore_Print(t *testing.T) {
 	if !*controlFigures {
 		t.Skip("only with -control-figures")
 	}
 	for _, orders := range []int{1, 512, 1000} {
 		book := state.NewStore(state.Options{History: true})
-		require.NoError(t, book.Update(state.EncodeEvent(state.NewPutConfig(0, wholeConfiguration(400, 250, 26)))))
+		require.NoError(t, book.Update(state.EncodeEvent(state.NewPutConfig(0, fullConfiguration(400, 250, 26)))))
 		patch := 0
 		for number := 2; number <= orders; number++ {
 			body := fmt.Appendf(nil, `{"revision":%d,"upsert":{"route_table":[%s]}}`, number, routeText(number%400, 250, 26, 5000+number))
@@ -154,8 +154,8 @@
 	}
 }
 
-// wholeConfiguration is one as an operator writes it, with routes for tenants on models.
-func wholeConfiguration(routes, tenants, models int) []byte {
+// fullConfiguration is one as an operator writes it, with routes for tenants on models.
+func fullConfiguration(routes, tenants, models int) []byte {
 	var table, pools []string
 	for i := range routes {
 		table = append(table, routeText(i, tenants, models, 10000))
--- a/coord/replication/compatibility_test.go
+++ b/coord/replication/compatibility_test.go
@@ -11,24 +11,24 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// numbered gives values that differ from all others it gave.
-type numbered struct{ last uint64 }
+// sequence gives values that differ from all others it gave.
+type sequence struct{ last uint64 }
 
-func (n *numbered) next() uint64 {
+func (n *sequence) next() uint64 {
 	n.last++
 	return 0x5000 + n.last
 }
 
-func (n *numbered) member() core.Member {
+func (n *sequence) member() core.Member {
 	id := n.next()
 	return core.Member{ID: core.MemberID(id), Address: fmt.Sprintf("10.0.0.1:%d", id), Zone: fmt.Sprint("zone-", id)}
 }
 
-func (n *numbered) position() core.Position {
+func (n *sequence) position() core.Position {
 	return core.Position{Index: core.Index(n.next()), Digest: core.Digest(n.next())}
 }
 
-func (n *numbered) view() core.View {
+func (n *sequence) view() core.View {
 	return core.View{
 		Epoch:     core.Epoch(n.next()),
 		Ballot:    core.Ballot(n.next()),
@@ -39,30 +39,30 @@
 	}
 }
 
-func (n *numbered) viewPointer() *core.View {
+func (n *sequence) viewPointer() *core.View {
 	view := n.view()
 	return &view
 }
 
-func (n *numbered) envelope() core.Envelope {
+func (n *sequence) envelope() core.Envelope {
 	return core.Envelope{From: n.member(), To: core.MemberID(n.next()), ToAddress: fmt.Sprint("10.0.0.2:", n.next())}
 }
 
 // status sets one flag of a status.
-func (n *numbered) status(flag int) core.Status {
+func (n *sequence) status(flag int) core.Status {
 	return core.Status{Writable: flag == 0, Relay: flag == 1, Leaving: flag == 2, BootstrapDisk: flag == 3, Position: n.position()}
 }
 
-func (n *numbered) tag() core.StateTag {
+func (n *sequence) tag() core.StateTag {
 	return core.StateTag{Epoch: core.Epoch(n.next()), Ballot: core.Ballot(n.next())}
 }
 
-func (n *numbered) epoch() core.Epoch   { return core.Epoch(n.next()) }
-func (n *numbered) ballot() core.Ballot { return core.Ballot(n.next()) }
+func (n *sequence) epoch() core.Epoch   { return core.Epoch(n.next()) }
+func (n *sequence) ballot() core.Ballot { return core.Ballot(n.next()) }
 
 // recordedMessages are messages of each type with all their fields set.
 func recordedMessages() []core.Message {
-	n := &numbered{}
+	n := &sequence{}
 	entry := core.Entry{Index: core.Index(n.next()), Epoch: n.epoch(), Ballot: n.ballot(), Previous: core.Digest(n.next()), Data: []byte("entry")}
 	return []core.Message{
 		core.Hello{Envelope: n.envelope(), Status: n.status(0), View: n.viewPointer()},
--- a/coord/replication/config.go
+++ b/coord/replication/config.go
@@ -17,8 +17,8 @@
 
 // Store is a member's disk. What a method returned for without an error is synced, names of files included.
 type Store interface {
-	Identity() (id uint64, firstStart bool)
-	BootstrapSeeds() []string // of the first start, if the disk was made at that; the settings may name others by now
+	Identity() (id uint64, bootstrap bool)
+	BootstrapSeeds() []string // of the bootstrap, if the disk was made at that; the settings may name others by now
 	Load() core.Stored
 	SaveRegister(core.Register) error
 	// SaveSnapshot puts a whole state in place of the one before: after a crash in the middle either the old state or the new one is found.
@@ -44,7 +44,7 @@
 type Config struct {
 	Address           string
 	Zone              string
-	Seeds             []string                 // addresses; at the first start the same for all
+	Seeds             []string                 // addresses; at the bootstrap the same for all
 	MaxFailures       int                      // members that may be lost at once; 0: one member alone may be primary
 	MaxDomainFailures int                      // areas that may be lost at once
 	FailureDomain     func(zone string) string // what a zone is lost with; nil: each zone by itself
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// carryOut does one job, and says so when it takes too long and when it has ended.
+// execute does one job, and says so when it takes too long and when it has ended.
 func (w *diskWorker) execute(job core.Effect) {
 	token, patience := w.describe(job)
 	stalled := time.AfterFunc(patience, func() { w.post(core.DiskStalled{Token: token}) })
--- a/coord/replication/encode.go
+++ b/coord/replication/encode.go
@@ -7,7 +7,7 @@
 	fb "shaletrestle/coord/replication/replicationfb"
 )
 
-// encodeHead are the bytes of a message besides its data, in most cases.
+// messageOverheadBytes are the bytes of a message besides its data, in most cases.
 const messageOverheadBytes = 512
 
 // encodeMessage puts a message into bytes.
--- a/coord/replication/settings_test.go
+++ b/coord/replication/fleet_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	changeBytes   = 3 << 10               // of one change
-	settingsCount = 100                   // 300 KB in a snapshot
-	changeEvery   = 20 * time.Millisecond // 50 changes a second
-	orderWait     = 900 * time.Millisecond
-	linkRate      = 8 << 20 // bytes a second of a link of 100 Mbit/s less a third
-	slowLinkRate  = 1 << 20
+	changeBytes    = 3 << 10               // of one change
+	settingsCount  = 100                   // 300 KB in a snapshot
+	changeInterval = 20 * time.Millisecond // 50 changes a second
+	proposeTimeout = 900 * time.Millisecond
+	linkRate       = 8 << 20 // bytes a second of a link of 100 Mbit/s less a third
+	slowLinkRate   = 1 << 20
 )
 
 // settings is a machine with a state of bounded size: a change replaces one of the values. Changes are numbered from 1; each must follow the one before.
@@ -90,23 +90,23 @@
 	return entry
 }
 
-// fleet is a crowd whose members keep settings, with a network that is watched.
+// fleet is a cluster whose members keep settings, with a network that is watched.
 type fleet struct {
-	*crowd
+	*cluster
 	settings []*settings
 
-	mu        sync.Mutex
-	frozen    map[string]chan struct{} // by address; closed when it thaws
-	partBytes map[string]int           // of state sent, by the address it is sent to
-	received  []int64                  // of the streams, as watched tells it
-	watched   string                   // address
-	onPart    func(address string, part core.SnapshotChunk)
+	mu         sync.Mutex
+	paused     map[string]chan struct{} // by address; closed when it resumes
+	chunkBytes map[string]int           // of state sent, by the address it is sent to
+	received   []int64                  // of the streams, as watched tells it
+	watched    string                   // address
+	onChunk    func(address string, part core.SnapshotChunk)
 
-	change  uint64 // the last one that was acknowledged
-	longest time.Duration
+	lastChange uint64 // the last one that was acknowledged
+	longest    time.Duration
 }
 
-// newFleet starts a fleet that bears one loss over links of a rate and waits until it serves.
+// newFleet starts a fleet that tolerates one loss over links of a rate and waits until it serves.
 func newFleet(count, rate int, zones ...string) *fleet {
 	f := makeFleet(count, rate, zones...)
 	f.startAll()
@@ -115,30 +115,30 @@
 }
 
 func makeFleet(count, rate int, zones ...string) *fleet {
-	f := &fleet{crowd: makeCrowd(1, zones...), frozen: map[string]chan struct{}{}, partBytes: map[string]int{}}
+	f := &fleet{cluster: makeCluster(1, zones...), paused: map[string]chan struct{}{}, chunkBytes: map[string]int{}}
 	f.settings = make([]*settings, len(zones))
-	f.adjust = func(i int, config *Config) {
+	f.configure = func(i int, config *Config) {
 		f.settings[i] = newSettings(count)
 		config.StateMachine = f.settings[i]
 	}
-	f.h.rate = rate
-	f.h.setDrop(f.watch)
+	f.network.bytesPerSecond = rate
+	f.network.setDrop(f.watch)
 	return f
 }
 
 // watch sees each message as it is sent, by the goroutine that sends it. It loses none.
 func (f *fleet) watch(address string, message core.Message) bool {
 	f.mu.Lock()
-	gate := f.frozen[message.Route().From.Address]
+	gate := f.paused[message.Route().From.Address]
 	f.mu.Unlock()
 	if gate != nil {
 		<-gate
 	}
 	f.mu.Lock()
-	onPart := f.onPart
+	onPart := f.onChunk
 	switch message := message.(type) {
 	case core.SnapshotChunk:
-		f.partBytes[address] += len(message.Data)
+		f.chunkBytes[address] += len(message.Data)
 	case core.SnapshotChunkReply:
 		if message.From.Address == f.watched && !message.Complete && message.Rejection == core.Granted {
 			f.received = append(f.received, message.Received)
@@ -151,71 +151,71 @@
 	return false
 }
 
-// watchParts begins the count of state sent anew. onPart, if any, is called for each part before it goes out.
-func (f *fleet) watchParts(receiver int, onPart func(address string, part core.SnapshotChunk)) {
+// watchChunks begins the count of state sent anew. onPart, if any, is called for each part before it goes out.
+func (f *fleet) watchChunks(receiver int, onPart func(address string, part core.SnapshotChunk)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.partBytes = map[string]int{}
+	f.chunkBytes = map[string]int{}
 	f.received = nil
 	f.watched = address(receiver)
-	f.onPart = onPart
+	f.onChunk = onPart
 }
 
-// stateSent is how many bytes of state were sent to a member, and how much of it the member said to have, answer by answer.
+// stateSent is how many bytes of state were sent to a member, and how much of it the member acknowledged, answer by answer.
 func (f *fleet) stateSent(i int) (bytes int, received []int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.partBytes[address(i)], slices.Clone(f.received)
+	return f.chunkBytes[address(i)], slices.Clone(f.received)
 }
 
 func address(i int) string { return fmt.Sprint("m", i) }
 
-// freeze makes a member stand still at the next message that it sends.
-func (f *fleet) freeze(i int) {
+// pause makes a member stand still at the next message that it sends.
+func (f *fleet) pause(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.frozen[address(i)] = make(chan struct{})
+	f.paused[address(i)] = make(chan struct{})
 }
 
-func (f *fleet) thaw(i int) {
+func (f *fleet) resume(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.frozen[address(i)])
-	delete(f.frozen, address(i))
+	close(f.paused[address(i)])
+	delete(f.paused, address(i))
 }
 
-func (f *fleet) isFrozen(i int) bool {
+func (f *fleet) isPaused(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.frozen[address(i)] != nil
+	return f.paused[address(i)] != nil
 }
 
-// newest is the primary of the newest epoch, negative if there is none.
-func (f *fleet) newest() int {
+// newestPrimary is the primary of the newest epoch, negative if there is none.
+func (f *fleet) newestPrimary() int {
 	found, newest := -1, uint64(0)
-	for i, m := range f.m {
+	for i, m := range f.members {
 		epoch, active := m.PrimaryEpoch()
-		if active && epoch > newest && f.ctx[i].Err() == nil && !f.isFrozen(i) {
+		if active && epoch > newest && f.contexts[i].Err() == nil && !f.isPaused(i) {
 			found, newest = i, epoch
 		}
 	}
 	return found
 }
 
-// order makes the next change, as a caller who sends it again until it is taken.
-func (f *fleet) order(t *testing.T) {
+// makeChange makes the next change, as a caller who sends it again until it is taken.
+func (f *fleet) makeChange(t *testing.T) {
 	t.Helper()
-	number := f.change + 1
+	number := f.lastChange + 1
 	begun := time.Now()
 	for {
 		require.Less(t, time.Since(begun), 20*time.Second, "change %d is not taken", number)
-		p := f.newest()
-		if p < 0 {
+		primary := f.newestPrimary()
+		if primary < 0 {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		err := f.m[p].Propose(time.Now().Add(orderWait), func() ([]byte, error) {
-			last := f.settings[p].lastChange()
+		err := f.members[primary].Propose(time.Now().Add(proposeTimeout), func() ([]byte, error) {
+			last := f.settings[primary].lastChange()
 			switch {
 			case last >= number:
 				return nil, nil
@@ -230,30 +230,30 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.change = number
+	f.lastChange = number
 	f.longest = max(f.longest, time.Since(begun))
 }
 
-// orders makes changes at the steady rate.
-func (f *fleet) orders(t *testing.T, count int) {
+// makeChanges makes changes at the steady rate.
+func (f *fleet) makeChanges(t *testing.T, count int) {
 	t.Helper()
 	next := time.Now()
 	for range count {
-		f.order(t)
-		next = next.Add(changeEvery)
+		f.makeChange(t)
+		next = next.Add(changeInterval)
 		time.Sleep(time.Until(next))
 	}
 }
 
-// roles gives the places of the primary, its backup and the third member.
+// roles gives the indices of the primary, its backup and the third member.
 func (f *fleet) roles(t *testing.T) (primary, backup, witness int) {
 	t.Helper()
-	primary = f.newest()
+	primary = f.newestPrimary()
 	require.GreaterOrEqual(t, primary, 0)
-	view := f.m[primary].View()
+	view := f.members[primary].View()
 	require.Len(t, view.Backups, 1)
-	backup = f.at(view.Backups[0])
-	for i := range f.m {
+	backup = f.indexOf(view.Backups[0])
+	for i := range f.members {
 		if i != primary && i != backup {
 			return primary, backup, i
 		}
@@ -261,17 +261,17 @@
 	return primary, backup, -1
 }
 
-// copiesAgree requires that all copies of the newest view have all that was acknowledged.
-func (f *fleet) copiesAgree(t *testing.T) {
+// requireReplicasAgree requires that all replicas of the newest view have all that was acknowledged.
+func (f *fleet) requireReplicasAgree(t *testing.T) {
 	t.Helper()
 	time.Sleep(100 * time.Millisecond)
-	p := f.newest()
-	require.GreaterOrEqual(t, p, 0)
-	want := f.settings[p].Snapshot()
-	require.Equal(t, f.change, f.settings[p].lastChange())
-	for _, member := range f.m[p].View().Replicas() {
-		i := f.at(member)
-		require.True(t, slices.Equal(want, f.settings[i].Snapshot()), "copy m%d differs", i)
+	primary := f.newestPrimary()
+	require.GreaterOrEqual(t, primary, 0)
+	want := f.settings[primary].Snapshot()
+	require.Equal(t, f.lastChange, f.settings[primary].lastChange())
+	for _, member := range f.members[primary].View().Replicas() {
+		i := f.indexOf(member)
+		require.True(t, slices.Equal(want, f.settings[i].Snapshot()), "replica m%d differs", i)
 		require.NoError(t, f.settings[i].err)
 	}
 }
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -8,7 +8,7 @@
 	"shaletrestle/coord/rpc"
 )
 
-// pendingMost is how many messages to one address wait for its dial; further ones are dropped.
+// maxPendingMessages is how many messages to one address wait for its dial; further ones are dropped.
 const maxPendingMessages = 64
 
 // Links is the Transport over held channels. A message goes out on the channel on which the member was heard last, or on one that is dialled when it is needed.
@@ -98,40 +98,40 @@
 	}
 }
 
-func (k *link) use(channel *rpc.Channel) {
-	k.channel = channel
-	k.sentAt = time.Time{}
-	k.sent = 0
+func (l *link) use(channel *rpc.Channel) {
+	l.channel = channel
+	l.sentAt = time.Time{}
+	l.sent = 0
 }
 
 // usable tells whether the channel is open and not silent. One on which nothing was heard for the wait of an answer, since something was sent on it, is left: the path may be another by now.
-func (k *link) usable() bool {
-	if k.channel == nil {
+func (l *link) usable() bool {
+	if l.channel == nil {
 		return false
 	}
-	if k.channel.Closed() {
-		k.channel = nil
+	if l.channel.Closed() {
+		l.channel = nil
 		return false
 	}
 	now := time.Now()
-	heardAt := now.Add(-k.channel.IdleTime())
-	if k.sentAt.IsZero() || !heardAt.Before(k.sentAt) {
-		k.sentAt = now
-		k.sent = 0
+	heardAt := now.Add(-l.channel.IdleTime())
+	if l.sentAt.IsZero() || !heardAt.Before(l.sentAt) {
+		l.sentAt = now
+		l.sent = 0
 		return true
 	}
-	patience := rpc.CallTimeout + time.Duration(k.sent)*time.Second/rpc.LinkBytesPerSecond
-	if now.Sub(k.sentAt) < patience {
+	patience := rpc.CallTimeout + time.Duration(l.sent)*time.Second/rpc.LinkBytesPerSecond
+	if now.Sub(l.sentAt) < patience {
 		return true
 	}
-	k.silent = k.channel
-	k.channel = nil
+	l.silent = l.channel
+	l.channel = nil
 	return false
 }
 
-func (k *link) send(message core.Message) {
+func (l *link) send(message core.Message) {
 	note := &rpc.Message{Kind: rpc.Replication, Body: encodeMessage(message)}
 	frame := note.Encode()
-	k.sent += len(frame)
-	k.channel.SendRaw(frame)
+	l.sent += len(frame)
+	l.channel.SendRaw(frame)
 }
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -15,34 +15,34 @@
 	"shaletrestle/internal/errkind"
 )
 
-// pipes is a network of pipes to one listener; a mute one takes bytes and gives no answer.
-type pipes struct {
-	ctx   context.Context
-	mu    sync.Mutex
-	dials int
-	down  bool
-	take  rpc.Handler
+// pipeNetwork is a network of pipes to one listener; a mute one takes bytes and gives no answer.
+type pipeNetwork struct {
+	ctx         context.Context
+	mu          sync.Mutex
+	dials       int
+	unreachable bool
+	handler     rpc.Handler
 }
 
-func (p *pipes) Dial(string, time.Duration) (net.Conn, error) {
+func (p *pipeNetwork) Dial(string, time.Duration) (net.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dials++
-	if p.down {
+	if p.unreachable {
 		return nil, errkind.New(errkind.Unavailable, "nobody is there")
 	}
 	near, far := net.Pipe()
-	rpc.Open(p.ctx, far, p.take)
+	rpc.Open(p.ctx, far, p.handler)
 	return near, nil
 }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// linked is a member's links, and what arrives at the other end.
-func linked(ctx context.Context, answer func(channel *rpc.Channel)) (*Links, *pipes, chan core.Message) {
+// newLinkedPair is a member's links, and what arrives at the other end.
+func newLinkedPair(ctx context.Context, answer func(channel *rpc.Channel)) (*Links, *pipeNetwork, chan core.Message) {
 	arrived := make(chan core.Message, 100)
-	p := &pipes{ctx: ctx}
-	p.take = func(channel *rpc.Channel, note *rpc.Message) *rpc.Message {
+	p := &pipeNetwork{ctx: ctx}
+	p.handler = func(channel *rpc.Channel, note *rpc.Message) *rpc.Message {
 		message, err := decodeMessage(note.Body)
 		if err == nil {
 			arrived <- message
@@ -60,11 +60,11 @@
 	return core.Confirm{Envelope: core.Envelope{From: core.Member{ID: 1, Address: "a"}, To: 2, ToAddress: "b"}, Round: round}
 }
 
-func TestMessagesWaitForTheDialAndShareItsChannel(t *testing.T) {
+func TestLinks_WhileDialing_MessagesShareOneChannel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		links, network, arrived := linked(ctx, nil)
+		links, network, arrived := newLinkedPair(ctx, nil)
 		for round := range uint64(5) {
 			links.Send("b", confirmRound(round))
 		}
@@ -77,18 +77,18 @@
 	})
 }
 
-func TestAnUnreachableMemberHoldsNothingUp(t *testing.T) {
+func TestLinks_UnreachableMember_MessagesDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		links, network, arrived := linked(ctx, nil)
-		network.down = true
+		links, network, arrived := newLinkedPair(ctx, nil)
+		network.unreachable = true
 		for round := range uint64(1000) {
 			links.Send("b", confirmRound(round))
 		}
 		synctest.Wait()
 		network.mu.Lock()
-		network.down = false
+		network.unreachable = false
 		network.mu.Unlock()
 		links.Send("b", confirmRound(1000))
 		synctest.Wait()
@@ -96,12 +96,12 @@
 	})
 }
 
-// TestASilentChannelIsLeft sends on a channel on which no answer comes: it is closed after the wait of an answer, and another is dialled.
-func TestASilentChannelIsLeft(t *testing.T) {
+// TestLinks_SilentChannel_Replaced sends on a channel on which no answer comes: it is closed after the wait of an answer, and another is dialled.
+func TestLinks_SilentChannel_Replaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		links, network, _ := linked(ctx, nil)
+		links, network, _ := newLinkedPair(ctx, nil)
 		for range 8 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(100 * time.Millisecond)
@@ -111,11 +111,11 @@
 	})
 }
 
-func TestAnAnsweredChannelIsKept(t *testing.T) {
+func TestLinks_AnsweredChannel_Kept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		links, network, _ := linked(ctx, func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
+		links, network, _ := newLinkedPair(ctx, func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
 		for range 30 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(time.Second)
@@ -124,12 +124,12 @@
 	})
 }
 
-// TestAnAnswerGoesTheWayTheQuestionCame sends to a member that was heard on a channel of its own: nothing is dialled.
-func TestAnAnswerGoesTheWayTheQuestionCame(t *testing.T) {
+// TestLinks_Reply_UsesTheChannelOfTheRequest sends to a member that sent on a channel of its own: nothing is dialled.
+func TestLinks_Reply_UsesTheChannelOfTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		links, network, _ := linked(ctx, nil)
+		links, network, _ := newLinkedPair(ctx, nil)
 		near, far := net.Pipe()
 		heard := make(chan *rpc.Message, 1)
 		rpc.Open(ctx, far, func(_ *rpc.Channel, note *rpc.Message) *rpc.Message {
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	syncTime    = 4 * time.Second         // a member counts as lost so long after its return or start
-	serviceTime = 2500 * time.Millisecond // an order is acknowledged so soon after a loss
-	orderPause  = 50 * time.Millisecond   // between two orders
-	downTime    = 700 * time.Millisecond  // of the member that is lost at a step
+	syncTime        = 4 * time.Second         // a member counts as lost so long after its return or start
+	serviceTime     = 2500 * time.Millisecond // a command is acknowledged so soon after a loss
+	proposeInterval = 50 * time.Millisecond   // between two commands
+	downTime        = 700 * time.Millisecond  // of the member that is lost at a step
 )
 
-// forGood is the end of a loss that does not end.
-var forGood = time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
+// never is the end of a loss that does not end.
+var never = time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // furtherLoss says which member is lost at which step, and whether its disk is.
 type furtherLoss struct {
@@ -35,64 +35,64 @@
 	return fmt.Sprintf("step %d, m%d, %s", f.step, f.victim, disk)
 }
 
-// order is one that was acknowledged.
-type order struct {
-	name  string
-	acked time.Time
+// acknowledgedCommand is one that was acknowledged.
+type acknowledgedCommand struct {
+	name string
+	at   time.Time
 }
 
-// lossRun is one run of a scenario, with a further loss at one of its steps. A step is the arrival of a message while a further loss must be borne.
+// lossRun is one run of a scenario, with a further loss at one of its steps. A step is the arrival of a message while a further loss must be tolerated.
 type lossRun struct {
-	t     *testing.T
-	crowd *crowd
-	every int          // of the messages that belong to no change of view, every so many is a step
-	loss  *furtherLoss // nil: steps are only counted
+	t            *testing.T
+	cluster      *cluster
+	usualPerStep int          // of the messages that belong to no change of view, every so many is a step
+	loss         *furtherLoss // nil: steps are only counted
 
-	mu        sync.Mutex // guards the crowd's members and all that follows
-	bearable  int        // members that may be lost at once
-	lostUntil []time.Time
-	losses    []time.Time // when members were lost
-	trouble   time.Time   // when a member was last lost, or came back
-	leaving   map[int]bool
-	counting  bool
-	usual     int // messages of no change
-	steps     int
-	begun     int // orders
-	acked     []order
-	events    []string
-	busy      sync.WaitGroup
-	ended     chan struct{}
-	endOnce   sync.Once
+	mu            sync.Mutex // guards the cluster's members and all that follows
+	tolerable     int        // members that may be lost at once
+	lostUntil     []time.Time
+	losses        []time.Time // when members were lost
+	lastFault     time.Time   // when a member was last lost, or came back
+	leaving       map[int]bool
+	counting      bool
+	usualMessages int // messages of no change
+	steps         int
+	proposed      int // commands
+	acknowledged  []acknowledgedCommand
+	events        []string
+	busy          sync.WaitGroup
+	ended         chan struct{}
+	endOnce       sync.Once
 }
 
-func newLossRun(t *testing.T, c *crowd, every int, loss *furtherLoss) *lossRun {
+func newLossRun(t *testing.T, c *cluster, every int, loss *furtherLoss) *lossRun {
 	r := &lossRun{
-		t: t, crowd: c, every: every, loss: loss,
-		bearable: c.losses, lostUntil: make([]time.Time, len(c.m)), trouble: time.Now(),
+		t: t, cluster: c, usualPerStep: every, loss: loss,
+		tolerable: c.maxFailures, lostUntil: make([]time.Time, len(c.members)), lastFault: time.Now(),
 		leaving: map[int]bool{}, ended: make(chan struct{}),
 	}
-	c.h.mu.Lock()
-	c.h.arrived = r.arrived
-	c.h.mu.Unlock()
-	r.busy.Go(r.order)
+	c.network.mu.Lock()
+	c.network.arrived = r.arrived
+	c.network.mu.Unlock()
+	r.busy.Go(r.proposeRegularly)
 	return r
 }
 
-func (r *lossRun) note(format string, arguments ...any) {
+func (r *lossRun) logf(format string, arguments ...any) {
 	r.events = append(r.events, time.Now().Format("05.000 ")+fmt.Sprintf(format, arguments...))
 }
 
-// order sends an order to whoever says that it is primary, again and again.
-func (r *lossRun) order() {
-	ticker := time.NewTicker(orderPause)
+// proposeRegularly sends a command to whoever says that it is primary, again and again.
+func (r *lossRun) proposeRegularly() {
+	ticker := time.NewTicker(proposeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			r.mu.Lock()
-			if p := r.crowd.primary(); p >= 0 {
-				r.begun++
-				name, m, life := fmt.Sprint(r.begun), r.crowd.m[p], r.crowd.lf[p]
+			if primary := r.cluster.primary(); primary >= 0 {
+				r.proposed++
+				name, m, life := fmt.Sprint(r.proposed), r.cluster.members[primary], r.cluster.incarnations[primary]
 				r.busy.Go(func() { r.propose(name, m, life) })
 			}
 			r.mu.Unlock()
@@ -102,12 +102,12 @@
 	}
 }
 
-func (r *lossRun) propose(name string, m *Member, life *life) {
-	err := m.Propose(time.Now().Add(patience), func() ([]byte, error) { return []byte(name), nil })
+func (r *lossRun) propose(name string, m *Member, life *incarnation) {
+	err := m.Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return []byte(name), nil })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err == nil && !life.dead.Load() {
-		r.acked = append(r.acked, order{name, time.Now()})
+	if err == nil && !life.stopped.Load() {
+		r.acknowledged = append(r.acknowledged, acknowledgedCommand{name, time.Now()})
 	}
 }
 
@@ -128,12 +128,12 @@
 		return
 	}
 	if !belongsToChange(m) {
-		r.usual++
-		if r.usual%r.every != 0 {
+		r.usualMessages++
+		if r.usualMessages%r.usualPerStep != 0 {
 			return
 		}
 	}
-	if r.lostNow()+1 > r.bearable {
+	if r.lostNow()+1 > r.tolerable {
 		return
 	}
 	r.steps++
@@ -145,24 +145,26 @@
 
 func (r *lossRun) loseFurther(m core.Message) {
 	var running []int
-	for i := range r.crowd.m {
+	for i := range r.cluster.members {
 		if r.running(i) && !r.lostUntil[i].After(time.Now()) {
 			running = append(running, i)
 		}
 	}
 	victim := running[r.loss.victim%len(running)]
-	r.note("at %s from %s: further loss", kindOf(m), m.Route().From.Address)
-	r.down(victim, r.loss.wiped)
+	r.logf("at %s from %s: further loss", typeName(m), m.Route().From.Address)
+	r.stop(victim, r.loss.wiped)
 	time.AfterFunc(downTime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.lostUntil[victim] == forGood && !r.leaving[victim] {
-			r.up(victim)
+		if r.lostUntil[victim] == never && !r.leaving[victim] {
+			r.start(victim)
 		}
 	})
 }
 
-func (r *lossRun) running(i int) bool { return r.crowd.ctx[i] != nil && r.crowd.ctx[i].Err() == nil }
+func (r *lossRun) running(i int) bool {
+	return r.cluster.contexts[i] != nil && r.cluster.contexts[i].Err() == nil
+}
 
 // lostNow is the number of members that count as lost.
 func (r *lossRun) lostNow() int {
@@ -175,23 +177,23 @@
 	return n
 }
 
-func (r *lossRun) down(i int, wiped bool) {
-	view := r.crowd.m[i].View()
-	r.note("m%d is lost, wiped %v, its view %s", i, wiped, viewText(view))
-	r.crowd.stop(i)
+func (r *lossRun) stop(i int, wiped bool) {
+	view := r.cluster.members[i].View()
+	r.logf("m%d is lost, wiped %v, its view %s", i, wiped, viewText(view))
+	r.cluster.stop(i)
 	if wiped {
-		r.crowd.wipe(i)
+		r.cluster.wipe(i)
 	}
-	r.lostUntil[i] = forGood
-	r.trouble = time.Now()
-	r.losses = append(r.losses, r.trouble)
+	r.lostUntil[i] = never
+	r.lastFault = time.Now()
+	r.losses = append(r.losses, r.lastFault)
 }
 
-func (r *lossRun) up(i int) {
-	r.crowd.start(i)
+func (r *lossRun) start(i int) {
+	r.cluster.start(i)
 	r.lostUntil[i] = time.Now().Add(syncTime)
-	r.trouble = time.Now()
-	r.note("m%d starts", i)
+	r.lastFault = time.Now()
+	r.logf("m%d starts", i)
 }
 
 func viewText(view *core.View) string {
@@ -205,7 +207,7 @@
 	for _, m := range view.Witnesses {
 		witnesses = append(witnesses, fmt.Sprint(m.Address, "/", m.ID))
 	}
-	return fmt.Sprint(view.Epoch, " copies ", copies, " witnesses ", witnesses)
+	return fmt.Sprint(view.Epoch, " replicas ", copies, " witnesses ", witnesses)
 }
 
 // locked does one thing of a scenario.
@@ -220,9 +222,9 @@
 	for {
 		r.mu.Lock()
 		fresh := slices.DeleteFunc(slices.Clone(members), func(i int) bool { return !r.running(i) })
-		if r.lostNow()+len(fresh) <= r.bearable {
+		if r.lostNow()+len(fresh) <= r.tolerable {
 			for _, i := range fresh {
-				r.down(i, wiped)
+				r.stop(i, wiped)
 			}
 			r.mu.Unlock()
 			return
@@ -232,11 +234,11 @@
 	}
 }
 
-// comeBack starts a member that was lost.
-func (r *lossRun) comeBack(i int) {
+// restart starts a member that was lost.
+func (r *lossRun) restart(i int) {
 	r.locked(func() {
 		if !r.running(i) {
-			r.up(i)
+			r.start(i)
 		}
 	})
 }
@@ -245,17 +247,17 @@
 func (r *lossRun) add(zone string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i := r.crowd.add(zone)
+	i := r.cluster.add(zone)
 	r.lostUntil = append(r.lostUntil, time.Time{})
-	r.up(i)
+	r.start(i)
 	return i
 }
 
-// succeeded makes a member that is gone count no more: the loss of its successor stands for it.
-func (r *lossRun) succeeded(i int) { r.locked(func() { r.lostUntil[i] = time.Time{} }) }
+// replaced makes a member that is gone count no more: the loss of its successor stands for it.
+func (r *lossRun) replaced(i int) { r.locked(func() { r.lostUntil[i] = time.Time{} }) }
 
-// waitForCalm waits until as few as given count as lost.
-func (r *lossRun) waitForCalm(lost int) {
+// waitForLosses waits until as few as given count as lost.
+func (r *lossRun) waitForLosses(lost int) {
 	for {
 		r.mu.Lock()
 		n := r.lostNow()
@@ -270,19 +272,19 @@
 // leave lets a member leave, and takes it away once it has left or its time is over. One that has not left completely counts as lost.
 func (r *lossRun) leave(i int, wiped bool) {
 	r.mu.Lock()
-	m := r.crowd.m[i]
+	m := r.cluster.members[i]
 	r.leaving[i] = true
-	r.note("m%d leaves", i)
+	r.logf("m%d leaves", i)
 	r.mu.Unlock()
-	complete := m.Leave(time.Now().Add(graceTime))
-	r.locked(func() { r.note("m%d has left: %v", i, complete) })
+	complete := m.Leave(time.Now().Add(leaveTimeout))
+	r.locked(func() { r.logf("m%d has left: %v", i, complete) })
 	if !complete {
 		r.lose(wiped, i)
 		return
 	}
 	r.locked(func() {
 		if r.running(i) {
-			r.down(i, wiped)
+			r.stop(i, wiped)
 		}
 		r.lostUntil[i] = time.Time{}
 	})
@@ -292,10 +294,10 @@
 func (r *lossRun) primary() int {
 	for range 500 {
 		r.mu.Lock()
-		p := r.crowd.primary()
+		primary := r.cluster.primary()
 		r.mu.Unlock()
-		if p >= 0 {
-			return p
+		if primary >= 0 {
+			return primary
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -305,17 +307,17 @@
 
 // view is the primary's.
 func (r *lossRun) view() *core.View {
-	p := r.primary()
+	primary := r.primary()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crowd.m[p].View()
+	return r.cluster.members[primary].View()
 }
 
-// at is the place of a running member, negative if it does not run.
-func (r *lossRun) at(member core.Member) int {
+// indexOf is the index of a running member, negative if it does not run.
+func (r *lossRun) indexOf(member core.Member) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, m := range r.crowd.m {
+	for i, m := range r.cluster.members {
 		if m != nil && m.self.ID == member.ID && r.running(i) {
 			return i
 		}
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -72,7 +72,7 @@
 
 // load makes the core from what the disk holds.
 func (m *Member) load() error {
-	id, firstStart := m.config.Store.Identity()
+	id, bootstrap := m.config.Store.Identity()
 	m.self = core.Member{ID: core.MemberID(id), Address: m.config.Address, Zone: m.config.Zone}
 	loaded, err := core.New(core.Config{
 		Self:              m.self,
@@ -82,7 +82,7 @@
 		MaxDomainFailures: m.config.MaxDomainFailures,
 		FailureDomain:     m.config.FailureDomain,
 		Relay:             m.config.Relay,
-		Bootstrap:         firstStart,
+		Bootstrap:         bootstrap,
 		StateMachine:      machineAdapter{m.config.StateMachine},
 		Timing:            m.timing,
 		Limits:            core.DefaultLimits(),
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -17,40 +17,40 @@
 	"shaletrestle/internal/errkind"
 )
 
-// TestTakeoverAtEveryStepOfAWrite loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
-func TestTakeoverAtEveryStepOfAWrite(t *testing.T) {
+// TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
+func TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, step := range []string{"before append", "append lost", "answer lost", "after answer"} {
 		t.Run(step, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTrio()
-				defer tr.end()
-				p := tr.primary()
-				require.GreaterOrEqual(t, p, 0)
-				require.NoError(t, tr.propose(p, "first"))
+				c := newThreeMembers()
+				defer c.end()
+				primary := c.primary()
+				require.GreaterOrEqual(t, primary, 0)
+				require.NoError(t, c.propose(primary, "first"))
 				acked := false
 				switch step {
 				case "append lost", "answer lost":
-					tr.h.setDrop(func(address string, m core.Message) bool {
+					c.network.setDrop(func(address string, m core.Message) bool {
 						if _, ok := m.(core.Append); !ok {
 							return false
 						}
 						if step == "answer lost" {
-							tr.h.deliver(address, m)
+							c.network.deliver(address, m)
 						}
-						tr.h.setOff(fmt.Sprint("m", p), true)
+						c.network.setDisconnected(fmt.Sprint("m", primary), true)
 						return true
 					})
-					acked = tr.propose(p, "second") == nil
+					acked = c.propose(primary, "second") == nil
 				case "after answer":
-					acked = tr.propose(p, "second") == nil
+					acked = c.propose(primary, "second") == nil
 					require.True(t, acked)
 				}
-				tr.stop(p)
+				c.stop(primary)
 				time.Sleep(6 * time.Second)
-				q := tr.primary()
-				require.NotEqual(t, p, q)
-				require.GreaterOrEqual(t, q, 0)
-				got, current := tr.read(q)
+				successor := c.primary()
+				require.NotEqual(t, primary, successor)
+				require.GreaterOrEqual(t, successor, 0)
+				got, current := c.read(successor)
 				require.True(t, current)
 				require.True(t, strings.HasPrefix(got, "first;"), got)
 				if acked || step == "answer lost" {
@@ -58,27 +58,27 @@
 				} else {
 					require.Equal(t, "first;", got)
 				}
-				tr.h.setDrop(nil)
-				require.NoError(t, tr.propose(q, "third"))
-				tr.start(p)
+				c.network.setDrop(nil)
+				require.NoError(t, c.propose(successor, "third"))
+				c.start(primary)
 				time.Sleep(3 * time.Second)
-				require.Equal(t, q, tr.primary(), "the returning one drops its tail and does not take over")
+				require.Equal(t, successor, c.primary(), "the returning one drops its tail and does not take over")
 			})
 		})
 	}
 }
 
-func TestADeposedPrimaryAcknowledgesNothing(t *testing.T) {
+func TestPrimary_Deposed_AcknowledgesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		p := tr.primary()
-		tr.h.setOff(fmt.Sprint("m", p), true)
-		require.Error(t, tr.propose(p, "alone"))
-		require.False(t, tr.confirmed(p))
+		c := newThreeMembers()
+		defer c.end()
+		primary := c.primary()
+		c.network.setDisconnected(fmt.Sprint("m", primary), true)
+		require.Error(t, c.propose(primary, "alone"))
+		require.False(t, c.confirmed(primary))
 		time.Sleep(5 * time.Second)
 		n := 0
-		for _, m := range tr.m {
+		for _, m := range c.members {
 			if _, ok := m.PrimaryEpoch(); ok {
 				n++
 			}
@@ -87,25 +87,25 @@
 	})
 }
 
-// TestACutOffPrimaryRefusesNothingClearly asks a primary all the time while it is cut off and followed, and after it is back: a refusal or an "in force already" of its own comes only while nobody else is primary.
-func TestACutOffPrimaryRefusesNothingClearly(t *testing.T) {
+// TestPrimary_Disconnected_GivesNoClearRejection asks a primary all the time while it is disconnected and followed, and after it is back: a refusal or an "in force already" of its own comes only while nobody else is primary.
+func TestPrimary_Disconnected_GivesNoClearRejection(t *testing.T) {
 	for _, gone := range []time.Duration{1050, 1100, 1150, 1200, 1300, 2000} {
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrio()
-			defer tr.end()
-			p := tr.primary()
-			tr.h.setOff(fmt.Sprint("m", p), true)
+			c := newThreeMembers()
+			defer c.end()
+			primary := c.primary()
+			c.network.setDisconnected(fmt.Sprint("m", primary), true)
 			start := time.Now()
 			var followed atomic.Int64
 			for time.Since(start) < 4*time.Second {
 				if time.Since(start) > gone*time.Millisecond {
-					tr.h.setOff(fmt.Sprint("m", p), false)
+					c.network.setDisconnected(fmt.Sprint("m", primary), false)
 				}
 				time.Sleep(5 * time.Millisecond)
 				for _, decision := range []error{nil, errkind.New(errkind.VersionConflict, "version 1 is current")} {
 					go func() {
-						other := tr.otherPrimary(p)
-						err := tr.m[p].Propose(time.Now().Add(patience), func() ([]byte, error) { return nil, decision })
+						other := c.otherPrimary(primary)
+						err := c.members[primary].Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return nil, decision })
 						if other {
 							followed.Add(1)
 							require.NotEqual(t, errkind.VersionConflict, errkind.KindOf(err))
@@ -119,66 +119,66 @@
 	}
 }
 
-func TestManyTakeoversLoseNothing(t *testing.T) {
+func TestTakeover_Repeated_LosesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
+		c := newThreeMembers()
+		defer c.end()
 		want := ""
 		for i := range 12 {
-			p := tr.primary()
-			require.GreaterOrEqual(t, p, 0, "round %d", i)
-			require.NoError(t, tr.propose(p, fmt.Sprint(i)))
+			primary := c.primary()
+			require.GreaterOrEqual(t, primary, 0, "round %d", i)
+			require.NoError(t, c.propose(primary, fmt.Sprint(i)))
 			want += fmt.Sprint(i, ";")
-			tr.stop(p)
+			c.stop(primary)
 			time.Sleep(4 * time.Second)
-			tr.start(p)
+			c.start(primary)
 			time.Sleep(3 * time.Second)
 		}
-		require.Equal(t, want, string(tr.l[tr.primary()].Snapshot()))
+		require.Equal(t, want, string(c.machines[c.primary()].Snapshot()))
 	})
 }
 
-func TestARestartedBackupTakesNothingBeforeItWasHandedTheState(t *testing.T) {
+func TestBackup_Restarted_RejectsEntriesUntilItHasTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		p := tr.primary()
-		view := tr.m[p].View()
-		b := tr.at(view.Backups[0])
+		c := newThreeMembers()
+		defer c.end()
+		primary := c.primary()
+		view := c.members[primary].View()
+		b := c.indexOf(view.Backups[0])
 		question := core.Append{
-			Envelope: core.Envelope{From: tr.m[p].self, To: view.Backups[0].ID, ToAddress: view.Backups[0].Address},
-			Entry:    tr.nextEntry(b, view, "x"),
+			Envelope: core.Envelope{From: c.members[primary].self, To: view.Backups[0].ID, ToAddress: view.Backups[0].Address},
+			Entry:    c.nextEntry(b, view, "x"),
 		}
-		require.Equal(t, core.Granted, tr.sendAppend(t, tr.m[b], question).Rejection)
-		tr.stop(b)
-		tr.start(b)
-		require.Equal(t, core.NotJoined, tr.sendAppend(t, tr.m[b], question).Rejection, "the same disk, but another life")
+		require.Equal(t, core.Granted, c.sendAppend(t, c.members[b], question).Rejection)
+		c.stop(b)
+		c.start(b)
+		require.Equal(t, core.NotJoined, c.sendAppend(t, c.members[b], question).Rejection, "the same disk, but another life")
 		question.To = 99
-		require.Equal(t, core.WrongDisk, tr.sendAppend(t, tr.m[b], question).Rejection, "meant for a disk that is gone")
+		require.Equal(t, core.WrongDisk, c.sendAppend(t, c.members[b], question).Rejection, "meant for a disk that is gone")
 	})
 }
 
-// TestACutOffPrimaryStopsThoughAWriteHoldsItUp cuts a primary off whose write waits for the backups, or for its own disk.
-func TestACutOffPrimaryStopsThoughAWriteHoldsItUp(t *testing.T) {
+// TestPrimary_DisconnectedDuringAWrite_StepsDown disconnects a primary whose write waits for the backups, or for its own disk.
+func TestPrimary_DisconnectedDuringAWrite_StepsDown(t *testing.T) {
 	for _, held := range []string{"by the backups", "by the disk"} {
 		t.Run(held, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTrio()
-				defer tr.end()
-				p := tr.primary()
+				c := newThreeMembers()
+				defer c.end()
+				primary := c.primary()
 				if held == "by the disk" {
-					defer tr.st[p].stall()()
+					defer c.stores[primary].stall()()
 				}
-				tr.h.setDrop(func(_ string, m core.Message) bool {
+				c.network.setDrop(func(_ string, m core.Message) bool {
 					_, isAppend := m.(core.Append)
 					return isAppend
 				})
 				answered := make(chan error, 1)
-				go func() { answered <- tr.propose(p, "held") }()
+				go func() { answered <- c.propose(primary, "held") }()
 				time.Sleep(10 * time.Millisecond)
-				tr.h.setOff(fmt.Sprint("m", p), true)
+				c.network.setDisconnected(fmt.Sprint("m", primary), true)
 				time.Sleep(2 * time.Second)
-				_, on := tr.m[p].PrimaryEpoch()
+				_, on := c.members[primary].PrimaryEpoch()
 				require.False(t, on)
 				require.Equal(t, errkind.Unavailable, errkind.KindOf(<-answered), "it may have been done")
 			})
@@ -186,13 +186,13 @@
 	}
 }
 
-func TestHearsayDisplacesNothingSeen(t *testing.T) {
+func TestMembers_SecondHandReport_ReplacesNobodySeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		m := tr.m[0]
+		c := newThreeMembers()
+		defer c.end()
+		m := c.members[0]
 		m.Receive(core.HelloReply{
-			Envelope: core.Envelope{From: tr.m[1].self, To: m.self.ID, ToAddress: "m0"},
+			Envelope: core.Envelope{From: c.members[1].self, To: m.self.ID, ToAddress: "m0"},
 			Status:   core.Status{Writable: true},
 			Members:  []core.Member{{ID: 5, Address: "m1"}, {ID: 6, Address: "m0"}, {ID: 7, Address: "new"}},
 		})
@@ -205,72 +205,72 @@
 	})
 }
 
-func TestAnEarlierProposalIsFinishedFirst(t *testing.T) {
+func TestTakeover_EarlierProposal_FinishedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		p := tr.primary()
-		before := tr.m[p].View()
+		c := newThreeMembers()
+		defer c.end()
+		primary := c.primary()
+		before := c.members[primary].View()
 		var mu sync.Mutex
 		var half *core.View
 		accepts := 0
-		tr.h.setDrop(func(address string, m core.Message) bool {
+		c.network.setDrop(func(address string, m core.Message) bool {
 			accept, ok := m.(core.Accept)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok || accepts >= 2 {
 				return false
 			}
-			tr.h.deliver(address, m) // the witness stores it, its answer is lost with the proposer
+			c.network.deliver(address, m) // the witness stores it, its answer is lost with the proposer
 			half = accept.Proposal.Clone()
 			if accepts++; accepts == 2 {
-				tr.h.setOff(accept.From.Address, true)
+				c.network.setDisconnected(accept.From.Address, true)
 			}
 			return true
 		})
-		tr.stop(p)
-		tr.start(p) // proposes a new view and is lost in the middle of it
+		c.stop(primary)
+		c.start(primary) // proposes a new view and is lost in the middle of it
 		time.Sleep(10 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
 		require.NotNil(t, half)
 		require.Equal(t, before.Epoch+1, half.Epoch)
-		q := tr.primary()
-		require.GreaterOrEqual(t, q, 0)
-		require.Greater(t, tr.m[q].View().Epoch, half.Epoch, "what two witnesses had stored counts as chosen: it has an epoch of its own")
+		successor := c.primary()
+		require.GreaterOrEqual(t, successor, 0)
+		require.Greater(t, c.members[successor].View().Epoch, half.Epoch, "what two witnesses had stored counts as chosen: it has an epoch of its own")
 	})
 }
 
-// TestAReadSeesTheConfirmedState looks at the state where it is confirmed, not later.
-func TestAReadSeesTheConfirmedState(t *testing.T) {
+// TestRead_Primary_SeesTheConfirmedState looks at the state where it is confirmed, not later.
+func TestRead_Primary_SeesTheConfirmedState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		p := tr.primary()
-		require.NoError(t, tr.propose(p, "first"))
-		text, current := tr.read(p)
+		c := newThreeMembers()
+		defer c.end()
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		text, current := c.read(primary)
 		require.True(t, current)
 		require.Equal(t, "first;", text)
-		for i := range tr.m {
-			if i != p {
-				err := tr.m[i].Read(time.Now().Add(patience), func() { t.Error("a backup's state is looked at") })
+		for i := range c.members {
+			if i != primary {
+				err := c.members[i].Read(time.Now().Add(callTimeout), func() { t.Error("a backup's state is looked at") })
 				require.Equal(t, errkind.NotPrimary, errkind.KindOf(err))
 			}
 		}
 	})
 }
 
-// TestAnOrderPastItsDeadlineIsNotDecided gives a primary whose disk stands still an order with little time.
-func TestAnOrderPastItsDeadlineIsNotDecided(t *testing.T) {
+// TestPropose_PastDeadline_NotDecided gives a primary whose disk stands still a command with little time.
+func TestPropose_PastDeadline_NotDecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
-		p := tr.primary()
-		resume := tr.st[p].stall()
+		c := newThreeMembers()
+		defer c.end()
+		primary := c.primary()
+		resume := c.stores[primary].stall()
 		first := make(chan error, 1)
-		go func() { first <- tr.propose(p, "first") }()
+		go func() { first <- c.propose(primary, "first") }()
 		time.Sleep(10 * time.Millisecond)
-		err := tr.m[p].Propose(time.Now().Add(100*time.Millisecond), func() ([]byte, error) {
+		err := c.members[primary].Propose(time.Now().Add(100*time.Millisecond), func() ([]byte, error) {
 			t.Error("it began too late")
 			return nil, nil
 		})
@@ -281,17 +281,17 @@
 	})
 }
 
-// TestAnIdleMemberWakesSeldom counts the ticks of members that have nothing to do: the primary has one a heartbeat, the others have none while they hear it.
-func TestAnIdleMemberWakesSeldom(t *testing.T) {
+// TestMember_Idle_WakesSeldom counts the ticks of members that have nothing to do: the primary has one a heartbeat, the others have none while they hear it.
+func TestMember_Idle_WakesSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrio()
-		defer tr.end()
+		c := newThreeMembers()
+		defer c.end()
 		time.Sleep(3 * time.Second)
-		p := tr.primary()
-		ticks := make([]map[time.Duration]bool, len(tr.m))
+		primary := c.primary()
+		ticks := make([]map[time.Duration]bool, len(c.members))
 		for range 1000 { // finer than a tick, for 10 s
 			time.Sleep(10 * time.Millisecond)
-			for i, m := range tr.m {
+			for i, m := range c.members {
 				if ticks[i] == nil {
 					ticks[i] = map[time.Duration]bool{}
 				}
@@ -300,9 +300,9 @@
 				m.mu.Unlock()
 			}
 		}
-		for i := range tr.m {
+		for i := range c.members {
 			most := 1
-			if i == p {
+			if i == primary {
 				most = 41
 			}
 			require.LessOrEqual(t, len(ticks[i]), most, "member %d", i)
@@ -310,30 +310,30 @@
 	})
 }
 
-// spoiled is a disk whose state is whole and yet not understood.
-type spoiled struct {
-	memory
-	restarts []string
+// resettableStore is a disk whose state is intact and yet unusable.
+type resettableStore struct {
+	memoryStore
+	resets []string
 }
 
-func (s *spoiled) Reset(reason string) error {
-	s.restarts = append(s.restarts, reason)
-	s.id, s.late, s.register, s.snapshot, s.entries = s.id+1, true, core.Register{}, nil, nil
+func (s *resettableStore) Reset(reason string) error {
+	s.resets = append(s.resets, reason)
+	s.id, s.joinedLater, s.register, s.snapshot, s.entries = s.id+1, true, core.Register{}, nil, nil
 	return nil
 }
 
-func TestAMemberWhoseStateIsNotUnderstoodJoinsAnew(t *testing.T) {
+func TestNew_UnusableState_ResetsTheDisk(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	disk := &spoiled{memory: memory{id: 7}}
+	disk := &resettableStore{memoryStore: memoryStore{id: 7}}
 	disk.snapshot = &core.Snapshot{Position: core.Position{Index: 1, Digest: 5}}
 	disk.entries = []core.Entry{{Index: 9, Previous: 1}}
-	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, StateMachine: &lines{}, Transport: newHall()})
+	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, StateMachine: &textMachine{}, Transport: newNetwork()})
 	require.NoError(t, err)
-	require.Len(t, disk.restarts, 1)
+	require.Len(t, disk.resets, 1)
 	require.EqualValues(t, 8, m.Self().ID)
-	helpless := &memory{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
-	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, StateMachine: &lines{}, Transport: newHall()})
+	helpless := &memoryStore{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
+	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, StateMachine: &textMachine{}, Transport: newNetwork()})
 	require.ErrorIs(t, err, core.ErrCorrupt, "its store can't start over")
 }
 
@@ -341,9 +341,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ready := make(chan uint64, 1)
-	text := &lines{}
+	text := &textMachine{}
 	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
-		Address: "only", Seeds: []string{"only"}, Store: &memory{id: 7}, StateMachine: text, Transport: newHall(),
+		Address: "only", Seeds: []string{"only"}, Store: &memoryStore{id: 7}, StateMachine: text, Transport: newNetwork(),
 		OnBecomePrimary: func(epoch uint64) { ready <- epoch },
 	})
 	if err != nil {
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -18,95 +18,95 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// TestAMemberIsReplacedWhileAnotherIsDown takes a machine away for good, adds one at another address, and loses another meanwhile.
-func TestAMemberIsReplacedWhileAnotherIsDown(t *testing.T) {
+// TestMember_ReplacedWhileAnotherIsDown_LosesNothing takes a machine away for good, adds one at another address, and loses another meanwhile.
+func TestMember_ReplacedWhileAnotherIsDown_LosesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, "a", "b", "c", "d", "e")
+		c := newCluster(2, "a", "b", "c", "d", "e")
 		defer c.end()
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		down := c.at(c.m[p].View().Backups[0])
-		c.stop(p)
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		down := c.indexOf(c.members[primary].View().Backups[0])
+		c.stop(primary)
 		c.stop(down)
 		c.start(c.add("a"))
 		time.Sleep(6 * time.Second)
-		q := c.holds(t, "first;")
-		require.NoError(t, c.propose(q, "second"))
+		successor := c.requireText(t, "first;")
+		require.NoError(t, c.propose(successor, "second"))
 		c.start(down)
 		time.Sleep(6 * time.Second)
 		for range 2 { // two more may go by now
-			q = c.holds(t, "first;second;")
-			c.stop(q)
-			c.wipe(q)
+			successor = c.requireText(t, "first;second;")
+			c.stop(successor)
+			c.wipe(successor)
 			time.Sleep(3 * time.Second)
 		}
-		c.holds(t, "first;second;")
+		c.requireText(t, "first;second;")
 	})
 }
 
-// TestARefusingMemberIsNotAskedAgainAndAgain keeps a member whose disk is full: the charts don't churn, and orders are taken.
-func TestARefusingMemberIsNotAskedAgainAndAgain(t *testing.T) {
+// TestMember_DiskFull_DoesNotChurnViews keeps a member whose disk is full: the views don't churn, and commands are taken.
+func TestMember_DiskFull_DoesNotChurnViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, "a", "b", "c") // three members can't bear two losses: served as well as it goes
+		c := newCluster(2, "a", "b", "c") // three members can't tolerate two losses: served as well as it goes
 		defer c.end()
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		require.Len(t, c.m[p].View().Replicas(), 3)
-		b := c.at(c.m[p].View().Backups[1])
-		c.st[b].full.Store(true)
-		require.NoError(t, c.propose(p, "second"))
-		require.Len(t, c.m[p].View().Replicas(), 2)
-		e := c.m[p].View().Epoch
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		require.Len(t, c.members[primary].View().Replicas(), 3)
+		b := c.indexOf(c.members[primary].View().Backups[1])
+		c.stores[b].full.Store(true)
+		require.NoError(t, c.propose(primary, "second"))
+		require.Len(t, c.members[primary].View().Replicas(), 2)
+		e := c.members[primary].View().Epoch
 		time.Sleep(10 * time.Second)
-		require.LessOrEqual(t, c.m[p].View().Epoch-e, core.Epoch(6))
-		c.st[b].full.Store(false)
+		require.LessOrEqual(t, c.members[primary].View().Epoch-e, core.Epoch(6))
+		c.stores[b].full.Store(false)
 		time.Sleep(4 * time.Second)
-		require.Len(t, c.m[p].View().Replicas(), 3)
-		c.holds(t, "first;second;")
+		require.Len(t, c.members[primary].View().Replicas(), 3)
+		c.requireText(t, "first;second;")
 	})
 }
 
-// TestWithTooFewCopiesNothingIsAcknowledged leaves one backup that takes the state where two losses must be borne.
-func TestWithTooFewCopiesNothingIsAcknowledged(t *testing.T) {
+// TestPropose_TooFewReplicas_NotAcknowledged leaves one backup that takes the state where two losses must be tolerated.
+func TestPropose_TooFewReplicas_NotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, "a", "b", "c", "d", "e")
+		c := newCluster(2, "a", "b", "c", "d", "e")
 		defer c.end()
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		backups := c.m[p].View().Backups
-		c.h.setDrop(func(address string, m core.Message) bool {
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		backups := c.members[primary].View().Backups
+		c.network.setDrop(func(address string, m core.Message) bool {
 			switch m.(type) {
 			case core.Append:
 				return address == backups[1].Address
 			case core.SnapshotChunk: // only the old primary and one backup give the state to each other
-				pair := []string{backups[0].Address, c.m[p].self.Address}
+				pair := []string{backups[0].Address, c.members[primary].self.Address}
 				return !slices.Contains(pair, address) || !slices.Contains(pair, m.Route().From.Address)
 			}
 			return false
 		})
-		require.Error(t, c.propose(p, "second"))
+		require.Error(t, c.propose(primary, "second"))
 		time.Sleep(4 * time.Second)
-		for i := range c.m {
+		for i := range c.members {
 			require.Error(t, c.propose(i, "third"))
 		}
-		c.h.setDrop(nil)
+		c.network.setDrop(nil)
 		time.Sleep(4 * time.Second)
-		got := string(c.l[c.primary()].Snapshot()) // no clear answer: it may be in force or not
+		got := string(c.machines[c.primary()].Snapshot()) // no clear answer: it may be in force or not
 		require.Contains(t, []string{"first;", "first;second;"}, got)
 	})
 }
 
-// TestABackupThatProposedTakesNothingMore: what it handed over may still be chosen, so its old primary must not write past it.
-func TestABackupThatProposedTakesNothingMore(t *testing.T) {
+// TestBackup_AfterProposing_RejectsEntries: what it transferred may still be chosen, so its old primary must not write past it.
+func TestBackup_AfterProposing_RejectsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, "a", "b", "c", "d", "e")
+		c := newCluster(2, "a", "b", "c", "d", "e")
 		defer c.end()
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		view := c.m[p].View()
-		b := c.at(view.Backups[0])
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		view := c.members[primary].View()
+		b := c.indexOf(view.Backups[0])
 		var tried atomic.Bool
-		c.h.setDrop(func(address string, m core.Message) bool {
+		c.network.setDrop(func(address string, m core.Message) bool {
 			mine := m.Route().From.ID == view.Backups[0].ID
 			switch m.(type) {
 			case core.Accept:
@@ -122,7 +122,7 @@
 			return false
 		})
 		envelope := core.Envelope{From: view.Primary, To: view.Backups[0].ID, ToAddress: view.Backups[0].Address}
-		answer := c.ask(t, c.m[b], core.Yield{Envelope: envelope, Epoch: view.Epoch, Ballot: view.Ballot}, func(m core.Message) bool {
+		answer := c.ask(t, c.members[b], core.Yield{Envelope: envelope, Epoch: view.Epoch, Ballot: view.Ballot}, func(m core.Message) bool {
 			_, ok := m.(core.YieldReply)
 			return ok
 		})
@@ -134,28 +134,28 @@
 			}
 		}
 		require.True(t, tried.Load())
-		require.Equal(t, view.Epoch, c.m[b].View().Epoch)
+		require.Equal(t, view.Epoch, c.members[b].View().Epoch)
 		entry := core.Append{Envelope: envelope, Entry: c.nextEntry(b, view, "x")}
-		require.Equal(t, core.NotJoined, c.sendAppend(t, c.m[b], entry).Rejection)
+		require.Equal(t, core.NotJoined, c.sendAppend(t, c.members[b], entry).Rejection)
 	})
 }
 
-// wholeState is the stream of a state without entries after it.
-func wholeState(data string) []byte {
+// completeStream is the stream of a state without entries after it.
+func completeStream(data string) []byte {
 	stream := binary.AppendUvarint(nil, 0)                   // index of the position
 	stream = binary.LittleEndian.AppendUint64(stream, 0)     // digest of the position
 	stream = binary.AppendUvarint(stream, uint64(len(data))) // of the snapshot
 	return append(stream, data...)
 }
 
-func TestAnOlderHandOverDisplacesNothing(t *testing.T) {
+func TestStateTransfer_OlderBallot_Rejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(1, "a", "b", "c")
+		c := newCluster(1, "a", "b", "c")
 		defer c.end()
-		p := c.primary()
-		view := c.m[p].View()
-		m := c.m[c.at(view.Backups[0])]
-		stream := wholeState("x")
+		primary := c.primary()
+		view := c.members[primary].View()
+		m := c.members[c.indexOf(view.Backups[0])]
+		stream := completeStream("x")
 		give := func(round uint64) core.Rejection {
 			question := core.SnapshotChunk{
 				Envelope:     core.Envelope{From: view.Primary, To: m.self.ID, ToAddress: m.self.Address},
@@ -177,60 +177,60 @@
 	})
 }
 
-// TestALargeEntryIsGivenTime sends 4 MB to two backups over a link that needs 0.7 s for them: no chart is changed.
-func TestALargeEntryIsGivenTime(t *testing.T) {
+// TestPropose_LargeEntry_KeepsTheView sends 4 MB to two backups over a link that needs 0.7 s for them: no view is changed.
+func TestPropose_LargeEntry_KeepsTheView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(2, "a", "b", "c", "d", "e")
+		c := newCluster(2, "a", "b", "c", "d", "e")
 		defer c.end()
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		e := c.m[p].View().Epoch
-		c.h.rate = 6 << 20
-		require.NoError(t, c.propose(p, strings.Repeat("x", 4<<20)))
-		require.Equal(t, e, c.m[p].View().Epoch)
-		c.stop(p)
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		e := c.members[primary].View().Epoch
+		c.network.bytesPerSecond = 6 << 20
+		require.NoError(t, c.propose(primary, strings.Repeat("x", 4<<20)))
+		require.Equal(t, e, c.members[primary].View().Epoch)
+		c.stop(primary)
 		time.Sleep(4 * time.Second)
 		require.GreaterOrEqual(t, c.primary(), 0)
 	})
 }
 
-func TestAMemberWithoutADiskOnlyRelays(t *testing.T) {
+func TestRelay_WithoutDisk_RejectsEveryRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(1, "a", "b", "c")
+		c := newCluster(1, "a", "b", "c")
 		defer c.end()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
 			Address: "m9", Zone: "d", Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Relay: true,
-			Store: NewNoDisk(), StateMachine: &lines{}, Transport: c.h,
+			Store: NewNoDisk(), StateMachine: &textMachine{}, Transport: c.network,
 		})
 		require.NoError(t, err)
-		c.h.mu.Lock()
-		c.h.m["m9"] = m
-		c.h.mu.Unlock()
+		c.network.mu.Lock()
+		c.network.members["m9"] = m
+		c.network.mu.Unlock()
 		go m.Run()
 		time.Sleep(2 * time.Second)
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
 		s, ok := m.Primary()
 		require.True(t, ok, "it knows whom to relay for")
-		require.Equal(t, c.m[p].Self(), s)
-		c.stop(c.at(c.m[p].View().Backups[0]))
+		require.Equal(t, c.members[primary].Self(), s)
+		c.stop(c.indexOf(c.members[primary].View().Backups[0]))
 		time.Sleep(6 * time.Second)
-		view := c.m[c.primary()].View()
-		require.Negative(t, index(append(view.Replicas(), view.Witnesses...), m.self.ID))
+		view := c.members[c.primary()].View()
+		require.Negative(t, memberIndex(append(view.Replicas(), view.Witnesses...), m.self.ID))
 		c.relayRefuses(t, m, view)
 	})
 }
 
 // relayRefuses asks a member without a disk for all that needs one.
-func (t *crowd) relayRefuses(tt *testing.T, m *Member, view *core.View) {
-	tt.Helper()
+func (c *cluster) relayRefuses(t *testing.T, m *Member, view *core.View) {
+	t.Helper()
 	to := core.Envelope{From: view.Primary, To: m.self.ID, ToAddress: m.self.Address}
 	next := *view
 	next.Epoch++
 	refusal := func(question core.Message) (reason core.Rejection) {
-		t.ask(tt, m, question, func(a core.Message) bool {
+		c.ask(t, m, question, func(a core.Message) bool {
 			switch a := a.(type) {
 			case core.PrepareReply:
 				reason = a.Rejection
@@ -251,23 +251,23 @@
 		})
 		return reason
 	}
-	require.Equal(tt, core.NoDisk, refusal(core.Prepare{Envelope: to, Base: *view, Ballot: 9 << 40}))
-	require.Equal(tt, core.NoDisk, refusal(core.Accept{Envelope: to, Base: *view, Ballot: 9 << 40, Proposal: next}))
-	require.Equal(tt, core.NoDisk, refusal(core.Install{Envelope: to, View: next}))
-	require.Equal(tt, core.NoDisk, refusal(core.SnapshotChunk{Envelope: to, Tag: next.Tag(), Base: view}))
-	require.Equal(tt, core.NoDisk, refusal(core.Append{Envelope: to, Entry: core.Entry{Index: 1, Epoch: view.Epoch, Ballot: view.Ballot}}))
-	require.Equal(tt, core.NoDisk, refusal(core.Confirm{Envelope: to, Epoch: view.Epoch, Ballot: view.Ballot, Round: 1}))
+	require.Equal(t, core.NoDisk, refusal(core.Prepare{Envelope: to, Base: *view, Ballot: 9 << 40}))
+	require.Equal(t, core.NoDisk, refusal(core.Accept{Envelope: to, Base: *view, Ballot: 9 << 40, Proposal: next}))
+	require.Equal(t, core.NoDisk, refusal(core.Install{Envelope: to, View: next}))
+	require.Equal(t, core.NoDisk, refusal(core.SnapshotChunk{Envelope: to, Tag: next.Tag(), Base: view}))
+	require.Equal(t, core.NoDisk, refusal(core.Append{Envelope: to, Entry: core.Entry{Index: 1, Epoch: view.Epoch, Ballot: view.Ballot}}))
+	require.Equal(t, core.NoDisk, refusal(core.Confirm{Envelope: to, Epoch: view.Epoch, Ballot: view.Ballot, Round: 1}))
 }
 
-// TestASeedWithoutADiskIsNoWitness starts with a seed that has no disk: the first register does without it.
-func TestASeedWithoutADiskIsNoWitness(t *testing.T) {
+// TestBootstrap_SeedWithoutDisk_IsNoWitness starts with a seed that has no disk: the first register does without it.
+func TestBootstrap_SeedWithoutDisk_IsNoWitness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHall()
+		h := newNetwork()
 		var ms []*Member
 		for i := range 4 {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			cf := Config{Address: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i), Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Store: &memory{id: uint64(i + 1)}, StateMachine: &lines{}, Transport: h}
+			cf := Config{Address: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i), Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Store: &memoryStore{id: uint64(i + 1)}, StateMachine: &textMachine{}, Transport: h}
 			if i == 0 {
 				cf.Relay, cf.Store = true, NewNoDisk()
 			}
@@ -275,14 +275,14 @@
 			require.NoError(t, err)
 			ms = append(ms, m)
 			h.mu.Lock()
-			h.m[cf.Address] = m
+			h.members[cf.Address] = m
 			h.mu.Unlock()
 			go m.Run()
 		}
 		time.Sleep(6 * time.Second)
-		p := slices.IndexFunc(ms, func(m *Member) bool { _, on := m.PrimaryEpoch(); return on })
-		require.Positive(t, p)
-		require.NoError(t, ms[p].Propose(time.Now().Add(patience), func() ([]byte, error) { return []byte("x"), nil }))
-		require.Len(t, ms[p].View().Witnesses, 3)
+		primary := slices.IndexFunc(ms, func(m *Member) bool { _, on := m.PrimaryEpoch(); return on })
+		require.Positive(t, primary)
+		require.NoError(t, ms[primary].Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return []byte("x"), nil }))
+		require.Len(t, ms[primary].View().Witnesses, 3)
 	})
 }
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -8,7 +8,7 @@
 	"shaletrestle/internal/errkind"
 )
 
-// NoDisk is the store of a member without a disk: an identity for this life, and nothing else.
+// NoDisk is the store of a member without a disk: an identity for this incarnation, and nothing else.
 type NoDisk struct{ id uint64 }
 
 // NewNoDisk makes one with a random identity.
@@ -18,8 +18,8 @@
 	return &NoDisk{binary.LittleEndian.Uint64(random[:]) | 1}
 }
 
-// Identity is the id of this life; it is never a member of the first register.
-func (s *NoDisk) Identity() (id uint64, firstStart bool) { return s.id, false }
+// Identity is the id of this incarnation; it is never a member of the first register.
+func (s *NoDisk) Identity() (id uint64, bootstrap bool) { return s.id, false }
 
 // BootstrapSeeds returns none.
 func (s *NoDisk) BootstrapSeeds() []string { return nil }
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -22,7 +22,7 @@
 	return rpcMembers(view.Witnesses)
 }
 
-// Active tells whether this member is primary, and of which epoch.
+// PrimaryEpoch tells whether this member is primary, and of which epoch.
 func (m *Member) PrimaryEpoch() (epoch uint64, active bool) {
 	s := m.status.Load()
 	return uint64(s.epoch), s.isPrimary
--- a/coord/replication/second_loss_test.go
+++ b/coord/replication/second_loss_test.go
@@ -18,14 +18,14 @@
 // lossScenario is a repair or a replacement, at each step of which a further member is lost.
 type lossScenario struct {
 	name    string
-	start   func(losses int, zones []string) *crowd // nil: all members serve
-	needs   int                                     // losses to bear
-	members int                                     // fewest members
+	start   func(losses int, zones []string) *cluster // nil: all members serve
+	needs   int                                       // losses to tolerate
+	members int                                       // fewest members
 	play    func(r *lossRun)
 }
 
-// TestASecondLoss plays each scenario once to count its steps, and once for each step, member and fate of its disk, or as many of these as the flag allows.
-func TestASecondLoss(t *testing.T) {
+// TestMember_LossDuringRepair_KeepsWhatWasAcknowledged plays each scenario once to count its steps, and once for each step, member and fate of its disk, or as many of these as the flag allows.
+func TestMember_LossDuringRepair_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, scenario := range lossScenarios {
 		for name, x := range layouts {
 			if x.losses < scenario.needs || len(x.zones) < scenario.members {
@@ -69,14 +69,14 @@
 func playLosses(t *testing.T, scenario lossScenario, losses int, zones []string, loss *furtherLoss) int {
 	start := scenario.start
 	if start == nil {
-		start = func(losses int, zones []string) *crowd { return newCrowd(losses, zones...) }
+		start = func(losses int, zones []string) *cluster { return newCluster(losses, zones...) }
 	}
 	c := start(losses, zones)
 	defer c.end()
 	r := newLossRun(t, c, *secondLossUsual, loss)
-	defer r.stopOrders()
+	defer r.stopProposals()
 	if scenario.start == nil {
-		time.Sleep(300 * time.Millisecond) // some orders are acknowledged
+		time.Sleep(300 * time.Millisecond) // some commands are acknowledged
 	}
 	r.locked(func() { r.counting = true })
 	scenario.play(r)
@@ -84,14 +84,14 @@
 	return r.steps
 }
 
-// TestASeedIsWipedDuringTheFirstStart wipes a seed at each moment until all know the first view.
-func TestASeedIsWipedDuringTheFirstStart(t *testing.T) {
+// TestBootstrap_SeedWiped_Serves wipes a seed at each moment until all know the first view.
+func TestBootstrap_SeedWiped_Serves(t *testing.T) {
 	for seed := range 3 {
 		for at := range 14 {
 			t.Run(fmt.Sprintf("m%d at %d ms", seed, at), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					c := startCrowd(1, "a", "b", "c", "d")
+					c := startCluster(1, "a", "b", "c", "d")
 					defer c.end()
 					time.Sleep(time.Duration(at)*time.Millisecond + time.Microsecond)
 					c.stop(seed)
@@ -99,11 +99,11 @@
 					time.Sleep(downTime)
 					c.start(seed)
 					time.Sleep(syncTime)
-					p := c.primary()
-					require.GreaterOrEqual(t, p, 0, "nobody is primary")
-					require.NoError(t, c.propose(p, "first"))
-					c.witnessesAreWell(t, c.m[p].View())
-					require.Len(t, c.m[p].View().Replicas(), 2)
+					primary := c.primary()
+					require.GreaterOrEqual(t, primary, 0, "nobody is primary")
+					require.NoError(t, c.propose(primary, "first"))
+					c.requireHealthyWitnesses(t, c.members[primary].View())
+					require.Len(t, c.members[primary].View().Replicas(), 2)
 				})
 			})
 		}
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -12,9 +12,9 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// The folders in testdata/folders were written by an earlier version of this package.
+// The directories in testdata/directories were written by an earlier version of this package.
 
-// copyRecorded gives a copy of a recorded data folder.
+// copyRecorded gives a copy of a recorded data directory.
 func copyRecorded(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), name)
@@ -38,7 +38,7 @@
 	return core.Member{ID: core.MemberID(0x9000 + i), Address: fmt.Sprintf("10.0.0.%d:7720", i), Zone: fmt.Sprint("zone-", i)}
 }
 
-// recordedRegister is the register of the folder "whole".
+// recordedRegister is the register of the directory "whole".
 func recordedRegister(self uint64) core.Register {
 	own := core.Member{ID: core.MemberID(self), Address: "10.0.0.1:7720", Zone: "zone-1"}
 	return core.Register{
@@ -63,11 +63,11 @@
 	}
 }
 
-// recordedEnd is the end of the history in the folder "whole": its digest covers all before it.
+// recordedEnd is the end of the history in the directory "whole": its digest covers all before it.
 var recordedEnd = core.Position{Index: 12, Digest: 0xbb6daa166ebf69ef}
 
-// requireWhole compares a store with what was saved in the folder "whole".
-func requireWhole(t *testing.T, s *Store) {
+// requireWhole compares a store with what was saved in the directory "whole".
+func requireComplete(t *testing.T, s *Store) {
 	t.Helper()
 	recording := recordedtest.Open(t, "testdata/whole.txt")
 	id, firstStart := s.Identity()
@@ -94,7 +94,7 @@
 	dir := copyRecorded(t, "whole")
 	s := openRecorded(t, dir)
 	require.Zero(t, s.TruncatedBytes())
-	requireWhole(t, s)
+	requireComplete(t, s)
 	next := core.Entry{Index: recordedEnd.Index + 1, Epoch: 3, Ballot: 9, Previous: recordedEnd.Digest, Data: []byte("next")}
 	require.NoError(t, s.Append(next))
 	s.Close()
@@ -106,14 +106,14 @@
 	dir := copyRecorded(t, "torn")
 	s := openRecorded(t, dir)
 	require.Equal(t, 20, s.TruncatedBytes())
-	requireWhole(t, s)
+	requireComplete(t, s)
 	requireSameFolder(t, "testdata/folders/whole", dir)
 }
 
-// TestOpen_RecordedUnfinishedState_IsRemoved opens a folder whose writer ended while it put a newer state in place.
+// TestOpen_RecordedUnfinishedState_IsRemoved opens a directory whose writer ended while it put a newer state in place.
 func TestOpen_RecordedUnfinishedState_IsRemoved(t *testing.T) {
 	dir := copyRecorded(t, "interrupted")
-	requireWhole(t, openRecorded(t, dir))
+	requireComplete(t, openRecorded(t, dir))
 	requireSameFolder(t, "testdata/folders/whole", dir)
 }
 
@@ -163,16 +163,16 @@
 	require.Equal(t, core.Position{Index: 9, Digest: 0x9301}, joined.Snapshot.Position)
 }
 
-// TestOpen_RecordedFirstFormat_IsToldApart opens a folder that the first version of the store wrote, with a log of
+// TestOpen_RecordedFirstFormat_Rejected opens a directory that the first version of the store wrote, with a log of
 // several segments.
-func TestOpen_RecordedFirstFormat_IsToldApart(t *testing.T) {
+func TestOpen_RecordedFirstFormat_Rejected(t *testing.T) {
 	dir := copyRecorded(t, "first-format")
 	_, err := Open(OSFiles{}, dir, true)
 	require.ErrorIs(t, err, ErrOldFormat)
 	requireSameFolder(t, "testdata/folders/first-format", dir)
 }
 
-// TestEncode_RecordedFolder_WritesTheSameBytes writes what the folder "whole" holds again.
+// TestEncode_RecordedFolder_WritesTheSameBytes writes what the directory "whole" holds again.
 func TestEncode_RecordedFolder_WritesTheSameBytes(t *testing.T) {
 	s := openRecorded(t, copyRecorded(t, "whole"))
 	loaded := s.Load()
--- a/coord/replication/store/trouble_test.go
+++ b/coord/replication/store/disk_faults_test.go
@@ -16,13 +16,13 @@
 // openModel opens a store on a model of a disk.
 func openModel(t *testing.T, disk *storetest.Disk) *store.Store {
 	t.Helper()
-	s, err := store.Open(disk, modelFolder, true)
+	s, err := store.Open(disk, modelDir, true)
 	require.NoError(t, err)
 	require.Empty(t, s.Damage())
 	return s
 }
 
-func TestFullDiskKeepsWhatWasSaved(t *testing.T) {
+func TestStore_DiskFull_KeepsWhatWasSaved(t *testing.T) {
 	disk := storetest.NewDisk()
 	s := openModel(t, disk)
 	require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries[:2]))
@@ -48,8 +48,8 @@
 	require.Equal(t, laterSnapshot().Data, openModel(t, disk).Load().Snapshot.Data)
 }
 
-// TestRoomForTwoStatesIsEnough replaces a state again and again on a disk with room for two, with failures between.
-func TestRoomForTwoStatesIsEnough(t *testing.T) {
+// TestSaveSnapshot_RoomForTwoStates_Suffices replaces a state again and again on a disk with room for two, with failures between.
+func TestSaveSnapshot_RoomForTwoStates_Suffices(t *testing.T) {
 	const (
 		dataSize = 1000
 		oneState = dataSize + 200
@@ -77,13 +77,13 @@
 		disk.Fail = nil
 	}
 	require.LessOrEqual(t, disk.PeakBytes(), disk.CapacityBytes)
-	names, err := disk.List(modelFolder)
+	names, err := disk.List(modelDir)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(names), 6, "one state, at most another that failed, identity and register: %v", names)
 }
 
-// TestFailedSnapshotClosesTheLogOnceItHasItsName: an entry added to the old state could be lost then.
-func TestFailedSnapshotClosesTheLogOnceItHasItsName(t *testing.T) {
+// TestSaveSnapshot_FailedAfterRename_ClosesTheLog: an entry added to the old state could be lost then.
+func TestSaveSnapshot_FailedAfterRename_ClosesTheLog(t *testing.T) {
 	disk := storetest.NewDisk()
 	s := openModel(t, disk)
 	require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
@@ -96,7 +96,7 @@
 		return nil
 	}
 	require.ErrorIs(t, s.SaveSnapshot(laterSnapshot(), nil), errFailing)
-	next := follow(startEntries[3].Position(), "four")[0]
+	next := entriesAfter(startEntries[3].Position(), "four")[0]
 	require.ErrorIs(t, s.Append(next), store.ErrLogClosed)
 	require.ErrorIs(t, s.SaveSnapshot(laterSnapshot(), nil), errFailing, "nothing is written while the names are not synced")
 	disk.Fail = nil
@@ -104,7 +104,7 @@
 	require.NoError(t, s.Append(next))
 }
 
-func TestStalledDiskIsWaitedFor(t *testing.T) {
+func TestAppend_DiskStalled_WaitsForTheSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := storetest.NewDisk()
 		s := openModel(t, disk)
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestStepsOfEachWrite pins how many syncs a write costs.
-func TestStepsOfEachWrite(t *testing.T) {
+// TestStore_EachWrite_SyncCount pins how many syncs a write costs.
+func TestStore_EachWrite_SyncCount(t *testing.T) {
 	disk := storetest.NewDisk()
 	s := openModel(t, disk)
 	writes := []struct {
@@ -156,45 +156,45 @@
 	}
 }
 
-// TestLogLibraryWritesWhatTheModelWrites compares the library's log with the model's: the same bytes in the same one file, also after it was opened again and far above the library's own limit of a segment.
-func TestLogLibraryWritesWhatTheModelWrites(t *testing.T) {
+// TestLog_Library_WritesTheSameBytesAsTheModel compares the library's log with the model's: the same bytes in the same one file, also after it was opened again and far above the library's own limit of a segment.
+func TestLog_Library_WritesTheSameBytesAsTheModel(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	disk := storetest.NewDisk()
 	var entries []core.Entry
 	end := startSnapshot.Position
 	large := strings.Repeat("large ", 200_000)
-	real, model := open(t, dir), openModel(t, disk)
+	real, model := openDir(t, dir), openModel(t, disk)
 	require.NoError(t, real.SaveSnapshot(startSnapshot, nil))
 	require.NoError(t, model.SaveSnapshot(startSnapshot, nil))
 	for range 3 {
 		for _, data := range []string{"", "small", large, large, large} {
-			entry := follow(end, data)[0]
+			entry := entriesAfter(end, data)[0]
 			end = entry.Position()
 			entries = append(entries, entry)
 			require.NoError(t, real.Append(entry))
 			require.NoError(t, model.Append(entry))
 		}
 		real.Close()
-		real = open(t, dir)
+		real = openDir(t, dir)
 		model = openModel(t, disk)
 	}
 	require.Len(t, real.Load().Entries, len(entries))
 
-	segment := only(t, dir, "log-*/*")
+	segment := requireOneFile(t, dir, "log-*/*")
 	realContent, err := os.ReadFile(segment)
 	require.NoError(t, err)
 	realID, _ := real.Identity()
 	require.True(t, string(store.EncodeSegment(realID, entries)) == string(realContent))
 
 	modelID, _ := model.Identity()
-	folders, err := disk.List(modelFolder)
+	folders, err := disk.List(modelDir)
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(folders[1], "log-"))
-	files, err := disk.List(modelFolder + "/" + folders[1])
+	files, err := disk.List(modelDir + "/" + folders[1])
 	require.NoError(t, err)
 	require.Equal(t, []string{store.SegmentName(startSnapshot.Position.Index + 1)}, files)
-	modelContent, err := disk.ReadFile(modelFolder + "/" + folders[1] + "/" + files[0])
+	modelContent, err := disk.ReadFile(modelDir + "/" + folders[1] + "/" + files[0])
 	require.NoError(t, err)
 	require.True(t, string(store.EncodeSegment(modelID, entries)) == string(modelContent))
 }
--- a/coord/replication/store/encoding.go
+++ b/coord/replication/store/encoding.go
@@ -12,7 +12,7 @@
 type identity struct {
 	id             uint64
 	bootstrap      bool
-	bootstrapSeeds []string // of the first start; nobody else's count for the first view
+	bootstrapSeeds []string // of the bootstrap; nobody else's count for the first view
 }
 
 // identityPayload is the payload of an identity record; the id is the record's owner.
@@ -50,8 +50,8 @@
 }
 
 func decodeRegister(owner uint64, record []byte) (core.Register, bool) {
-	writtenFor, payload, ok := unseal(registerRecord, record)
-	if !ok || writtenFor != owner {
+	recordOwner, payload, ok := unseal(registerRecord, record)
+	if !ok || recordOwner != owner {
 		return core.Register{}, false
 	}
 	var register core.Register
@@ -61,10 +61,10 @@
 	return register, true
 }
 
-// generation counts the states that a disk was given. The newest whole one is the state.
+// generation counts the states that a disk was given. The newest complete one is the state.
 type generation uint64
 
-// snapshotHead is the size of what precedes the data: generation, epoch, ballot, index, digest.
+// snapshotHeaderBytes is the size of what precedes the data: generation, epoch, ballot, index, digest.
 const snapshotHeaderBytes = 5 * 8
 
 func encodeSnapshot(owner uint64, number generation, snapshot core.Snapshot) []byte {
@@ -81,8 +81,8 @@
 }
 
 func decodeSnapshot(owner uint64, number generation, record []byte) (core.Snapshot, bool) {
-	writtenFor, payload, ok := unseal(snapshotRecord, record)
-	if !ok || writtenFor != owner || len(payload) < snapshotHeaderBytes {
+	recordOwner, payload, ok := unseal(snapshotRecord, record)
+	if !ok || recordOwner != owner || len(payload) < snapshotHeaderBytes {
 		return core.Snapshot{}, false
 	}
 	if generation(uint64Field(payload, 0)) != number {
@@ -102,7 +102,7 @@
 	return snapshot, true
 }
 
-// entryHead is the size of what precedes the data: index, epoch, ballot, previous digest.
+// entryHeaderBytes is the size of what precedes the data: index, epoch, ballot, previous digest.
 const entryHeaderBytes = 4 * 8
 
 func encodeEntry(owner uint64, entry core.Entry) []byte {
@@ -139,7 +139,7 @@
 	return out
 }
 
-// numberAt is the field with a place in a payload of numbers.
-func uint64Field(payload []byte, place int) uint64 {
-	return binary.LittleEndian.Uint64(payload[place*8:])
+// uint64Field is the field with a place in a payload of numbers.
+func uint64Field(payload []byte, field int) uint64 {
+	return binary.LittleEndian.Uint64(payload[field*8:])
 }
--- a/coord/replication/store/files.go
+++ b/coord/replication/store/files.go
@@ -11,40 +11,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// makeFolder makes a folder and those above it that are missing. Each name is durable before the next is made.
-func (s *Store) mkdirAll(folder string) error {
-	_, err := s.files.List(folder)
+// mkdirAll makes a directory and those above it that are missing. Each name is durable before the next is made.
+func (s *Store) mkdirAll(dir string) error {
+	_, err := s.files.List(dir)
 	if !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	parent := path.Dir(folder)
+	parent := path.Dir(dir)
 	if err := s.mkdirAll(parent); err != nil {
 		return err
 	}
-	if err := s.files.Mkdir(folder); err != nil {
+	if err := s.files.Mkdir(dir); err != nil {
 		return err
 	}
 	return s.files.SyncDir(parent)
 }
 
-// syncFoldersAbove makes the names durable that lead to the data folder. Where this process may not sync others' folders, they were not made by it.
+// syncParentDirs makes the names durable that lead to the data directory. Where this process may not sync others' directories, they were not made by it.
 func (s *Store) syncParentDirs() error {
-	folder := s.dir
-	for path.Dir(folder) != folder {
-		folder = path.Dir(folder)
-		if err := s.files.SyncDir(folder); err != nil && !isSyncUnsupported(err) {
+	dir := s.dir
+	for path.Dir(dir) != dir {
+		dir = path.Dir(dir)
+		if err := s.files.SyncDir(dir); err != nil && !isSyncUnsupported(err) {
 			return err
 		}
 	}
 	return nil
 }
 
-// isNotAllowed tells whether a sync of a folder was refused for good.
+// isSyncUnsupported tells whether a sync of a directory was refused for good.
 func isSyncUnsupported(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, errors.ErrUnsupported) || errors.Is(err, syscall.EINVAL)
 }
 
-// replaceFile puts a file with new content in place of the one with that name, if any. Until the folder is synced, a loss of power leaves the old one or the new one, each whole.
+// replaceFile puts a file with new content in place of the one with that name, if any. Until the directory is synced, a loss of power leaves the old one or the new one, each complete.
 func (s *Store) replaceFile(name string, content []byte) error {
 	unfinished := s.path(name + unfinishedSuffix)
 	// What is left of an earlier attempt may be the same file under two names, so it isn't written over.
@@ -70,7 +70,7 @@
 	return firstError(err, file.Close())
 }
 
-// settleNames makes the names in the data folder durable, and only then removes those that the newest state has replaced.
+// syncNames makes the names in the data directory durable, and only then removes those that the newest state has replaced.
 func (s *Store) syncNames() error {
 	if err := s.files.SyncDir(s.dir); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// removeLeftovers removes what earlier snapshots left behind, so that the disk needs room for no more than two states.
+// removeStaleStates removes what earlier snapshots left behind, so that the disk needs room for no more than two states.
 func (s *Store) removeStaleStates() error {
 	if s.namesUnsynced {
 		return s.syncNames()
@@ -106,7 +106,7 @@
 	}
 }
 
-// removeAll removes a file, or a folder with its files.
+// removeAll removes a file, or a directory with its files.
 func (s *Store) removeAll(name string) {
 	if s.files.Remove(name) == nil {
 		return
@@ -126,7 +126,7 @@
 	return isOwnName(name) && !strings.HasSuffix(name, unfinishedSuffix)
 }
 
-// isOldFormat tells whether a folder whose identity is not one of this format was written by the first version.
+// isFirstFormat tells whether a directory whose identity is not one of this format was written by the first version.
 func isFirstFormat(identityContent []byte, names []string) bool {
 	return bytes.HasPrefix(identityContent, firstFormatMagic) || slices.ContainsFunc(names, isFirstFormatName)
 }
--- a/coord/replication/store/filesystem.go
+++ b/coord/replication/store/filesystem.go
@@ -6,7 +6,7 @@
 type FileSystem interface {
 	// Mkdir makes one directory; its parent exists.
 	Mkdir(path string) error
-	// List gives the names in a folder.
+	// List gives the names in a directory.
 	List(path string) ([]string, error)
 	// ReadFile gives the whole content of a file.
 	ReadFile(path string) ([]byte, error)
@@ -15,10 +15,10 @@
 	// Truncate cuts a file to a size and syncs it.
 	Truncate(path string, size int64) error
 	// OpenLog opens the log whose one segment, a file that is there, begins with the entry first.
-	OpenLog(folder string, first core.Index) (Log, error)
+	OpenLog(dir string, first core.Index) (Log, error)
 	// Rename gives a file another name, in place of what had it.
 	Rename(from, to string) error
-	// Remove removes a file or an empty folder.
+	// Remove removes a file or an empty directory.
 	Remove(path string) error
 	// SyncDir makes the names in a directory durable.
 	SyncDir(path string) error
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// FuzzOpen puts any content in place of a file. The folder is opened with what it held, or without the last entries of its log, or with a new identity and nothing else.
+// FuzzOpen puts any content in place of a file. The directory is opened with what it held, or without the last entries of its log, or with a new identity and nothing else.
 func FuzzOpen(f *testing.F) {
 	f.Add(uint8(0), []byte("nonsense"))
 	f.Add(uint8(1), []byte{})
@@ -76,9 +76,9 @@
 		require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
 		require.NoError(t, s.SaveRegister(savedRegister))
 		id, _ := s.Identity()
-		names, err := disk.List(modelFolder)
+		names, err := disk.List(modelDir)
 		require.NoError(t, err)
-		path := modelFolder + "/" + names[int(which)%len(names)]
+		path := modelDir + "/" + names[int(which)%len(names)]
 		if inner, err := disk.List(path); err == nil {
 			path += "/" + inner[0]
 		}
@@ -87,7 +87,7 @@
 		_, err = file.Write(content)
 		require.NoError(t, err)
 
-		opened, err := store.Open(disk, modelFolder, true)
+		opened, err := store.Open(disk, modelDir, true)
 		if err != nil {
 			require.ErrorIs(t, err, store.ErrOldFormat)
 			return
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -11,36 +11,36 @@
 	"shaletrestle/coord/replication/store"
 )
 
-const modelFolder = "data"
+const modelDir = "data"
 
 // heldState is a state as it is on disk.
-type heldState struct {
+type savedState struct {
 	Snapshot *core.Snapshot
 	Entries  []core.Entry
 }
 
-func (h heldState) end() core.Position {
+func (h savedState) end() core.Position {
 	if len(h.Entries) > 0 {
 		return h.Entries[len(h.Entries)-1].Position()
 	}
 	return h.Snapshot.Position
 }
 
-func (h heldState) with(entry core.Entry) heldState {
-	return heldState{Snapshot: h.Snapshot, Entries: append(slices.Clone(h.Entries), entry)}
+func (h savedState) with(entry core.Entry) savedState {
+	return savedState{Snapshot: h.Snapshot, Entries: append(slices.Clone(h.Entries), entry)}
 }
 
 // history says what may be found on the disk: first what was last reported as saved or found, then what was tried since.
 type history struct {
 	id        uint64 // zero: none was reported
 	registers []core.Register
-	states    []heldState
+	states    []savedState
 
 	diskFails bool // so a torn end of the log may stay, and the log closed
 }
 
 func newHistory() *history {
-	return &history{registers: []core.Register{{}}, states: []heldState{{}}}
+	return &history{registers: []core.Register{{}}, states: []savedState{{}}}
 }
 
 // String is the same for histories with the same promises.
@@ -64,7 +64,7 @@
 
 // open opens a disk, checks what is found, and takes it as what must be found from now on.
 func (h *history) open(disk store.FileSystem) (*store.Store, error) {
-	s, err := store.Open(disk, modelFolder, true)
+	s, err := store.Open(disk, modelDir, true)
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 		return errors.New("the identity has changed")
 	}
 	loaded := s.Load()
-	found := heldState{Snapshot: loaded.Snapshot, Entries: loaded.Entries}
+	found := savedState{Snapshot: loaded.Snapshot, Entries: loaded.Entries}
 	if !containsEqual(h.registers, loaded.Register) {
 		return errors.Newf("register %+v is none of %+v", loaded.Register, h.registers)
 	}
@@ -102,7 +102,7 @@
 	}
 	h.id = id
 	h.registers = []core.Register{loaded.Register}
-	h.states = []heldState{found}
+	h.states = []savedState{found}
 	return nil
 }
 
@@ -117,13 +117,13 @@
 }
 
 func (h *history) saveSnapshot(s *store.Store, snapshot core.Snapshot, tail []core.Entry) error {
-	state := heldState{Snapshot: &snapshot, Entries: tail}
+	state := savedState{Snapshot: &snapshot, Entries: tail}
 	err := s.SaveSnapshot(snapshot, tail)
 	if err != nil {
 		h.states = append(h.states, state)
 		return err
 	}
-	h.states = []heldState{state}
+	h.states = []savedState{state}
 	return nil
 }
 
@@ -133,7 +133,7 @@
 	if base.Snapshot == nil {
 		return nil
 	}
-	entry := follow(base.end(), data)[0]
+	entry := entriesAfter(base.end(), data)[0]
 	err := s.Append(entry)
 	switch {
 	case errors.Is(err, store.ErrLogClosed):
@@ -142,7 +142,7 @@
 		h.states = append(h.states, base.with(entry))
 		return err
 	}
-	h.states = []heldState{base.with(entry)}
+	h.states = []savedState{base.with(entry)}
 	return nil
 }
 
@@ -165,11 +165,11 @@
 
 func equal[T any](a, b T) bool {
 	left, right := any(a), any(b)
-	leftState, isState := left.(heldState)
+	leftState, isState := left.(savedState)
 	if !isState {
 		return reflect.DeepEqual(left, right)
 	}
-	rightState := right.(heldState)
+	rightState := right.(savedState)
 	if !reflect.DeepEqual(leftState.Snapshot, rightState.Snapshot) {
 		return false
 	}
@@ -178,7 +178,7 @@
 	})
 }
 
-func describe(states ...heldState) string {
+func describe(states ...savedState) string {
 	text := ""
 	for _, state := range states {
 		if state.Snapshot == nil {
--- a/coord/replication/store/mutation_test.go
+++ b/coord/replication/store/mutation_test.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	mutatedRecovery = 30 // outcomes tried in the life after a loss of power
+	mutationOutcomes = 30 // outcomes tried in the incarnation after a loss of power
 
 	byPowerCut = "power cut"
 	byKill     = "kill and power cut"
@@ -42,10 +42,10 @@
 	}
 }
 
-// skipNameSync leaves out the syncs of the data folder that come right after a step on a path with a part.
+// skipNameSync leaves out the syncs of the data directory that come right after a step on a path with a part.
 func skipNameSync(after storetest.OperationKind, part string) func(*storetest.Disk, storetest.Operation) bool {
 	return func(disk *storetest.Disk, operation storetest.Operation) bool {
-		if operation.Kind != storetest.SyncDir || operation.Path != modelFolder {
+		if operation.Kind != storetest.SyncDir || operation.Path != modelDir {
 			return false
 		}
 		last := lastStep(disk)
@@ -53,8 +53,8 @@
 	}
 }
 
-// skipFolderSync leaves out the syncs of folders whose path begins with something.
-func skipFolderSync(prefix string) func(*storetest.Disk, storetest.Operation) bool {
+// skipFolderSync leaves out the syncs of directories whose path begins with something.
+func skipDirSync(prefix string) func(*storetest.Disk, storetest.Operation) bool {
 	return func(_ *storetest.Disk, operation storetest.Operation) bool {
 		return operation.Kind == storetest.SyncDir && strings.HasPrefix(operation.Path, prefix)
 	}
@@ -76,9 +76,9 @@
 }
 
 var mutations = []mutation{
-	{name: "folder above the data folder not synced", search: byPowerCut, skip: skipFolderSync(".")},
-	{name: "data folder never synced", search: byPowerCut, skip: skipFolderSync(modelFolder)},
-	{name: "log folder not synced", search: byPowerCut, skip: skipFolderSync(modelFolder + "/log-")},
+	{name: "folder above the data folder not synced", search: byPowerCut, skip: skipDirSync(".")},
+	{name: "data folder never synced", search: byPowerCut, skip: skipDirSync(modelDir)},
+	{name: "log folder not synced", search: byPowerCut, skip: skipDirSync(modelDir + "/log-")},
 	{name: "name of the log folder not synced before the snapshot's", search: byPowerCut, skip: skipNameSync(storetest.SyncFile, "snapshot-")},
 	{name: "name of the snapshot not synced", search: byPowerCut, skip: skipNameSync(storetest.Rename, "snapshot-")},
 	{name: "name of the register not synced", search: byPowerCut, skip: skipNameSync(storetest.Rename, "register-")},
@@ -89,10 +89,10 @@
 	{name: "log not synced", search: byPowerCut, skip: skipFileSync("log-")},
 	{name: "append not synced", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return appendUnsynced{disk} }},
 	{name: "tail of a snapshot not synced", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return tailUnsynced{disk} }},
-	{name: "replaced state removed before the new one's name is synced", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return removesEarly{disk} }},
-	{name: "register written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "register-"} }},
-	{name: "snapshot written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "snapshot-"} }},
-	{name: "identity written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlace{disk, "identity"} }},
+	{name: "replaced state removed before the new one's name is synced", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return earlyRemoval{disk} }},
+	{name: "register written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlaceWrites{disk, "register-"} }},
+	{name: "snapshot written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlaceWrites{disk, "snapshot-"} }},
+	{name: "identity written in place", search: byPowerCut, wrap: func(disk *storetest.Disk) store.FileSystem { return inPlaceWrites{disk, "identity"} }},
 	{name: "names not synced at the start", search: byKill, skip: skipAtStart(storetest.SyncDir)},
 	{name: "log not synced at the start", search: byKill, skip: skipAtStart(storetest.SyncFile)},
 	{name: "torn end of the log not cut", search: byPowerCut, skip: func(_ *storetest.Disk, operation storetest.Operation) bool {
@@ -143,20 +143,20 @@
 }
 
 // removesEarly removes other snapshots as soon as a new one has its name.
-type removesEarly struct {
+type earlyRemoval struct {
 	*storetest.Disk
 }
 
-func (r removesEarly) Rename(from, to string) error {
+func (r earlyRemoval) Rename(from, to string) error {
 	if err := r.Disk.Rename(from, to); err != nil {
 		return err
 	}
-	names, err := r.List(modelFolder)
+	names, err := r.List(modelDir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		other := modelFolder + "/" + name
+		other := modelDir + "/" + name
 		if strings.Contains(to, "snapshot-") && strings.HasPrefix(name, "snapshot-") && other != to {
 			if err := r.Remove(other); err != nil {
 				return err
@@ -167,20 +167,20 @@
 }
 
 // inPlace writes files without a name of their own for what is unfinished.
-type inPlace struct {
+type inPlaceWrites struct {
 	*storetest.Disk
 	prefix string
 }
 
-func (i inPlace) Create(path string) (store.File, error) {
-	if strings.HasPrefix(path, modelFolder+"/"+i.prefix) {
+func (i inPlaceWrites) Create(path string) (store.File, error) {
+	if strings.HasPrefix(path, modelDir+"/"+i.prefix) {
 		path = strings.TrimSuffix(path, ".new")
 	}
 	return i.Disk.Create(path)
 }
 
-func (i inPlace) Rename(from, to string) error {
-	if strings.HasPrefix(to, modelFolder+"/"+i.prefix) {
+func (i inPlaceWrites) Rename(from, to string) error {
+	if strings.HasPrefix(to, modelDir+"/"+i.prefix) {
 		return nil
 	}
 	return i.Disk.Rename(from, to)
@@ -210,13 +210,13 @@
 	}
 }
 
-// TestSearchesFindEveryMutation is the test of the tests.
-func TestSearchesFindEveryMutation(t *testing.T) {
+// TestSearch_EveryMutation_Found is the test of the tests.
+func TestSearch_EveryMutation_Found(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			search := newPowerSearch(t)
 			search.mutation = m
-			search.recovery = mutatedRecovery
+			search.recovery = mutationOutcomes
 			search.killed = m.search == byKill
 			err := search.run()
 			require.Error(t, err, "not found by: %s", m.search)
--- a/coord/replication/store/names.go
+++ b/coord/replication/store/names.go
@@ -9,18 +9,18 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// The names in the data folder. All but the identity's carry the id of the disk, so that with another identity none of them counts any more.
+// The names in the data directory. All but the identity's carry the id of the disk, so that with another identity none of them counts any more.
 const (
 	identityFileName = "identity"
 	registerPrefix   = "register-"
 	snapshotPrefix   = "snapshot-"
 	logPrefix        = "log-"
 
-	// unfinishedSuffix ends the name of a file that is being written. It loses the suffix when it is whole and synced.
+	// unfinishedSuffix ends the name of a file that is being written. It loses the suffix when it is complete and synced.
 	unfinishedSuffix = ".new"
 )
 
-// oldPrefixes begin names of the first format, beside "identity".
+// firstFormatPrefixes begin names of the first format, beside "identity".
 var firstFormatPrefixes = []string{"register-", "checkpoint-", "log-"}
 
 func (s *Store) path(name string) string {
@@ -73,7 +73,7 @@
 	return newest
 }
 
-// newestName is the highest generation that any name mentions, or 0.
+// newestGeneration is the highest generation that any name mentions, or 0.
 func (s *Store) newestGeneration(names []string) generation {
 	var newest generation
 	for _, name := range names {
@@ -87,7 +87,7 @@
 	return newest
 }
 
-// isOwnName tells whether a name in the data folder was given by this package. Others are left alone.
+// isOwnName tells whether a name in the data directory was given by this package. Others are left alone.
 func isOwnName(name string) bool {
 	name = strings.TrimSuffix(name, unfinishedSuffix)
 	if name == identityFileName {
@@ -96,7 +96,7 @@
 	return hasAnyPrefix(name, registerPrefix, snapshotPrefix, logPrefix)
 }
 
-// isOldName tells whether a name is one of the first format: a number follows its prefix, where this format has the disk's id.
+// isFirstFormatName tells whether a name is one of the first format: a number follows its prefix, where this format has the disk's id.
 func isFirstFormatName(name string) bool {
 	for _, prefix := range firstFormatPrefixes {
 		digits, ok := strings.CutPrefix(name, prefix)
--- a/coord/replication/store/osfiles.go
+++ b/coord/replication/store/osfiles.go
@@ -12,7 +12,7 @@
 	dirMode  = 0o700
 	fileMode = 0o600
 
-	// segmentLimit is far above the size of any disk meant, so that the log library never begins a segment of its own: all names are made and synced by this package.
+	// segmentLimitBytes is far above the size of any disk meant, so that the log library never begins a segment of its own: all names are made and synced by this package.
 	segmentLimitBytes = 1 << 40
 )
 
@@ -24,7 +24,7 @@
 	return os.Mkdir(path, dirMode)
 }
 
-// List gives the names in a folder.
+// List gives the names in a directory.
 func (OSFiles) List(path string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -65,8 +65,8 @@
 }
 
 // OpenLog opens the log whose one segment begins with the entry first.
-func (OSFiles) OpenLog(folder string, _ core.Index) (Log, error) {
-	log, err := wal.Open(folder, &wal.Options{
+func (OSFiles) OpenLog(dir string, _ core.Index) (Log, error) {
+	log, err := wal.Open(dir, &wal.Options{
 		NoSync:           true, // the store syncs
 		AllowEmpty:       true,
 		SegmentSize:      segmentLimitBytes,
@@ -86,22 +86,22 @@
 	return os.Rename(from, to)
 }
 
-// Remove removes a file or an empty folder.
+// Remove removes a file or an empty directory.
 func (OSFiles) Remove(path string) error {
 	return os.Remove(path)
 }
 
 // SyncDir makes the names in a directory durable.
 func (OSFiles) SyncDir(path string) error {
-	folder, err := os.Open(path)
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	err = folder.Sync()
-	return firstError(err, folder.Close())
+	err = dir.Sync()
+	return firstError(err, dir.Close())
 }
 
-// osLog is a log of the library.
+// walLog is a log of the library.
 type walLog struct {
 	log *wal.Log
 }
--- a/coord/replication/store/power_test.go
+++ b/coord/replication/store/power_test.go
@@ -20,7 +20,7 @@
 	secondSnapshot = flag.Bool("power.snapshot", false, "save a snapshot too in the life after a loss of power")
 )
 
-// script is a life of a store with each kind of write, also onto what other writes left.
+// script is an incarnation of a store with each kind of write, also onto what other writes left.
 func script(h *history, disk store.FileSystem) error {
 	s, err := h.open(disk)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	snapshot := func(number int, tail ...string) error {
 		next := h.snapshotNow(number)
-		return h.saveSnapshot(s, next, follow(next.Position, tail...))
+		return h.saveSnapshot(s, next, entriesAfter(next.Position, tail...))
 	}
 	writes := []func() error{
 		func() error { return register(1) },
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// powerSearch cuts the power at every step of the script, and at every step of the life after it, and checks what each possible outcome holds.
+// powerSearch cuts the power at every step of the script, and at every step of the incarnation after it, and checks what each possible outcome holds.
 type powerSearch struct {
 	t        *testing.T
 	mutation mutation // the zero value is none
 	killed   bool     // the process is killed first and starts once more before the power goes
 	random   *rand.Rand
 	outcomes int // how many are tried at each cut, exhaustively or else at random
-	recovery int // the same in the life after a cut
+	recovery int // the same in the incarnation after a cut
 
 	known map[string]bool // disks and what they had to hold, that were tried
 
@@ -126,7 +126,7 @@
 		disk := p.restored(left)
 		disk.CutPowerAt(step)
 		found := h.copy()
-		err := p.secondLife(found, p.files(disk))
+		err := p.secondIncarnation(found, p.files(disk))
 		if broken := asBroken(err); broken != nil {
 			return broken
 		}
@@ -150,7 +150,7 @@
 }
 
 // secondLife starts on what a loss of power has left, and writes a little.
-func (p *powerSearch) secondLife(h *history, files store.FileSystem) error {
+func (p *powerSearch) secondIncarnation(h *history, files store.FileSystem) error {
 	s, err := h.open(files)
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 		return nil
 	}
 	snapshot := h.snapshotNow(100)
-	return h.saveSnapshot(s, snapshot, follow(snapshot.Position, "tail in the second life"))
+	return h.saveSnapshot(s, snapshot, entriesAfter(snapshot.Position, "tail in the second life"))
 }
 
 // restored gives a copy of a disk with the same mutation as a new one.
@@ -199,13 +199,13 @@
 		p.cuts, p.disks, p.incomplete, p.recoveryCuts, p.recoveryDisks, p.recoveryIncomplete)
 }
 
-func TestPowerCutAtEveryStep(t *testing.T) {
+func TestStore_PowerCutAtEveryStep_KeepsItsPromises(t *testing.T) {
 	search := newPowerSearch(t)
 	require.NoError(t, search.run())
 	search.log()
 }
 
-func TestKilledAtEveryStepThenPowerCut(t *testing.T) {
+func TestStore_KilledThenPowerCut_KeepsItsPromises(t *testing.T) {
 	search := newPowerSearch(t)
 	search.killed = true
 	require.NoError(t, search.run())
--- a/coord/replication/store/faults_test.go
+++ b/coord/replication/store/random_faults_test.go
@@ -14,22 +14,22 @@
 	"shaletrestle/coord/replication/store/storetest"
 )
 
-var faultLives = flag.Int("faults.disks", 1500, "random disks played, each with some lives")
+var faultDisks = flag.Int("faults.disks", 1500, "random disks played, each with some lives")
 
 const (
-	livesOfADisk = 6
-	mostWrites   = 12
-	failingPart  = 0.25 // of the steps, in a life with a failing disk
+	incarnationsPerDisk = 6
+	maxWrites           = 12
+	failureProbability  = 0.25 // of the steps, in an incarnation with a failing disk
 )
 
 var errFailing = errors.New("input/output error")
 
-// faultRun plays the lives of one disk with random writes. Each life has a disk that is well, failing or full, and ends by a kill or a loss of power at any step.
+// faultRun plays the incarnations of one disk with random writes. Each incarnation has a disk that is well, failing or full, and ends by a kill or a loss of power at any step.
 type faultRun struct {
-	random  *rand.Rand
-	disk    *storetest.Disk
-	history *history
-	number  int
+	random     *rand.Rand
+	disk       *storetest.Disk
+	history    *history
+	lastNumber int
 }
 
 // searchFaults plays disks with seeds 1, 2, ... and gives the first broken promise.
@@ -40,8 +40,8 @@
 			disk:    storetest.NewDisk(),
 			history: newHistory(),
 		}
-		for life := range livesOfADisk {
-			if err := run.life(); err != nil {
+		for life := range incarnationsPerDisk {
+			if err := run.incarnation(); err != nil {
 				return errors.Wrapf(err, "seed %d, life %d", seed, life)
 			}
 		}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// life gives a broken promise, if any.
-func (r *faultRun) life() error {
+// incarnation gives a broken promise, if any.
+func (r *faultRun) incarnation() error {
 	r.disk.CutPowerAt(1 + r.random.IntN(120))
 	r.setFault()
 	r.history.diskFails = r.disk.Fail != nil
@@ -58,7 +58,7 @@
 	if broken := asBroken(err); broken != nil {
 		return broken
 	}
-	r.end()
+	r.stop()
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	switch r.random.IntN(4) {
 	case 0:
 		r.disk.Fail = func(storetest.Operation) error {
-			if r.random.Float64() < failingPart {
+			if r.random.Float64() < failureProbability {
 				return errFailing
 			}
 			return nil
@@ -87,14 +87,14 @@
 	return nil
 }
 
-// write opens the store and writes to it until the power is gone or the life is over.
+// write opens the store and writes to it until the power is gone or the incarnation is over.
 func (r *faultRun) write() error {
 	s, err := r.history.open(r.disk)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	for range r.random.IntN(mostWrites) {
+	for range r.random.IntN(maxWrites) {
 		err := r.writeOnce(s)
 		if errors.Is(err, storetest.ErrPowerOff) {
 			return nil
@@ -107,20 +107,20 @@
 }
 
 func (r *faultRun) writeOnce(s *store.Store) error {
-	r.number++
+	r.lastNumber++
 	switch r.random.IntN(4) {
 	case 0:
-		return r.history.saveRegister(s, core.Register{Promised: core.Ballot(r.number)})
+		return r.history.saveRegister(s, core.Register{Promised: core.Ballot(r.lastNumber)})
 	case 1:
-		snapshot := r.history.snapshotNow(r.number)
-		tail := follow(snapshot.Position, []string{"a", "b"}[:r.random.IntN(3)]...)
+		snapshot := r.history.snapshotNow(r.lastNumber)
+		tail := entriesAfter(snapshot.Position, []string{"a", "b"}[:r.random.IntN(3)]...)
 		return r.history.saveSnapshot(s, snapshot, tail)
 	}
 	return r.history.append(s, string(rune('a'+r.random.IntN(26))))
 }
 
 // end kills the process or turns the power off.
-func (r *faultRun) end() {
+func (r *faultRun) stop() {
 	choose := storetest.Random(r.random)
 	switch r.random.IntN(4) {
 	case 0:
@@ -132,8 +132,8 @@
 	r.disk = r.disk.AfterPowerLoss(choose)
 }
 
-func TestRandomFaults(t *testing.T) {
+func TestStore_RandomFaults_KeepsItsPromises(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
-	require.NoError(t, searchFaults(*faultLives))
-	t.Logf("%d disks with %d lives each", *faultLives, livesOfADisk)
+	require.NoError(t, searchFaults(*faultDisks))
+	t.Logf("%d disks with %d lives each", *faultDisks, incarnationsPerDisk)
 }
--- a/coord/replication/store/register.go
+++ b/coord/replication/store/register.go
@@ -18,7 +18,7 @@
 	return s.files.SyncDir(s.dir)
 }
 
-// readRegister reads the register. Its file got its name only when it was whole and synced: one that can't be read is damaged, not half written.
+// readRegister reads the register. Its file got its name only when it was complete and synced: one that can't be read is damaged, not half written.
 func (s *Store) readRegister(names []string) error {
 	if !slices.Contains(names, s.registerName()) {
 		return nil
--- a/coord/replication/store/segment.go
+++ b/coord/replication/store/segment.go
@@ -27,14 +27,14 @@
 
 // readSegment gives the entries of a segment that follow a position, and how many bytes they take. What comes after them is the torn end of a write that was under way.
 //
-// It is an error, and no torn end, if a record that is whole breaks the chain or comes after one that is not: entries that were synced are missing then.
-func readSegment(owner uint64, after core.Position, segment []byte) (entries []core.Entry, whole int, err error) {
-	for whole < len(segment) {
-		writtenFor, entry, size, ok := firstEntry(segment[whole:])
+// It is an error, and no torn end, if a record that is complete breaks the chain or comes after one that is not: entries that were synced are missing then.
+func readSegment(owner uint64, after core.Position, segment []byte) (entries []core.Entry, completeBytes int, err error) {
+	for completeBytes < len(segment) {
+		recordOwner, entry, size, ok := firstEntry(segment[completeBytes:])
 		if !ok {
 			break
 		}
-		if writtenFor != owner {
+		if recordOwner != owner {
 			return nil, 0, errors.Newf("the log's entry %d was written for another disk", entry.Index)
 		}
 		if !entry.Follows(after) {
@@ -42,12 +42,12 @@
 		}
 		entries = append(entries, entry)
 		after = entry.Position()
-		whole += size
+		completeBytes += size
 	}
-	if hasEntryAfter(owner, after.Index+1, segment[whole:]) {
-		return nil, 0, errors.Newf("the log is damaged at byte %d, and entries follow", whole)
+	if hasEntryAfter(owner, after.Index+1, segment[completeBytes:]) {
+		return nil, 0, errors.Newf("the log is damaged at byte %d, and entries follow", completeBytes)
 	}
-	return entries, whole, nil
+	return entries, completeBytes, nil
 }
 
 // firstEntry reads the entry at the start of a segment and tells which disk it was written for and its size in the segment.
@@ -61,7 +61,7 @@
 	return owner, entry, size, ok
 }
 
-// hasEntryBeyond tells whether a whole entry with a higher index is anywhere in a damaged part of a segment.
+// hasEntryAfter tells whether a complete entry with a higher index is anywhere in a damaged part of a segment.
 func hasEntryAfter(owner uint64, index core.Index, damaged []byte) bool {
 	for at := 0; at < len(damaged); at++ {
 		found := bytes.Index(damaged[at:], recordMagic)
@@ -73,8 +73,8 @@
 			if _, width := binary.Uvarint(damaged[start:]); width != at-start {
 				continue
 			}
-			writtenFor, entry, _, ok := firstEntry(damaged[start:])
-			if ok && writtenFor == owner && entry.Index > index {
+			recordOwner, entry, _, ok := firstEntry(damaged[start:])
+			if ok && recordOwner == owner && entry.Index > index {
 				return true
 			}
 		}
--- a/coord/replication/store/state.go
+++ b/coord/replication/store/state.go
@@ -44,15 +44,15 @@
 
 // writeState writes the files of a state and makes all their names durable, the snapshot's with the suffix of an unfinished file.
 func (s *Store) writeState(number generation, snapshot core.Snapshot, tail []core.Entry) error {
-	folder := s.path(s.logName(number))
-	if err := s.files.Mkdir(folder); err != nil {
+	dir := s.path(s.logName(number))
+	if err := s.files.Mkdir(dir); err != nil {
 		return err
 	}
-	segment := path.Join(folder, SegmentName(snapshot.Position.Index+1))
+	segment := path.Join(dir, SegmentName(snapshot.Position.Index+1))
 	if err := s.writeFile(segment, encodeSegment(s.identity.id, tail)); err != nil {
 		return err
 	}
-	if err := s.files.SyncDir(folder); err != nil {
+	if err := s.files.SyncDir(dir); err != nil {
 		return err
 	}
 	unfinished := s.path(s.snapshotName(number) + unfinishedSuffix)
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// readState reads the newest state. Its snapshot got its name only when the whole state was synced: if anything of it can't be read, it is damaged, and an older one must not take its place.
+// readState reads the newest state. Its snapshot got its name only when the complete state was synced: if anything of it can't be read, it is damaged, and an older one must not take its place.
 func (s *Store) readState(names []string) error {
 	s.lastTried = s.newestGeneration(names)
 	s.current = s.newestSnapshot(names)
@@ -121,13 +121,13 @@
 	if err != nil {
 		return nil, err
 	}
-	entries, whole, err := readSegment(s.identity.id, start, content)
+	entries, completeBytes, err := readSegment(s.identity.id, start, content)
 	if err != nil {
 		return nil, newDamageError(err.Error())
 	}
-	if whole < len(content) {
-		s.truncatedBytes = len(content) - whole
-		if err := s.files.Truncate(segment, int64(whole)); err != nil {
+	if completeBytes < len(content) {
+		s.truncatedBytes = len(content) - completeBytes
+		if err := s.files.Truncate(segment, int64(completeBytes)); err != nil {
 			// The log stays closed. Its entries are durable: only the torn write after them was not synced.
 			return entries, nil
 		}
@@ -156,7 +156,7 @@
 	s.log = nil
 }
 
-// endOf is the position after entries, each of which has to follow the one before.
+// positionAfter is the position after entries, each of which has to follow the one before.
 func positionAfter(position core.Position, entries []core.Entry) (core.Position, error) {
 	for _, entry := range entries {
 		if !entry.Follows(position) {
--- a/coord/replication/store/store.go
+++ b/coord/replication/store/store.go
@@ -17,7 +17,7 @@
 )
 
 var (
-	// ErrOldFormat says that the data folder was written by the first version of the store, which this one can't read. Nothing in it was changed.
+	// ErrOldFormat says that the data directory was written by the first version of the store, which this one can't read. Nothing in it was changed.
 	ErrOldFormat = errors.New("the data folder has the format of an earlier version: empty it, or run that version")
 
 	// ErrLogClosed says that no entry can be appended until a snapshot was saved.
@@ -40,7 +40,7 @@
 	return &damageError{reason: reason}
 }
 
-// Store is a data folder.
+// Store is a data directory.
 type Store struct {
 	files          FileSystem
 	dir            string
@@ -56,15 +56,15 @@
 	namesUnsynced bool          // a snapshot's new name may be durable or not
 }
 
-// Open opens the store in a folder, which is made if it is missing. What Load then gives is durable.
+// Open opens the store in a directory, which is made if it is missing. What Load then gives is durable.
 //
-// An empty folder gets a new identity; firstStart is kept in it and means that the disk may take part in making the first view, with the seeds of that start, which are kept as well: later settings may name others. A damaged one is emptied and gets a new identity without that right.
-func Open(files FileSystem, dir string, firstStart bool, seeds ...string) (*Store, error) {
+// An empty directory gets a new identity; firstStart is kept in it and means that the disk may take part in making the first view, with the seeds of that start, which are kept as well: later settings may name others. A damaged one is emptied and gets a new identity without that right.
+func Open(files FileSystem, dir string, bootstrap bool, seeds ...string) (*Store, error) {
 	s := &Store{files: files, dir: path.Clean(dir)}
 	if err := s.mkdirAll(s.dir); err != nil {
 		return nil, errors.Wrap(err, "make the data folder")
 	}
-	err := s.load(identity{bootstrap: firstStart, bootstrapSeeds: seeds})
+	err := s.load(identity{bootstrap: bootstrap, bootstrapSeeds: seeds})
 	var damage *damageError
 	if errors.As(err, &damage) {
 		err = s.Reset(damage.reason)
@@ -76,8 +76,8 @@
 	return s, nil
 }
 
-// Identity is the disk's own id, and whether it was made at the first start of the whole system.
-func (s *Store) Identity() (id uint64, firstStart bool) {
+// Identity is the disk's own id, and whether it was made at the bootstrap of the whole system.
+func (s *Store) Identity() (id uint64, bootstrap bool) {
 	return s.identity.id, s.identity.bootstrap
 }
 
@@ -96,7 +96,7 @@
 	return s.damage
 }
 
-// TruncatedBytes tells how many bytes of a torn write were cut from the log's end when the store was opened.
+// TruncatedBytes tells how many bytes of a torn write were truncated from the log's end when the store was opened.
 func (s *Store) TruncatedBytes() int {
 	return s.truncatedBytes
 }
@@ -106,7 +106,7 @@
 	s.closeLog()
 }
 
-// load reads the folder. Its error is a damageError if something that was saved can't be read.
+// load reads the directory. Its error is a damageError if something that was saved can't be read.
 func (s *Store) load(fresh identity) error {
 	names, err := s.files.List(s.dir)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return s.syncNames()
 }
 
-// readIdentity tells whether the folder has an identity, and reads it.
+// readIdentity tells whether the directory has an identity, and reads it.
 func (s *Store) readIdentity(names []string) (found bool, err error) {
 	var content []byte
 	present := slices.Contains(names, identityFileName)
@@ -139,10 +139,10 @@
 			return false, err
 		}
 	}
-	var whole bool
-	s.identity, whole = decodeIdentity(content)
+	var complete bool
+	s.identity, complete = decodeIdentity(content)
 	switch {
-	case whole:
+	case complete:
 		return true, nil
 	case isFirstFormat(content, names):
 		return false, ErrOldFormat
@@ -154,16 +154,16 @@
 	return false, nil
 }
 
-// Reset makes the folder one of an empty disk with another identity, which has no part in a first start. Open does it by itself with a damaged folder; it is for data that is whole on disk but that its owner can't use.
+// Reset makes the directory one of an empty disk with another identity, which has no part in a bootstrap. Open does it by itself with a damaged directory; it is for data that is intact on disk but that its owner can't use.
 //
-// The identity's change takes effect as a whole, and with it no other name counts any more.
+// The identity's change takes effect atomically, and with it no other name counts any more.
 func (s *Store) Reset(reason string) error {
 	s.closeLog()
 	*s = Store{files: s.files, dir: s.dir, damage: reason}
 	return s.saveIdentity(identity{})
 }
 
-// saveIdentity gives the folder a new identity; the id is drawn here.
+// saveIdentity gives the directory a new identity; the id is drawn here.
 func (s *Store) saveIdentity(fresh identity) error {
 	id, err := newID()
 	if err != nil {
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	// An earlier life may have been killed after it had made the folder, before its name was durable.
+	// An earlier incarnation may have been killed after it had made the directory, before its name was durable.
 	if err := s.syncParentDirs(); err != nil {
 		return err
 	}
--- a/coord/replication/store/store_test.go
+++ b/coord/replication/store/store_test.go
@@ -12,7 +12,7 @@
 )
 
 // follow makes the entries with some data that follow a position.
-func follow(position core.Position, data ...string) []core.Entry {
+func entriesAfter(position core.Position, data ...string) []core.Entry {
 	var entries []core.Entry
 	for _, d := range data {
 		entry := core.Entry{
@@ -34,7 +34,7 @@
 		Position: core.Position{Index: 41, Digest: 4242},
 		Data:     []byte("snapshot"),
 	}
-	startEntries = follow(startSnapshot.Position, "zero", "one", "two", "three")
+	startEntries = entriesAfter(startSnapshot.Position, "zero", "one", "two", "three")
 
 	savedRegister = core.Register{
 		View: &core.View{
@@ -57,7 +57,7 @@
 	}
 }
 
-func open(t *testing.T, dir string) *store.Store {
+func openDir(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	s, err := store.Open(store.OSFiles{}, dir, false)
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 }
 
 // fill makes a store with a snapshot, an entry in its tail and three more.
-func fill(t *testing.T, dir string) *store.Store {
+func openFilled(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	s, err := store.Open(store.OSFiles{}, dir, true)
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 }
 
 // only gives the one file that a pattern means.
-func only(t *testing.T, dir, pattern string) string {
+func requireOneFile(t *testing.T, dir, pattern string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, pattern))
 	require.NoError(t, err)
@@ -88,21 +88,21 @@
 	return found[0]
 }
 
-func names(t *testing.T, dir string) []string {
+func listNames(t *testing.T, dir string) []string {
 	t.Helper()
 	found, err := store.OSFiles{}.List(dir)
 	require.NoError(t, err)
 	return found
 }
 
-func TestOpenKeepsAllOverARestart(t *testing.T) {
+func TestOpen_Restart_GivesWhatWasSaved(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing", "folder")
-	first := fill(t, dir)
+	first := openFilled(t, dir)
 	id, firstStart := first.Identity()
 	require.NotZero(t, id)
 	require.True(t, firstStart)
 
-	second := open(t, dir)
+	second := openDir(t, dir)
 	again, firstStart := second.Identity()
 	require.Equal(t, id, again)
 	require.True(t, firstStart, "a process that dies halfway through the first start must be able to finish it")
@@ -112,34 +112,34 @@
 		Entries:    startEntries,
 		Appendable: true,
 	}, second.Load())
-	more := follow(startEntries[3].Position(), "four")
+	more := entriesAfter(startEntries[3].Position(), "four")
 	require.NoError(t, second.Append(more[0]))
-	require.Len(t, open(t, dir).Load().Entries, 5)
+	require.Len(t, openDir(t, dir).Load().Entries, 5)
 }
 
-func TestEmptyStoreHasNoState(t *testing.T) {
+func TestOpen_EmptyDirectory_NoState(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
+	s := openDir(t, dir)
 	require.Equal(t, core.Stored{}, s.Load())
 	require.ErrorIs(t, s.Append(startEntries[0]), store.ErrLogClosed)
-	require.Equal(t, []string{"identity"}, names(t, dir))
+	require.Equal(t, []string{"identity"}, listNames(t, dir))
 }
 
-func TestOnlyTheNewestStateIsKept(t *testing.T) {
+func TestSaveSnapshot_Repeated_KeepsOnlyTheNewest(t *testing.T) {
 	dir := t.TempDir()
-	s := fill(t, dir)
+	s := openFilled(t, dir)
 	for range 3 {
 		require.NoError(t, s.SaveSnapshot(laterSnapshot(), nil))
 	}
-	require.Len(t, names(t, dir), 4, "identity, register, snapshot, log")
+	require.Len(t, listNames(t, dir), 4, "identity, register, snapshot, log")
 	later := laterSnapshot()
-	require.Equal(t, &later, open(t, dir).Load().Snapshot)
+	require.Equal(t, &later, openDir(t, dir).Load().Snapshot)
 }
 
-func TestOnlyEntriesThatFollowAreAppended(t *testing.T) {
+func TestAppend_NotContinuous_Rejected(t *testing.T) {
 	dir := t.TempDir()
-	s := fill(t, dir)
-	next := follow(startEntries[3].Position(), "four", "five")
+	s := openFilled(t, dir)
+	next := entriesAfter(startEntries[3].Position(), "four", "five")
 	fork := next[0]
 	fork.Previous++
 	require.ErrorIs(t, s.Append(startEntries[3]), store.ErrNotContinuous, "repeat")
@@ -147,19 +147,19 @@
 	require.ErrorIs(t, s.Append(fork), store.ErrNotContinuous, "fork")
 	require.ErrorIs(t, s.SaveSnapshot(laterSnapshot(), next[1:]), store.ErrNotContinuous)
 	require.NoError(t, s.Append(next[0]), "nothing was written by those refused")
-	require.Len(t, open(t, dir).Load().Entries, 5)
+	require.Len(t, openDir(t, dir).Load().Entries, 5)
 }
 
-func TestForeignNamesAreLeftAlone(t *testing.T) {
+func TestOpen_ForeignNames_Untouched(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(dir, "lost+found"), 0o700))
-	s := open(t, dir)
+	s := openDir(t, dir)
 	require.Empty(t, s.Damage())
-	require.Equal(t, []string{"identity", "lost+found"}, names(t, dir))
+	require.Equal(t, []string{"identity", "lost+found"}, listNames(t, dir))
 }
 
-// TestTheSeedsOfTheFirstStartStay opens a disk again under settings that name other seeds.
-func TestTheSeedsOfTheFirstStartStay(t *testing.T) {
+// TestBootstrapSeeds_OtherSettings_Unchanged opens a disk again under settings that name other seeds.
+func TestBootstrapSeeds_OtherSettings_Unchanged(t *testing.T) {
 	first := []string{"10.1.0.1:7720", "10.2.0.1:7720", "10.3.0.1:7720"}
 	dir := t.TempDir()
 	made, err := store.Open(store.OSFiles{}, dir, true, first...)
--- a/coord/replication/store/storetest/disk.go
+++ b/coord/replication/store/storetest/disk.go
@@ -1,6 +1,6 @@
 // Package storetest is a model of a disk for tests of the store: it can lose power or fail at any step, and it knows what each loss of power may leave.
 //
-// A file keeps what its last sync covered. Each later write is present, missing or torn. Each name in a folder that was made, replaced or removed since the folder's last sync has, by itself, any of the values it had since then.
+// A file keeps what its last sync covered. Each later write is present, missing or torn. Each name in a directory that was made, replaced or removed since the directory's last sync has, by itself, any of the values it had since then.
 package storetest
 
 import (
@@ -16,7 +16,7 @@
 )
 
 var (
-	// ErrPower is given by every call after power was lost or the process was killed.
+	// ErrPowerOff is given by every call after power was lost or the process was killed.
 	ErrPowerOff = errors.New("the power is off")
 
 	// ErrFull is given by calls that need room on a full disk.
@@ -28,14 +28,14 @@
 
 // The kinds of steps. Reading is no step: it changes nothing.
 const (
-	Mkdir    OperationKind = "make folder"
+	Mkdir    OperationKind = "make dir"
 	Create   OperationKind = "create"
 	Write    OperationKind = "write"
 	SyncFile OperationKind = "sync file"
 	Truncate OperationKind = "truncate"
 	Rename   OperationKind = "rename"
 	Remove   OperationKind = "remove"
-	SyncDir  OperationKind = "sync folder"
+	SyncDir  OperationKind = "sync dir"
 )
 
 // Operation is a step.
@@ -50,7 +50,7 @@
 	Fail func(Operation) error
 	// Skip tells whether a step is reported as done but has no effect. It is for tests of the tests.
 	Skip func(Operation) bool
-	// Wait is called before each step, and may block as a disk in trouble does.
+	// Wait is called before each step, and may block as a faulty disk does.
 	Wait func(Operation)
 	// CapacityBytes is the room for contents in bytes; zero: no limit.
 	CapacityBytes int
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// List gives the names in a folder.
+// List gives the names in a directory.
 func (d *Disk) List(name string) ([]string, error) {
 	if d.poweredOff {
 		return nil, ErrPowerOff
@@ -185,11 +185,11 @@
 }
 
 // OpenLog opens a segment. Its layout is that of the log library; a test compares the two.
-func (d *Disk) OpenLog(folder string, first core.Index) (store.Log, error) {
+func (d *Disk) OpenLog(dir string, first core.Index) (store.Log, error) {
 	if d.poweredOff {
 		return nil, ErrPowerOff
 	}
-	name := path.Join(folder, store.SegmentName(first))
+	name := path.Join(dir, store.SegmentName(first))
 	found, err := d.file(name)
 	if err != nil {
 		return nil, err
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// Remove removes a file or an empty folder.
+// Remove removes a file or an empty directory.
 func (d *Disk) Remove(name string) error {
 	parent, base, err := d.parent(name)
 	if err != nil {
--- a/coord/replication/store/storetest/node.go
+++ b/coord/replication/store/storetest/node.go
@@ -8,10 +8,10 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// node is a file or a folder. Its names are kept by the folders it is in.
+// node is a file or a directory. Its names are kept by the directories it is in.
 type node interface{}
 
-// folder keeps what each name was at the last sync, and is now.
+// directory keeps what each name was at the last sync, and is now.
 type directory struct {
 	durable map[string]node
 	current map[string]node
@@ -57,7 +57,7 @@
 	pending []fileChange
 }
 
-// change is a write at an offset, or a truncation to it.
+// fileChange is a write at an offset, or a truncation to it.
 type fileChange struct {
 	truncation bool
 	offset     int
@@ -81,7 +81,7 @@
 	f.pending = nil
 }
 
-// on gives a content after the change. What was missing before a write's offset reads as zeros.
+// applyTo gives a content after the change. What was missing before a write's offset reads as zeros.
 func (c fileChange) applyTo(content []byte) []byte {
 	if c.truncation {
 		if len(content) <= c.offset {
@@ -96,7 +96,7 @@
 	return changed
 }
 
-// handle is a file open for adding to its end.
+// openFile is a file open for adding to its end.
 type openFile struct {
 	disk *Disk
 	path string
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// AllKept picks what is there now.
+// AllPresent picks what is there now.
 func AllPresent(n int) int {
 	return n - 1
 }
@@ -149,7 +149,7 @@
 	return left
 }
 
-// everyName gives the names that are or may be in the folder.
+// everyName gives the names that are or may be in the directory.
 func (f *directory) everyName() []string {
 	names := f.names()
 	for name := range f.durable {
@@ -232,7 +232,7 @@
 	return string(appendFingerprint(nil, d.root, map[*file]int{}))
 }
 
-// appendFingerprint writes a folder's names and contents, each with its length. Files are numbered, since one may have two names.
+// appendFingerprint writes a directory's names and contents, each with its length. Files are numbered, since one may have two names.
 func appendFingerprint(out []byte, within *directory, numbers map[*file]int) []byte {
 	out = binary.AppendUvarint(out, uint64(len(within.current)))
 	for _, name := range within.names() {
--- a/coord/replication/tolerance_test.go
+++ b/coord/replication/tolerance_test.go
@@ -14,7 +14,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// layouts are the crowds that the tests below run on: places of the members, and the losses that they bear.
+// layouts are the clusters that the tests below run on: zones of the members, and the losses that they tolerate.
 var layouts = map[string]struct {
 	losses int
 	zones  []string
@@ -25,11 +25,11 @@
 	"six in three":  {2, []string{"a", "a", "b", "b", "c", "c"}},
 }
 
-func eachLayout(t *testing.T, f func(t *testing.T, c *crowd)) {
+func eachLayout(t *testing.T, f func(t *testing.T, c *cluster)) {
 	for name, x := range layouts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCrowd(x.losses, x.zones...)
+				c := newCluster(x.losses, x.zones...)
 				defer c.end()
 				f(t, c)
 			})
@@ -37,43 +37,43 @@
 	}
 }
 
-func TestTheFirstOrderFindsAllCopiesAndWitnesses(t *testing.T) {
-	eachLayout(t, func(t *testing.T, c *crowd) {
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		ch := c.m[p].View()
-		require.Len(t, ch.Replicas(), c.losses+1)
-		require.Len(t, ch.Witnesses, 2*c.losses+1)
-		require.Greater(t, len(c.places(ch.Replicas())), 1, "the loss of a zone leaves a copy")
-		for z, n := range c.places(ch.Witnesses) {
-			require.LessOrEqual(t, n, c.losses, "the loss of zone %s leaves a majority", z)
+func TestPropose_First_FindsAllReplicasAndWitnesses(t *testing.T) {
+	eachLayout(t, func(t *testing.T, c *cluster) {
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		ch := c.members[primary].View()
+		require.Len(t, ch.Replicas(), c.maxFailures+1)
+		require.Len(t, ch.Witnesses, 2*c.maxFailures+1)
+		require.Greater(t, len(c.domainCounts(ch.Replicas())), 1, "the loss of a zone leaves a replica")
+		for z, n := range c.domainCounts(ch.Witnesses) {
+			require.LessOrEqual(t, n, c.maxFailures, "the loss of zone %s leaves a majority", z)
 		}
 	})
 }
 
-// TestARegionIsLost spreads over regions where these may go: seeds and copies of one region give way.
-func TestARegionIsLost(t *testing.T) {
+// TestMember_RegionLost_Serves spreads over regions where these may go: seeds and replicas of one region give way.
+func TestMember_RegionLost_Serves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := makeCrowd(1, "a1", "a2", "a3", "b1", "c1")
-		c.area = func(z string) string { return z[:1] }
+		c := makeCluster(1, "a1", "a2", "a3", "b1", "c1")
+		c.failureDomain = func(z string) string { return z[:1] }
 		c.startAll()
 		defer c.end()
 		time.Sleep(700 * time.Millisecond)
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		require.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1}, c.places(c.m[p].View().Witnesses))
-		for i, z := range c.zone {
-			if c.area(z) == c.area(c.zone[p]) {
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		require.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1}, c.domainCounts(c.members[primary].View().Witnesses))
+		for i, z := range c.zones {
+			if c.failureDomain(z) == c.failureDomain(c.zones[primary]) {
 				c.stop(i)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		c.holds(t, "first;")
+		c.requireText(t, "first;")
 	})
 }
 
-// TestAnyDisksLostAfterAnAcknowledgement loses every set of disks that must be borne, with and without the power of all others.
-func TestAnyDisksLostAfterAnAcknowledgement(t *testing.T) {
+// TestMember_AnyDisksLost_KeepsWhatWasAcknowledged loses every set of disks that must be tolerated, with and without the power of all others.
+func TestMember_AnyDisksLost_KeepsWhatWasAcknowledged(t *testing.T) {
 	for name, x := range layouts {
 		for set := range 1 << len(x.zones) {
 			var lost []int
@@ -89,10 +89,10 @@
 				t.Run(fmt.Sprint(name, lost, dark), func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
-						c := newCrowd(x.losses, x.zones...)
+						c := newCluster(x.losses, x.zones...)
 						defer c.end()
 						require.NoError(t, c.propose(c.primary(), "first"))
-						for i := range c.m {
+						for i := range c.members {
 							if gone := slices.Contains(lost, i); gone || dark {
 								c.stop(i)
 								if gone {
@@ -101,17 +101,17 @@
 							}
 						}
 						time.Sleep(500 * time.Millisecond)
-						for i := range c.m {
-							if c.ctx[i].Err() != nil {
+						for i := range c.members {
+							if c.contexts[i].Err() != nil {
 								c.start(i)
 							}
 						}
 						time.Sleep(5 * time.Second)
-						p := c.holds(t, "first;")
-						require.NoError(t, c.propose(p, "second"))
-						require.Len(t, c.m[p].View().Replicas(), c.losses+1)
+						primary := c.requireText(t, "first;")
+						require.NoError(t, c.propose(primary, "second"))
+						require.Len(t, c.members[primary].View().Replicas(), c.maxFailures+1)
 						time.Sleep(3 * time.Second)
-						c.witnessesAreWell(t, c.m[p].View()) // lost ones were replaced
+						c.requireHealthyWitnesses(t, c.members[primary].View()) // lost ones were replaced
 					})
 				})
 			}
@@ -119,134 +119,134 @@
 	}
 }
 
-func TestAZoneIsLost(t *testing.T) {
-	eachLayout(t, func(t *testing.T, c *crowd) {
+func TestMember_ZoneLost_Serves(t *testing.T) {
+	eachLayout(t, func(t *testing.T, c *cluster) {
 		require.NoError(t, c.propose(c.primary(), "first"))
-		z := c.zone[c.primary()]
-		for i := range c.m {
-			if c.zone[i] == z {
+		z := c.zones[c.primary()]
+		for i := range c.members {
+			if c.zones[i] == z {
 				c.stop(i)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		p := c.holds(t, "first;")
-		require.NoError(t, c.propose(p, "second"))
-		require.Len(t, c.m[p].View().Replicas(), c.losses+1)
+		primary := c.requireText(t, "first;")
+		require.NoError(t, c.propose(primary, "second"))
+		require.Len(t, c.members[primary].View().Replicas(), c.maxFailures+1)
 	})
 }
 
-// TestAWriteMeetsALostBackup loses the backups, one after another, at each step of a write, and the primary with the last of them: what was acknowledged is read.
-func TestAWriteMeetsALostBackup(t *testing.T) {
+// TestPropose_BackupLost_KeepsWhatWasAcknowledged loses the backups, one after another, at each step of a write, and the primary with the last of them: what was acknowledged is read.
+func TestPropose_BackupLost_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, step := range []string{"append lost", "answer lost", "answer lost, primary too"} {
 		t.Run(step, func(t *testing.T) {
-			eachLayout(t, func(t *testing.T, c *crowd) {
-				p := c.primary()
-				require.NoError(t, c.propose(p, "first"))
-				last := c.m[p].View().Backups[c.losses-1]
+			eachLayout(t, func(t *testing.T, c *cluster) {
+				primary := c.primary()
+				require.NoError(t, c.propose(primary, "first"))
+				last := c.members[primary].View().Backups[c.maxFailures-1]
 				var once sync.Once
-				c.h.setDrop(func(address string, m core.Message) (lost bool) {
+				c.network.setDrop(func(address string, m core.Message) (lost bool) {
 					if _, ok := m.(core.Append); !ok || address != last.Address {
 						return false
 					}
 					once.Do(func() {
 						lost = true
 						if step != "append lost" {
-							c.h.deliver(address, m)
+							c.network.deliver(address, m)
 							time.Sleep(500 * time.Microsecond) // it is on the disk, and the answer on no way yet
 						}
-						c.stop(c.at(last))
-						if step == "answer lost, primary too" && c.losses > 1 {
-							c.stop(p)
+						c.stop(c.indexOf(last))
+						if step == "answer lost, primary too" && c.maxFailures > 1 {
+							c.stop(primary)
 						}
 					})
 					return lost
 				})
-				acked := c.propose(p, "second") == nil
+				acked := c.propose(primary, "second") == nil
 				time.Sleep(4 * time.Second)
-				q := c.primary()
-				require.GreaterOrEqual(t, q, 0)
-				got, current := c.read(q)
+				successor := c.primary()
+				require.GreaterOrEqual(t, successor, 0)
+				got, current := c.read(successor)
 				require.True(t, current)
 				if acked {
 					require.Equal(t, "first;second;", got)
 				}
 				require.True(t, strings.HasPrefix(got, "first;"), got)
-				require.NoError(t, c.propose(q, "third"))
-				require.Len(t, c.m[q].View().Replicas(), c.losses+1, "the missing copy was made up before the answer")
+				require.NoError(t, c.propose(successor, "third"))
+				require.Len(t, c.members[successor].View().Replicas(), c.maxFailures+1, "the missing replica was replaced before the answer")
 			})
 		})
 	}
 }
 
-// TestALossAtEveryStepOfATakeover kills the primary, and the one that follows it when it sends a note of each kind: with two losses to bear the third copy ends it.
-func TestALossAtEveryStepOfATakeover(t *testing.T) {
+// TestTakeover_LossAtEveryStep_KeepsWhatWasAcknowledged kills the primary, and the one that follows it when it sends a message of each type: with two losses to tolerate the third replica ends it.
+func TestTakeover_LossAtEveryStep_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, kind := range []core.Message{core.Prepare{}, core.SnapshotChunk{}, core.Accept{}, core.Install{}} {
 		for _, after := range []bool{false, true} {
-			t.Run(fmt.Sprint(kindOf(kind), after), func(t *testing.T) {
+			t.Run(fmt.Sprint(typeName(kind), after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					c := newCrowd(2, "a", "b", "c", "d", "e")
+					c := newCluster(2, "a", "b", "c", "d", "e")
 					defer c.end()
-					p := c.primary()
-					require.NoError(t, c.propose(p, "first"))
-					next := c.m[p].View().Backups[0]
+					primary := c.primary()
+					require.NoError(t, c.propose(primary, "first"))
+					next := c.members[primary].View().Backups[0]
 					var once sync.Once
-					c.stop(p)
-					isInstall := kindOf(kind) == kindOf(core.Install{})
-					c.h.setDrop(func(address string, m core.Message) (lost bool) {
-						if kindOf(m) != kindOf(kind) || m.Route().From.ID != next.ID {
+					c.stop(primary)
+					isInstall := typeName(kind) == typeName(core.Install{})
+					c.network.setDrop(func(address string, m core.Message) (lost bool) {
+						if typeName(m) != typeName(kind) || m.Route().From.ID != next.ID {
 							return false
 						}
 						if after {
-							c.h.deliver(address, m)
+							c.network.deliver(address, m)
 						}
 						once.Do(func() { // once all messages of that kind have gone, and before an answer comes
-							time.AfterFunc(500*time.Microsecond, func() { c.stop(c.at(next)) })
+							time.AfterFunc(500*time.Microsecond, func() { c.stop(c.indexOf(next)) })
 						})
 						return true
 					})
-					c.wipe(p)
+					c.wipe(primary)
 					if isInstall { // the new disk is taken for a witness on the way
-						c.start(p)
+						c.start(primary)
 					}
 					time.Sleep(6 * time.Second)
-					q := c.holds(t, "first;")
-					require.NoError(t, c.propose(q, "second"))
-					require.Len(t, c.m[q].View().Replicas(), 3)
-					require.True(t, c.ctx[c.at(next)].Err() != nil, "it was killed on the way")
-					c.h.setDrop(nil)
+					successor := c.requireText(t, "first;")
+					require.NoError(t, c.propose(successor, "second"))
+					require.Len(t, c.members[successor].View().Replicas(), 3)
+					require.True(t, c.contexts[c.indexOf(next)].Err() != nil, "it was killed on the way")
+					c.network.setDrop(nil)
 					if !isInstall {
-						c.start(p)
+						c.start(primary)
 					}
-					c.start(c.at(next))
+					c.start(c.indexOf(next))
 					time.Sleep(6 * time.Second)
-					q = c.holds(t, "first;second;")
-					c.witnessesAreWell(t, c.m[q].View())
+					successor = c.requireText(t, "first;second;")
+					c.requireHealthyWitnesses(t, c.members[successor].View())
 				})
 			})
 		}
 	}
 }
 
-func TestALeavingPrimaryIsFollowedAtOnce(t *testing.T) {
-	eachLayout(t, func(t *testing.T, c *crowd) {
-		p := c.primary()
-		require.NoError(t, c.propose(p, "first"))
-		go c.m[p].Leave(time.Now().Add(patience))
+func TestLeave_Primary_SucceededAtOnce(t *testing.T) {
+	eachLayout(t, func(t *testing.T, c *cluster) {
+		primary := c.primary()
+		require.NoError(t, c.propose(primary, "first"))
+		go c.members[primary].Leave(time.Now().Add(callTimeout))
 		time.Sleep(400 * time.Millisecond)
-		q := c.holds(t, "first;")
-		require.NotEqual(t, p, q)
-		require.NoError(t, c.propose(q, "second"))
-		require.Negative(t, index(c.m[q].View().Replicas(), c.m[p].self.ID))
+		successor := c.requireText(t, "first;")
+		require.NotEqual(t, primary, successor)
+		require.NoError(t, c.propose(successor, "second"))
+		require.Negative(t, memberIndex(c.members[successor].View().Replicas(), c.members[primary].self.ID))
 	})
 }
 
-// TestALossDuringTheFirstStart kills as many as must be borne while the first charts are made.
-func TestALossDuringTheFirstStart(t *testing.T) {
+// TestBootstrap_MembersLost_Serves kills as many as must be tolerated while the first views are made.
+func TestBootstrap_MembersLost_Serves(t *testing.T) {
 	for at := 5 * time.Millisecond; at < 900*time.Millisecond; at += 35 * time.Millisecond {
 		t.Run(at.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				c := startCrowd(2, "a", "b", "c", "d", "e")
+				c := startCluster(2, "a", "b", "c", "d", "e")
 				defer c.end()
 				time.Sleep(at)
 				c.stop(0)
@@ -255,11 +255,11 @@
 				c.start(0)
 				c.start(1)
 				time.Sleep(6 * time.Second)
-				p := c.primary()
-				require.GreaterOrEqual(t, p, 0)
-				require.NoError(t, c.propose(p, "first"))
-				require.Len(t, c.m[p].View().Replicas(), 3)
-				require.Len(t, c.m[p].View().Witnesses, 5)
+				primary := c.primary()
+				require.GreaterOrEqual(t, primary, 0)
+				require.NoError(t, c.propose(primary, "first"))
+				require.Len(t, c.members[primary].View().Replicas(), 3)
+				require.Len(t, c.members[primary].View().Witnesses, 5)
 			})
 		})
 	}
--- a/coord/replication/wire_test.go
+++ b/coord/replication/wire_test.go
@@ -27,20 +27,20 @@
 	require.True(t, ok)
 	filled := reflect.New(value.Type()).Elem()
 	filled.Set(value)
-	dropEmpty(filled)
+	clearEmptySlices(filled)
 	return filled.Interface().(core.Message)
 }
 
-// dropEmpty makes empty slices nil: the wire doesn't tell them apart.
-func dropEmpty(v reflect.Value) {
+// clearEmptySlices makes empty slices nil: the wire doesn't tell them apart.
+func clearEmptySlices(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			dropEmpty(v.Field(i))
+			clearEmptySlices(v.Field(i))
 		}
 	case reflect.Pointer:
 		if !v.IsNil() {
-			dropEmpty(v.Elem())
+			clearEmptySlices(v.Elem())
 		}
 	case reflect.Slice:
 		if v.Len() == 0 {
@@ -48,12 +48,12 @@
 			return
 		}
 		for i := range v.Len() {
-			dropEmpty(v.Index(i))
+			clearEmptySlices(v.Index(i))
 		}
 	}
 }
 
-func TestEveryMessageComesBackAsItWas(t *testing.T) {
+func TestMessage_EncodeDecode_RoundTrip(t *testing.T) {
 	require.Len(t, everyMessage, len(fb.EnumNamesBody)-1, "a body for each type, and none")
 	r := rand.New(rand.NewSource(1))
 	for _, like := range everyMessage {
@@ -66,21 +66,21 @@
 	}
 }
 
-// TestDamagedMessagesGiveAnError cuts messages and changes bytes: there is an error or a message, and no panic.
-func TestDamagedMessagesGiveAnError(t *testing.T) {
+// TestDecodeMessage_Damaged_FailsWithoutPanic cuts messages and changes bytes: there is an error or a message, and no panic.
+func TestDecodeMessage_Damaged_FailsWithoutPanic(t *testing.T) {
 	r := rand.New(rand.NewSource(2))
 	for _, like := range everyMessage {
 		whole := encodeMessage(randomMessage(t, like, r))
 		for n := 0; n < len(whole); n += 1 + len(whole)/100 {
-			decodesOrRefuses(t, whole[:n])
+			decodesOrFails(t, whole[:n])
 			changed := append([]byte{}, whole...)
 			changed[n] ^= byte(1 + r.Intn(255))
-			decodesOrRefuses(t, changed)
+			decodesOrFails(t, changed)
 		}
 	}
 }
 
-func decodesOrRefuses(t *testing.T, data []byte) {
+func decodesOrFails(t *testing.T, data []byte) {
 	message, err := decodeMessage(data)
 	if err != nil {
 		require.Nil(t, message)
@@ -89,7 +89,7 @@
 	require.NotNil(t, message)
 }
 
-func TestMessagesOverTheirBoundsAreRefused(t *testing.T) {
+func TestDecodeMessage_OverBounds_Fails(t *testing.T) {
 	long := strings.Repeat("x", maxAddressBytes+1)
 	for name, message := range map[string]core.Message{
 		"address":      core.Yield{Envelope: core.Envelope{From: core.Member{Address: long}}},
