--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -15,133 +15,135 @@
 )
 
 // send sends the request to replicas until one has answered or nothing more may be tried.
-func (q *request) send() {
-	if q.isLong() && q.haul() {
+func (req *request) send() {
+	if req.isLong() && req.haul() {
 		return
 	}
 	for {
-		left := time.Until(q.deadline)
+		left := time.Until(req.deadline)
 		if left <= budgetReserve {
-			q.giveUp(errkind.DeadlineExceeded, "time ran out")
+			req.fail(errkind.DeadlineExceeded, "time ran out")
 			return
 		}
-		if !q.try.MayRetry(q.path.IsRetriable(), q.path.MaxAttempts) {
-			q.giveUp(errkind.UpstreamFailure, "replicas failed")
+		if !req.history.MayRetry(req.route.IsRetriable(), req.route.MaxAttempts) {
+			req.fail(errkind.UpstreamFailure, "replicas failed")
 			return
 		}
-		choice, ok := q.g.yard.Place(q.ask)
+		choice, ok := req.router.placer.Place(req.wanted)
 		if !ok {
-			if !q.awaitPlace() {
+			if !req.awaitReplica() {
 				return
 			}
 			continue
 		}
-		if q.try.Sends() == 0 && !letIn(choice, left) {
-			q.g.yard.Release(q.placed(choice))
-			q.refuse(errkind.Overloaded)
+		if req.history.Sends() == 0 && !admits(choice, left) {
+			req.router.placer.Release(req.placement(choice))
+			req.reject(errkind.Overloaded)
 			return
 		}
-		if !q.attempt(choice) {
+		if !req.attempt(choice) {
 			return
 		}
 	}
 }
 
-// placed is the end of a placement, for the books of package placement.
-func (q *request) placed(c placement.Choice) *placement.Attempt {
-	return &placement.Attempt{ReplicaID: c.Replica.ID, Chain: q.ask.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: q.ask.MaxOutputTokens}
+// placement is the end of a placement, for the books of package placement.
+func (req *request) placement(c placement.Choice) *placement.Attempt {
+	return &placement.Attempt{ReplicaID: c.Replica.ID, Chain: req.wanted.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: req.wanted.MaxOutputTokens}
 }
 
-// awaitPlace waits a little while no replica can be used; false if the request was answered.
-func (q *request) awaitPlace() bool {
-	if !q.try.MayHaveRun() && time.Until(q.refuseAt()) <= 0 {
-		q.refuse(errkind.Overloaded)
+// awaitReplica waits a little while no replica can be used; false if the request was answered.
+func (req *request) awaitReplica() bool {
+	if !req.history.MayHaveRun() && time.Until(req.rejectAfter()) <= 0 {
+		req.reject(errkind.Overloaded)
 		return false
 	}
-	clear(q.ask.Excluded)
+	clear(req.wanted.Excluded)
 	select {
-	case <-time.After(placeAgain):
+	case <-time.After(placeRetryInterval):
 		return true
-	case <-q.r.Context().Done():
-		q.abandon()
+	case <-req.inbound.Context().Done():
+		req.abort()
 		return false
 	}
 }
 
-// letIn tells whether a request is worth sending: not if the line before it alone is predicted to
+// admits tells whether a request is worth sending: not if the line before it alone is predicted to
 // outlast what is left of its time. The length of its own prompt never counts against it.
-func letIn(c placement.Choice, left time.Duration) bool { return c.PredictedTTFT-c.UnloadedTTFT < left }
+func admits(c placement.Choice, left time.Duration) bool {
+	return c.PredictedTTFT-c.UnloadedTTFT < left
+}
 
-// refuseAt is when a request that could be sent nowhere is refused.
-func (q *request) refuseAt() time.Time {
-	return q.arrived.Add(time.Duration(float64(q.path.LatencyTarget) * refusePart))
+// rejectAfter is when a request that could be sent nowhere is refused.
+func (req *request) rejectAfter() time.Time {
+	return req.arrived.Add(time.Duration(float64(req.route.LatencyTarget) * rejectFraction))
 }
 
 // attempt sends to one replica; true means that another may be tried.
-func (q *request) attempt(c placement.Choice) bool {
-	end := q.placed(c)
-	defer q.g.yard.Release(end)
-	connection, again := q.connect(c)
+func (req *request) attempt(c placement.Choice) bool {
+	end := req.placement(c)
+	defer req.router.placer.Release(end)
+	connection, again := req.connect(c)
 	if connection == nil {
 		return again
 	}
 	at := time.Now()
-	if time.Until(q.deadline) <= budgetReserve {
+	if time.Until(req.deadline) <= budgetReserve {
 		connection.Release()
 		return true
 	}
-	q.try.BeginSend()
-	answer, state, err := connection.Send(q.upstreamRequest(c, at))
-	q.try.Advance(state)
+	req.history.BeginSend()
+	answer, state, err := connection.Send(req.upstreamRequest(c, at))
+	req.history.Advance(state)
 	if err != nil {
-		return q.sendFailed(c.Replica.ID, connection, state, err)
+		return req.handleSendError(c.Replica.ID, connection, state, err)
 	}
 	defer answer.Close()
-	if q.ask.Chain != nil {
-		q.g.index.RecordSent(c.Replica.ID, q.ask.CapacityTokens, q.ask.Chain, q.path.Name)
+	if req.wanted.Chain != nil {
+		req.router.prefixes.RecordSent(c.Replica.ID, req.wanted.CapacityTokens, req.wanted.Chain, req.route.Name)
 	}
-	l := listener{q: q, connection: connection, answer: answer, choice: c, end: end, at: at}
-	return l.listen()
+	l := receiver{request: req, connection: connection, answer: answer, choice: c, placement: end, sentAt: at}
+	return l.receive()
 }
 
 // connect gets what an attempt needs: a connection, a retry's share of the budget, and at last, since
 // there may have been waits, that the client is still there and the replica may still be sent to.
 // Without a connection, again tells whether another replica may be tried.
-func (q *request) connect(c placement.Choice) (connection *upstream.Connection, again bool) {
+func (req *request) connect(c placement.Choice) (connection *upstream.Connection, again bool) {
 	id := c.Replica.ID
-	left := time.Until(q.deadline)
-	wait := min(left, max(placeAgain, time.Until(q.refuseAt())))
-	connection, err := q.g.pool(c.Replica, q.table).Get(q.path.Name, wait, !q.path.IsRetriable(), q.r.Context().Done())
-	if q.r.Context().Err() != nil {
+	left := time.Until(req.deadline)
+	wait := min(left, max(placeRetryInterval, time.Until(req.rejectAfter())))
+	connection, err := req.router.connections(c.Replica, req.table).Get(req.route.Name, wait, !req.route.IsRetriable(), req.inbound.Context().Done())
+	if req.inbound.Context().Err() != nil {
 		if connection != nil {
 			connection.Release()
 		}
-		q.abandon()
+		req.abort()
 		return nil, false
 	}
 	if err != nil {
-		q.ask.Excluded[id] = true
+		req.wanted.Excluded[id] = true
 		if errkind.KindOf(err) == errkind.UpstreamFailure {
-			q.blame(id, outlier.ConnectionRefused)
+			req.recordFault(id, outlier.ConnectionRefused)
 		} else {
-			q.g.long.short()
+			req.router.longWork.recordShortage()
 		}
 		return nil, true
 	}
-	if q.try.Sends() > 0 {
-		if !q.g.further(q.pool.Name, left) {
+	if req.history.Sends() > 0 {
+		if !req.router.takeRetry(req.service.Name, left) {
 			connection.Release()
-			q.giveUp(errkind.UpstreamFailure, "no further try is left")
+			req.fail(errkind.UpstreamFailure, "no further try is left")
 			return nil, false
 		}
-		if q.r.Context().Err() != nil {
+		if req.inbound.Context().Err() != nil {
 			connection.Release()
-			q.abandon()
+			req.abort()
 			return nil, false
 		}
-		q.g.count.further.Inc()
+		req.router.counts.retries.Inc()
 	}
-	if !q.g.yard.Allowed(id) {
+	if !req.router.placer.Allowed(id) {
 		connection.Release()
 		return nil, true
 	}
@@ -150,204 +152,204 @@
 
 // upstreamRequest is the request as it goes to one replica. What it says of time, and what was looked at
 // before, is true for a little while only: it doesn't leave later than that.
-func (q *request) upstreamRequest(c placement.Choice, now time.Time) *upstream.Request {
-	left := q.deadline.Sub(now) - budgetReserve
-	head := q.head.Clone()
+func (req *request) upstreamRequest(c placement.Choice, now time.Time) *upstream.Request {
+	left := req.deadline.Sub(now) - budgetReserve
+	head := req.header.Clone()
 	head.Set(upstream.HeaderExpectedReplica, c.Replica.ID)
 	head.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	if q.ask.Chain != nil {
-		head.Set(upstream.HeaderUrgency, strconv.Itoa(q.urgency(c.UnloadedTTFT)))
+	if req.wanted.Chain != nil {
+		head.Set(upstream.HeaderUrgency, strconv.Itoa(req.urgency(c.UnloadedTTFT)))
 	}
-	if q.lastID >= 0 {
-		head.Set(upstream.HeaderLastEventID, strconv.FormatInt(q.lastID, 10))
+	if req.lastEventID >= 0 {
+		head.Set(upstream.HeaderLastEventID, strconv.FormatInt(req.lastEventID, 10))
 	}
-	notAfter := now.Add(sendStale)
-	if q.deadline.Before(notAfter) {
-		notAfter = q.deadline
+	notAfter := now.Add(checkLifetime)
+	if req.deadline.Before(notAfter) {
+		notAfter = req.deadline
 	}
 	return &upstream.Request{
-		Method:    q.r.Method,
-		Target:    q.r.RequestURI,
-		Host:      q.r.Host,
+		Method:    req.inbound.Method,
+		Target:    req.inbound.RequestURI,
+		Host:      req.inbound.Host,
 		Header:    head,
-		Body:      q.body,
-		AttemptID: q.id,
-		Events:    q.path.Kind == routing.Streaming,
+		Body:      req.body,
+		AttemptID: req.id,
+		Events:    req.route.Kind == routing.Streaming,
 		NotAfter:  notAfter,
-		Deadline:  q.deadline,
+		Deadline:  req.deadline,
 	}
 }
 
-// sendFailed deals with a request that was not sent whole; true means that another replica may be tried.
-func (q *request) sendFailed(id string, c *upstream.Connection, state attempt.State, err error) bool {
+// handleSendError deals with a request that was not sent whole; true means that another replica may be tried.
+func (req *request) handleSendError(id string, c *upstream.Connection, state attempt.State, err error) bool {
 	if !errors.Is(err, upstream.ErrTooLate) && !errors.Is(err, upstream.ErrSameAttempt) {
-		q.ended(id, c, outlier.ConnectionReset, true)
+		req.handleLoss(id, c, outlier.ConnectionReset, true)
 	}
 	if !state.MayHaveRun() {
 		return true
 	}
-	return q.again("sending failed")
+	return req.retry("sending failed")
 }
 
 // urgency is the class that a replica is told: by the path's priority, behind all others if the prompt
 // alone takes longer than the aim.
-func (q *request) urgency(alone time.Duration) int {
-	if q.long {
+func (req *request) urgency(alone time.Duration) int {
+	if req.isLongWork {
 		return urgencyLong
 	}
-	if alone > q.path.LatencyTarget {
-		return urgencyLate
+	if alone > req.route.LatencyTarget {
+		return urgencyMissed
 	}
-	part := float64(alone) / float64(max(q.path.LatencyTarget, 1))
-	return min(urgencyLate-1, int(part*7))
+	part := float64(alone) / float64(max(req.route.LatencyTarget, 1))
+	return min(urgencyMissed-1, int(part*7))
 }
 
-// blame holds a failure against a replica; another one is tried next.
-func (q *request) blame(id string, k outlier.FailureKind) {
-	q.ask.Excluded[id] = true
-	q.g.blame(id, k)
+// recordFault holds a failure against a replica; another one is tried next.
+func (req *request) recordFault(id string, k outlier.FailureKind) {
+	req.wanted.Excluded[id] = true
+	req.router.recordFault(id, k)
 }
 
-// ended notes that a connection failed. One that had been idle and is reset before any answer was most
+// handleLoss notes that a connection failed. One that had been idle and is reset before any answer was most
 // likely forgotten: that says little, and the same replica may be tried again on another; after silence
 // the other idle connections are in doubt too.
-func (q *request) ended(id string, c *upstream.Connection, k outlier.FailureKind, reset bool) {
+func (req *request) handleLoss(id string, c *upstream.Connection, k outlier.FailureKind, reset bool) {
 	if reset && c.WasStale() {
-		q.g.blame(id, outlier.StaleConnection)
+		req.router.recordFault(id, outlier.StaleConnection)
 		return
 	}
-	q.blame(id, k)
+	req.recordFault(id, k)
 	if k == outlier.Timeout {
 		c.MarkUncertain()
 	}
 }
 
-// again tells whether another replica may be tried after one that did not answer as it should; if not,
+// retry tells whether another replica may be tried after one that did not answer as it should; if not,
 // the client is answered. A stream that was begun is taken up only where the next event can be told from
 // the last.
-func (q *request) again(why string) bool {
-	resumable := !q.began || q.lastID >= 0
-	if resumable && q.try.MayRetry(q.path.IsRetriable(), q.path.MaxAttempts) {
+func (req *request) retry(why string) bool {
+	resumable := !req.started || req.lastEventID >= 0
+	if resumable && req.history.MayRetry(req.route.IsRetriable(), req.route.MaxAttempts) {
 		return true
 	}
-	q.giveUp(errkind.UpstreamFailure, why)
+	req.fail(errkind.UpstreamFailure, why)
 	return false
 }
 
-// patience is how long a replica may be silent before another one is tried; 0 if none may be.
-func (q *request) patience() time.Duration {
-	if !q.path.IsRetriable() || q.try.Sends() >= q.path.MaxAttempts {
+// silenceLimit is how long a replica may be silent before another one is tried; 0 if none may be.
+func (req *request) silenceLimit() time.Duration {
+	if !req.route.IsRetriable() || req.history.Sends() >= req.route.MaxAttempts {
 		return 0
 	}
-	if q.began {
-		return time.Duration(float64(q.path.EventGapTarget) * silenceGaps)
+	if req.started {
+		return time.Duration(float64(req.route.EventGapTarget) * silenceGaps)
 	}
-	return time.Duration(float64(q.path.LatencyTarget) * silenceAims)
+	return time.Duration(float64(req.route.LatencyTarget) * silenceAims)
 }
 
-// listener takes the parts of one attempt's answer.
-type listener struct {
-	q          *request
+// receiver takes the parts of one attempt's answer.
+type receiver struct {
+	request    *request
 	connection *upstream.Connection
 	answer     *upstream.Response
 	choice     placement.Choice
-	end        *placement.Attempt
-	at         time.Time // the attempt was sent
-	heard      time.Time // the newest part
+	placement  *placement.Attempt
+	sentAt     time.Time // the attempt was sent
+	lastPartAt time.Time // the newest part
 	head       upstream.Part
 	joined     bool // the events follow those that the client has
 }
 
-// listen takes an answer's parts; true means that another replica may be tried.
-func (l *listener) listen() bool {
-	q, id := l.q, l.choice.Replica.ID
-	l.joined = !q.began // the first event of a run that goes on must follow the last
-	l.heard = l.at
-	due, known := q.g.yard.Health().OverdueAfter(id, l.choice.PredictedTTFT, q.path.LatencyTarget)
+// receive takes an answer's parts; true means that another replica may be tried.
+func (l *receiver) receive() bool {
+	q, id := l.request, l.choice.Replica.ID
+	l.joined = !q.started // the first event of a run that goes on must follow the last
+	l.lastPartAt = l.sentAt
+	due, known := q.router.placer.Health().OverdueAfter(id, l.choice.PredictedTTFT, q.route.LatencyTarget)
 	for {
 		wait := time.Until(q.deadline)
-		if p := q.patience(); p > 0 {
-			wait = min(wait, p-time.Since(l.heard))
+		if p := q.silenceLimit(); p > 0 {
+			wait = min(wait, p-time.Since(l.lastPartAt))
 		}
-		untilDue := due - time.Since(l.at)
-		watch := known && !l.end.FirstTokenSeen && !l.end.OverdueReported && untilDue < wait
+		untilDue := due - time.Since(l.sentAt)
+		watch := known && !l.placement.FirstTokenSeen && !l.placement.OverdueReported && untilDue < wait
 		if watch {
 			wait = untilDue
 		}
 		late := time.NewTimer(max(0, wait))
-		part, ok := l.answer.Next(late.C, q.r.Context().Done())
+		part, ok := l.answer.Next(late.C, q.inbound.Context().Done())
 		late.Stop()
 		if ok {
-			l.heard = time.Now()
-			if again, done := l.take(&part); done {
+			l.lastPartAt = time.Now()
+			if again, done := l.handlePart(&part); done {
 				return again
 			}
 			continue
 		}
-		if q.r.Context().Err() != nil {
-			q.abandon()
+		if q.inbound.Context().Err() != nil {
+			q.abort()
 			return false
 		}
 		if !watch {
-			return l.silent()
+			return l.handleSilence()
 		}
-		l.end.OverdueReported = true // it is waited for still
-		if !q.g.yard.IsQueued(id) {
-			q.g.blame(id, outlier.Overdue)
+		l.placement.OverdueReported = true // it is waited for still
+		if !q.router.placer.IsQueued(id) {
+			q.router.recordFault(id, outlier.Overdue)
 		}
 	}
 }
 
-// silent ends an attempt of which nothing was heard for too long.
-func (l *listener) silent() bool {
-	if time.Until(l.q.deadline) <= 0 {
-		l.q.giveUp(errkind.DeadlineExceeded, "time ran out")
+// handleSilence ends an attempt of which nothing was heard for too long.
+func (l *receiver) handleSilence() bool {
+	if time.Until(l.request.deadline) <= 0 {
+		l.request.fail(errkind.DeadlineExceeded, "time ran out")
 		return false
 	}
-	l.q.ended(l.choice.Replica.ID, l.connection, outlier.Timeout, false)
-	return l.q.again("silence")
+	l.request.handleLoss(l.choice.Replica.ID, l.connection, outlier.Timeout, false)
+	return l.request.retry("silence")
 }
 
-// take takes one part; done ends the attempt, and again tells whether another replica may be tried.
-func (l *listener) take(part *upstream.Part) (again, done bool) {
-	q, id := l.q, l.choice.Replica.ID
+// handlePart takes one part; done ends the attempt, and again tells whether another replica may be tried.
+func (l *receiver) handlePart(part *upstream.Part) (again, done bool) {
+	q, id := l.request, l.choice.Replica.ID
 	switch part.Kind {
 	case upstream.PartHead:
-		q.told(id, part.Header.Get(upstream.HeaderLoad))
+		q.recordLoad(id, part.Header.Get(upstream.HeaderLoad))
 		l.head = *part
 	case upstream.PartEvent:
-		q.g.yard.FirstToken(l.end, time.Since(l.at), l.choice.PredictedTTFT)
-		if !q.event(part, l.head.Header, &l.joined) {
-			q.blame(id, outlier.InvalidAnswer)
-			return q.again("events out of order"), true
+		q.router.placer.FirstToken(l.placement, time.Since(l.sentAt), l.choice.PredictedTTFT)
+		if !q.relayEvent(part, l.head.Header, &l.joined) {
+			q.recordFault(id, outlier.InvalidAnswer)
+			return q.retry("events out of order"), true
 		}
 	case upstream.PartBody:
 		l.head.Bytes = part.Bytes
 	case upstream.PartEnd:
-		q.try.Advance(part.State)
+		q.history.Advance(part.State)
 		if part.State == attempt.Answered && l.head.Status < http.StatusInternalServerError {
-			q.g.yard.FirstToken(l.end, time.Since(l.at), l.choice.PredictedTTFT)
+			q.router.placer.FirstToken(l.placement, time.Since(l.sentAt), l.choice.PredictedTTFT)
 		}
 		if part.State == attempt.NotExecuted {
-			return q.turnedAway(&l.head, id), true
+			return q.handleRejection(&l.head, id), true
 		}
-		return q.whole(&l.head, id), true
+		return q.complete(&l.head, id), true
 	case upstream.PartFailure:
-		l.failed(part)
-		return q.again(part.Cause), true
+		l.recordFailure(part)
+		return q.retry(part.Cause), true
 	}
 	return false, false
 }
 
-// failed holds a failed answer against its replica.
-func (l *listener) failed(part *upstream.Part) {
+// recordFailure holds a failed answer against its replica.
+func (l *receiver) recordFailure(part *upstream.Part) {
 	id := l.choice.Replica.ID
 	switch {
 	case part.Reset:
-		l.q.ended(id, l.connection, outlier.ConnectionReset, true)
+		l.request.handleLoss(id, l.connection, outlier.ConnectionReset, true)
 	case part.ConnectionLost:
-		l.q.ended(id, l.connection, outlier.Timeout, false)
+		l.request.handleLoss(id, l.connection, outlier.Timeout, false)
 	default:
-		l.q.blame(id, outlier.InvalidAnswer)
+		l.request.recordFault(id, outlier.InvalidAnswer)
 	}
 }
--- a/internal/router/attempt_test.go
+++ b/internal/router/attempt_test.go
@@ -11,9 +11,9 @@
 
 func TestLettingInGoesByThePredictedWait(t *testing.T) {
 	c := placement.Choice{PredictedTTFT: 5 * time.Second, UnloadedTTFT: time.Second}
-	require.False(t, letIn(c, 3*time.Second), "the line alone outlasts the time left")
-	require.True(t, letIn(c, 5*time.Second))
+	require.False(t, admits(c, 3*time.Second), "the line alone outlasts the time left")
+	require.True(t, admits(c, 5*time.Second))
 	long := placement.Choice{PredictedTTFT: 5 * time.Second, UnloadedTTFT: 5 * time.Second}
-	require.True(t, letIn(long, 3*time.Second), "a long prompt is not refused for its length")
-	require.True(t, letIn(placement.Choice{}, time.Millisecond), "services without an engine predict nothing")
+	require.True(t, admits(long, 3*time.Second), "a long prompt is not refused for its length")
+	require.True(t, admits(placement.Choice{}, time.Millisecond), "services without an engine predict nothing")
 }
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -37,11 +37,11 @@
 			Attempts:    2,
 			Body:        []byte("body"),
 		}
-		encoded := recording.Same(kind.String(), noteOf(self, message).Encode())
+		encoded := recording.Same(kind.String(), encodeMessage(self, message).Encode())
 		note, err := rpc.Decode(encoded)
 		require.NoError(t, err)
 		require.Equal(t, rpc.Job, note.Kind)
-		require.Equal(t, message, messageOf(note))
+		require.Equal(t, message, decodeMessage(note))
 	}
 }
 
@@ -62,11 +62,11 @@
 		recording := recordedtest.Open(t, "testdata/pings.txt")
 		w := newWorld(t, time.Second, step{})
 		defer w.end()
-		env := *w.g.env.Load()
+		env := *w.g.settings.Load()
 		env.LongWork = settings.LongWork{Enabled: true, MaxAcceptedJobs: 3}
-		w.g.env.Store(&env)
+		w.g.settings.Store(&env)
 		const node = "10.0.0.9:7722"
-		for name, word := range map[string]string{"well": "", "slow": slowWord} {
+		for name, word := range map[string]string{"well": "", "slow": slowMark} {
 			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Text: word}
 			read, err := rpc.Decode(recording.Same(name, ping.Encode()))
 			require.NoError(t, err)
@@ -75,8 +75,8 @@
 			require.NoError(t, err)
 			require.True(t, answer.Answer && answer.OK)
 			require.Equal(t, ping.Call, answer.Call)
-			w.g.long.roomOf(node, answer)
-			require.Equal(t, neighbour{room: 3, zone: "a", at: time.Now()}, w.g.long.neighbours[node])
+			w.g.longWork.recordPeer(node, answer)
+			require.Equal(t, peer{capacity: 3, zone: "a", at: time.Now()}, w.g.longWork.peers[node])
 		}
 	})
 }
@@ -120,14 +120,14 @@
 			Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64},
 		}
 		r := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: network})
-		nodes := []string{env.Port(portGate), "10.0.0.7:9002"}
-		require.NoError(t, r.book.Update(state.EncodeEvent(state.UpdateFleet{Size: len(nodes), Nodes: nodes})))
+		nodes := []string{env.Port(routerPort), "10.0.0.7:9002"}
+		require.NoError(t, r.store.Update(state.EncodeEvent(state.UpdateFleet{Size: len(nodes), Nodes: nodes})))
 		go r.follower.Run(ctx)
 		synctest.Wait()
-		for r.budget.Take("service-1", r.fleet()) { // the own share is used up first
+		for r.budget.Take("service-1", r.fleetSize()) { // the own share is used up first
 		}
-		require.True(t, r.further("service-1", time.Second))
-		go r.watcher.Run(ctx)
+		require.True(t, r.takeRetry("service-1", time.Second))
+		go r.detector.Run(ctx)
 		time.Sleep(3 * time.Second)
 		cancel()
 		synctest.Wait()
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -12,17 +12,17 @@
 	"shaletrestle/internal/upstream"
 )
 
-// channels is this process's share of the connections that each replica of a service takes.
-func (g *Router) channels(s *routing.Pool, id string) int {
+// connectionLimit is this process's share of the connections that each replica of a service takes.
+func (r *Router) connectionLimit(s *routing.Pool, id string) int {
 	if s == nil || s.MaxConnections <= 0 {
-		return channelsGuess
+		return defaultConnections
 	}
-	v, n := g.book.View(), g.fleet()
+	v, n := r.store.View(), r.fleetSize()
 	if s.MaxConnections >= n || len(v.Nodes) == 0 {
 		return s.MaxConnections / n
 	}
 	// fewer connections than nodes: some nodes by rendezvous have one each, the others none
-	if rankOf(v.Nodes, id, g.env.Load().Port(portGate)) < s.MaxConnections {
+	if rankOf(v.Nodes, id, r.settings.Load().Port(routerPort)) < s.MaxConnections {
 		return 1
 	}
 	return 0
@@ -45,52 +45,52 @@
 	return rank
 }
 
-func (g *Router) pool(r *state.Replica, t *routing.Table) *upstream.Pool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	p := g.pools[r.ID]
-	if p == nil {
-		k := g.keeps[r.Pool]
-		if k == nil {
-			k = &upstream.KeepAlive{}
-			g.keeps[r.Pool] = k
+func (r *Router) connections(replica *state.Replica, table *routing.Table) *upstream.Pool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	pool := r.pools[replica.ID]
+	if pool == nil {
+		keepAlive := r.keepAlives[replica.Pool]
+		if keepAlive == nil {
+			keepAlive = &upstream.KeepAlive{}
+			r.keepAlives[replica.Pool] = keepAlive
 		}
-		p = upstream.NewPool(r.Address, g.dialer, g.channels(t.Pools[r.Pool], r.ID), k, &g.made)
-		g.pools[r.ID] = p
+		pool = upstream.NewPool(replica.Address, r.dialer, r.connectionLimit(table.Pools[replica.Pool], replica.ID), keepAlive, &r.dialCounts)
+		r.pools[replica.ID] = pool
 	}
-	return p
+	return pool
 }
 
-// share gives every pool its share anew, after the fleet's size or the setup changed.
-func (g *Router) share(v *state.View, t *routing.Table) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for id, p := range g.pools {
-		if r := v.Replicas[id]; r != nil {
-			p.SetLimit(g.channels(t.Pools[r.Pool], id))
+// resizePools gives every pool its share anew, after the fleet's size or the setup changed.
+func (r *Router) resizePools(view *state.View, table *routing.Table) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for id, pool := range r.pools {
+		if replica := view.Replicas[id]; replica != nil {
+			pool.SetLimit(r.connectionLimit(table.Pools[replica.Pool], id))
 		}
 	}
 }
 
-// keep looks at this process's own machine again and again, and through its idle connections now and then: one waking-up does for both.
-func (g *Router) keep() {
+// maintain looks at this process's own machine again and again, and through its idle connections now and then: one waking-up does for both.
+func (r *Router) maintain() {
 	n := 0
-	wait.Every(g.ctx, slowness.Interval, func() bool {
-		g.level.Measure()
-		if n++; n%sweepLooks == 0 {
-			g.sweep()
+	wait.Every(r.ctx, slowness.Interval, func() bool {
+		r.machine.Measure()
+		if n++; n%sweepEvery == 0 {
+			r.sweepIdle()
 		}
 		return true
 	})
 }
 
-func (g *Router) sweep() {
-	g.mu.Lock()
+func (r *Router) sweepIdle() {
+	r.mu.Lock()
 	var ps []*upstream.Pool
-	for _, p := range g.pools {
+	for _, p := range r.pools {
 		ps = append(ps, p)
 	}
-	g.mu.Unlock()
+	r.mu.Unlock()
 	for _, p := range ps {
 		p.Sweep()
 	}
--- a/internal/router/constants.go
+++ b/internal/router/constants.go
@@ -4,46 +4,46 @@
 
 // Ports of our own, as offsets into internal_port_range.
 const (
-	portGate = 2 // router: pings of watchers, UDP
+	routerPort = 2 // router: pings of watchers, UDP
 )
 
 // Traffic.
 const (
-	coldMargin    = 0.8                     // part of warmup_per_s that nodes share out
-	bodyMemory    = 0.25                    // part of memory_mb that bodies in flight may take
-	refusePart    = 0.2                     // refusals come before this part of the aim
-	retryAfter    = 0.4                     // s; told with a refusal while replicas are crowded
-	retryUnready  = 0.8                     // s; told while this process has no setup or list yet: about what a start takes
-	unreadyHold   = 1 * time.Second         // an inquiry waits this long for setup and list before it is refused: a start takes less
-	silenceGaps   = 2.5                     // a stream silent for this many target gaps is taken up elsewhere
-	silenceAims   = 3.0                     // no first event within this many aims: another replica is tried
-	fleetGuess    = 16                      // nodes, until control has told
-	coldNodes     = 3                       // nodes that share one cold replica
-	placeAgain    = 25 * time.Millisecond   // pause while no replica can be used
-	channelsGuess = 8                       // connections to a replica whose service names no limit
-	bodyWait      = 10 * time.Second        // a client may take this long over its body
-	writeWait     = 10 * time.Second        // a client that reads nothing this long is let go
-	urgencyLate   = 8                       // class of prompts that miss the aim in any case; 9 is the last
-	budgetReserve = 15 * time.Millisecond   // taken off Time-Budget-Ms for the way back
-	lingerReady   = 2500 * time.Millisecond // after SIGTERM: the platform asks each second and notices at two misses
-	sendStale     = 250 * time.Millisecond  // a request whose first byte has not left this long after its checks is checked anew
-	defaultBudget = 30 * time.Second        // a request that names no budget
+	coldStartMargin    = 0.8                     // part of warmup_per_s that nodes share out
+	bodyMemoryFraction = 0.25                    // part of memory_mb that bodies in flight may take
+	rejectFraction     = 0.2                     // refusals come before this part of the aim
+	retryAfterS        = 0.4                     // s; told with a refusal while replicas are crowded
+	retryAfterUnreadyS = 0.8                     // s; told while this process has no setup or list yet: about what a start takes
+	readyTimeout       = 1 * time.Second         // an inquiry waits this long for setup and list before it is refused: a start takes less
+	silenceGaps        = 2.5                     // a stream silent for this many target gaps is taken up elsewhere
+	silenceAims        = 3.0                     // no first event within this many aims: another replica is tried
+	defaultFleetSize   = 16                      // nodes, until control has told
+	coldStartNodes     = 3                       // nodes that share one cold replica
+	placeRetryInterval = 25 * time.Millisecond   // pause while no replica can be used
+	defaultConnections = 8                       // connections to a replica whose service names no limit
+	bodyTimeout        = 10 * time.Second        // a client may take this long over its body
+	writeTimeout       = 10 * time.Second        // a client that reads nothing this long is let go
+	urgencyMissed      = 8                       // class of prompts that miss the aim in any case; 9 is the last
+	budgetReserve      = 15 * time.Millisecond   // taken off Time-Budget-Ms for the way back
+	readinessLinger    = 2500 * time.Millisecond // after SIGTERM: the platform asks each second and notices at two misses
+	checkLifetime      = 250 * time.Millisecond  // a request whose first byte has not left this long after its checks is checked anew
+	defaultBudget      = 30 * time.Second        // a request that names no budget
 )
 
 // A machine of our own that turns slow.
 const (
-	sweepLooks = 2 // looks after which idle connections are looked through: each second
+	sweepEvery = 2 // looks after which idle connections are looked through: each second
 )
 
 // Connections to replicas, shares and replica health.
 const (
-	lumpPause = 400 * time.Millisecond // after a refusal no lump of that service is asked for
+	loanPause = 400 * time.Millisecond // after a refusal no lump of that service is asked for
 )
 
 // What waits at the replicas, told through the fleet.
 const (
-	deckTell  = 80 * time.Millisecond  // a node tells its relay this often, if anything changed: a prompt is read in some 100 ms
-	deckAgain = 400 * time.Millisecond // what didn't change is told again after this
+	loadSumInterval = 80 * time.Millisecond  // a node tells its relay this often, if anything changed: a prompt is read in some 100 ms
+	loadSumRepeat   = 400 * time.Millisecond // what didn't change is told again after this
 )
 
 // Long work between nodes (package handoff, docs/long-work.md).
--- a/internal/router/failures.go
+++ b/internal/router/failures.go
@@ -11,19 +11,19 @@
 	"shaletrestle/coord/outlier"
 )
 
-// words are the failures seen here since the last time, for the acknowledgement that is about to go; nil mostly.
-func (g *Router) words() []byte {
+// reports are the failures seen here since the last time, for the acknowledgement that is about to go; nil mostly.
+func (r *Router) reports() []byte {
 	now := time.Now()
-	g.mu.Lock()
-	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval/2
+	r.mu.Lock()
+	due := now.Sub(r.reportedAt) >= distribution.HeartbeatInterval/2
 	if due {
-		g.toldAt = now
+		r.reportedAt = now
 	}
-	g.mu.Unlock()
+	r.mu.Unlock()
 	if !due {
 		return nil
 	}
-	ws := g.yard.Health().TakeReports(xxhash.Sum64String(g.env.Load().Port(portGate)), now)
+	ws := r.placer.Health().TakeReports(xxhash.Sum64String(r.settings.Load().Port(routerPort)), now)
 	if len(ws) == 0 {
 		return nil
 	}
@@ -31,14 +31,14 @@
 	return b
 }
 
-// blame holds a failure against a replica, and tells of it at once if nothing was told for a beat.
-func (g *Router) blame(id string, k outlier.FailureKind) {
+// recordFault holds a failure against a replica, and tells of it at once if nothing was told for a beat.
+func (r *Router) recordFault(id string, k outlier.FailureKind) {
 	now := time.Now()
-	g.yard.Health().RecordFailure(id, k, now)
-	g.mu.Lock()
-	due := now.Sub(g.toldAt) >= distribution.HeartbeatInterval
-	g.mu.Unlock()
+	r.placer.Health().RecordFailure(id, k, now)
+	r.mu.Lock()
+	due := now.Sub(r.reportedAt) >= distribution.HeartbeatInterval
+	r.mu.Unlock()
 	if due {
-		g.follower.ReportProgress()
+		r.follower.ReportProgress()
 	}
 }
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -7,8 +7,8 @@
 	"shaletrestle/internal/upstream"
 )
 
-// hop are the heads that concern one connection only.
-var hop = map[string]bool{
+// hopByHopHeaders are the heads that concern one connection only.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Connection":    true,
@@ -22,8 +22,8 @@
 	"Expect":              true,
 }
 
-// passOn copies an inquiry's heads, all but those of one connection.
-func passOn(h http.Header) http.Header {
+// forwardHeader copies an inquiry's heads, all but those of one connection.
+func forwardHeader(h http.Header) http.Header {
 	o := make(http.Header, len(h)+4)
 	named := map[string]bool{}
 	for _, v := range h["Connection"] {
@@ -32,7 +32,7 @@
 		}
 	}
 	for k, v := range h {
-		if !hop[k] && (!named[k] || k == upstream.HeaderAttemptID || k == upstream.HeaderTimeBudget) {
+		if !hopByHopHeaders[k] && (!named[k] || k == upstream.HeaderAttemptID || k == upstream.HeaderTimeBudget) {
 			o[k] = v
 		}
 	}
@@ -42,8 +42,8 @@
 	return o
 }
 
-// back is the allow list of heads of an answer.
-var back = []string{
+// responseHeaders is the allow list of heads of an answer.
+var responseHeaders = []string{
 	"Content-Type",
 	"Attempt-Id",
 	"Replica-Seal",
@@ -65,9 +65,9 @@
 	"Replica-Id",
 }
 
-// passBack copies the heads of an answer that may reach the client.
-func passBack(to, from http.Header) {
-	for _, k := range back {
+// copyResponseHeader copies the heads of an answer that may reach the client.
+func copyResponseHeader(to, from http.Header) {
+	for _, k := range responseHeaders {
 		if v, ok := from[k]; ok {
 			to[k] = v
 		}
--- a/internal/router/loadsum.go
+++ b/internal/router/loadsum.go
@@ -10,24 +10,24 @@
 	"shaletrestle/coord/rpc"
 )
 
-// tellDeck tells the relay what this process has waiting at the replicas, when it changed or its last word grows old.
-func (g *Router) tellDeck() {
+// sendLoadSums tells the relay what this process has waiting at the replicas, when it changed or its last word grows old.
+func (r *Router) sendLoadSums() {
 	var last []loadsum.Load
 	var at time.Time
-	wait.Every(g.ctx, deckTell, func() bool {
-		now, ps := time.Now(), g.yard.PendingPrefill()
-		if slices.Equal(ps, last) && (len(ps) == 0 || now.Sub(at) < deckAgain) {
+	wait.Every(r.ctx, loadSumInterval, func() bool {
+		now, ps := time.Now(), r.placer.PendingPrefill()
+		if slices.Equal(ps, last) && (len(ps) == 0 || now.Sub(at) < loadSumRepeat) {
 			return true
 		}
 		last, at = ps, now
-		g.follower.Send(&rpc.Message{Kind: rpc.LoadSums, From: g.follower.Self(), Body: loadsum.Encode(ps)})
+		r.follower.Send(&rpc.Message{Kind: rpc.LoadSums, From: r.follower.Self(), Body: loadsum.Encode(ps)})
 		return true
 	})
 }
 
-// hearDeck takes the fleet's sum.
-func (g *Router) hearDeck(n *rpc.Message) {
+// receiveLoadSums takes the fleet's sum.
+func (r *Router) receiveLoadSums(n *rpc.Message) {
 	if n.Kind == rpc.LoadSums {
-		g.yard.UpdateFleetLoad(loadsum.Decode(n.Body))
+		r.placer.UpdateFleetLoad(loadsum.Decode(n.Body))
 	}
 }
--- a/internal/router/longwork.go
+++ b/internal/router/longwork.go
@@ -19,7 +19,7 @@
 // messages, runs the jobs that were taken and tells the requests whose jobs they
 // are.
 type longWork struct {
-	gate         *Router
+	router       *Router
 	ctx          context.Context
 	log          *slog.Logger
 	self         string // own address for messages between routers
@@ -29,16 +29,16 @@
 	lastShortage atomic.Time     // when a connection to a replica could not be had
 	wakeup       chan struct{}   // wakes the loop
 
-	mu         sync.Mutex
-	owner      *handoff.Owner
-	taker      *handoff.Taker
-	inboxes    map[uint64]chan handoff.Effect // of the requests, by job
-	cancels    map[uint64]context.CancelFunc  // of the runs for others, by ticket
-	channels   map[string]*rpc.Channel        // the channel that an owner used last
-	neighbours map[string]neighbour
-	queues     map[string]*longQueue // by service
-	open       map[*request]struct{} // long work of our clients, from its body to its end
-	counters   longCounters
+	mu       sync.Mutex
+	owner    *handoff.Owner
+	taker    *handoff.Taker
+	inboxes  map[uint64]chan handoff.Effect // of the requests, by job
+	cancels  map[uint64]context.CancelFunc  // of the runs for others, by ticket
+	channels map[string]*rpc.Channel        // the channel that an owner used last
+	peers    map[string]peer
+	queues   map[string]*longQueue // by service
+	open     map[*request]struct{} // long work of our clients, from its body to its end
+	counters longCounters
 }
 
 // longCounters count what became of long work since the start.
@@ -63,27 +63,27 @@
 		Tombstones:    longGraves,
 	}
 	work := &longWork{
-		gate:       gate,
-		ctx:        gate.ctx,
-		log:        gate.log.With("part", "longwork"),
-		self:       gate.env.Load().Port(portGate),
-		start:      time.Now(),
-		wakeup:     make(chan struct{}, 1),
-		owner:      handoff.NewOwner(life, bounds),
-		taker:      handoff.NewTaker(life, bounds),
-		inboxes:    map[uint64]chan handoff.Effect{},
-		cancels:    map[uint64]context.CancelFunc{},
-		channels:   map[string]*rpc.Channel{},
-		neighbours: map[string]neighbour{},
-		queues:     map[string]*longQueue{},
-		open:       map[*request]struct{}{},
+		router:   gate,
+		ctx:      gate.ctx,
+		log:      gate.log.With("part", "longwork"),
+		self:     gate.settings.Load().Port(routerPort),
+		start:    time.Now(),
+		wakeup:   make(chan struct{}, 1),
+		owner:    handoff.NewOwner(life, bounds),
+		taker:    handoff.NewTaker(life, bounds),
+		inboxes:  map[uint64]chan handoff.Effect{},
+		cancels:  map[uint64]context.CancelFunc{},
+		channels: map[string]*rpc.Channel{},
+		peers:    map[string]peer{},
+		queues:   map[string]*longQueue{},
+		open:     map[*request]struct{}{},
 	}
 	work.lines = rpc.NewPool(work.ctx, gate.net, gate.handle)
 	return work
 }
 
 // enabled tells whether long work is switched on now.
-func (l *longWork) enabled() bool { return l.gate.env.Load().LongWork.Enabled }
+func (l *longWork) enabled() bool { return l.router.settings.Load().LongWork.Enabled }
 
 // now is the time of the state machines: the time since the start.
 func (l *longWork) now() time.Duration { return time.Since(l.start) }
@@ -150,13 +150,13 @@
 func (l *longWork) tick() longCounters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taker.SetCapacity(l.room())
+	l.taker.SetCapacity(l.capacity())
 	l.apply(l.owner.Tick(l.now()))
 	l.apply(l.taker.Tick(l.now()))
-	pools := l.gate.table.Load().Pools
+	pools := l.router.table.Load().Pools
 	for service, queue := range l.queues {
 		l.admit(queue)
-		running, waiting, _ := queue.handoff.Stats()
+		running, waiting, _ := queue.admission.Stats()
 		if pools[service] == nil && running+waiting == 0 {
 			delete(l.queues, service)
 		}
@@ -184,15 +184,15 @@
 	}
 }
 
-// leave takes no more from others and returns what was not begun.
-func (l *longWork) leave() {
+// drain takes no more from others and returns what was not begun.
+func (l *longWork) drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.apply(l.taker.ReturnAccepted())
 }
 
-// finish waits for what runs for others, at most for a time.
-func (l *longWork) finish(timeout time.Duration) {
+// wait waits for what runs for others, at most for a time.
+func (l *longWork) wait(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for time.Until(end) > 0 {
 		l.mu.Lock()
--- a/internal/router/longwork_messages.go
+++ b/internal/router/longwork_messages.go
@@ -13,9 +13,9 @@
 // effects that end a job.
 const inboxReserve = 2
 
-// note takes a message of another router.
-func (l *longWork) note(channel *rpc.Channel, note *rpc.Message) {
-	message := messageOf(note)
+// receive takes a message of another router.
+func (l *longWork) receive(channel *rpc.Channel, note *rpc.Message) {
+	message := decodeMessage(note)
 	if message.Kind == 0 || message.Peer == "" {
 		return
 	}
@@ -39,7 +39,7 @@
 		l.channels[peer] = channel
 		channel.OnClose(func() { go l.closed(peer, channel) })
 	}
-	l.taker.SetCapacity(l.room())
+	l.taker.SetCapacity(l.capacity())
 	l.apply(l.taker.Step(l.now(), message))
 	l.wake()
 }
@@ -52,8 +52,8 @@
 	}
 }
 
-// messageOf reads the wire form of a message.
-func messageOf(note *rpc.Message) handoff.Message {
+// decodeMessage reads the wire form of a message.
+func decodeMessage(note *rpc.Message) handoff.Message {
 	return handoff.Message{
 		Kind:        handoff.KindOf(note.Text),
 		Peer:        note.From.Address,
@@ -67,8 +67,8 @@
 	}
 }
 
-// noteOf is the wire form of a message.
-func noteOf(self string, message handoff.Message) *rpc.Message {
+// encodeMessage is the wire form of a message.
+func encodeMessage(self string, message handoff.Message) *rpc.Message {
 	return &rpc.Message{
 		Kind:       rpc.Job,
 		From:       rpc.Member{Address: self},
@@ -110,7 +110,7 @@
 // channel that the owner used last. For an owner's messages a dial may be needed;
 // one that is lost is repeated by the state machine.
 func (l *longWork) send(message handoff.Message) {
-	note := noteOf(l.self, message)
+	note := encodeMessage(l.self, message)
 	if message.Kind > handoff.Drop {
 		if channel := l.channels[message.Peer]; channel != nil {
 			channel.Send(note)
--- a/internal/router/longwork_offer.go
+++ b/internal/router/longwork_offer.go
@@ -18,71 +18,71 @@
 )
 
 // isLong tells whether a request is long work, and keeps the result.
-func (q *request) isLong() bool {
-	engine := q.pool.Engine
-	if !q.g.long.enabled() || engine == nil {
+func (req *request) isLong() bool {
+	engine := req.service.Engine
+	if !req.router.longWork.enabled() || engine == nil {
 		return false
 	}
-	settings := q.g.env.Load().LongWork
-	in, out := tokenCounts(q.r.Header.Get("Token-Counts"))
+	settings := req.router.settings.Load().LongWork
+	in, out := tokenCounts(req.inbound.Header.Get("Token-Counts"))
 	marks := handoff.Thresholds{Patient: settings.PatientTargets, Heavy: settings.HeavyTargets}
-	q.long = marks.IsLong(handoff.Demand{
-		Stream:       q.path.Kind == routing.Streaming,
-		Aim:          q.path.LatencyTarget,
-		Timeout:      q.path.Timeout,
-		Gap:          q.path.EventGapTarget,
+	req.isLongWork = marks.IsLong(handoff.Demand{
+		Stream:       req.route.Kind == routing.Streaming,
+		Aim:          req.route.LatencyTarget,
+		Timeout:      req.route.Timeout,
+		Gap:          req.route.EventGapTarget,
 		Stride:       engine.Stride,
 		PromptTokens: in,
 		OutputTokens: out,
 		PerToken:     placement.InitialPrefillPerToken,
 	})
-	return q.long
+	return req.isLongWork
 }
 
 // haul places long work: with a neighbour if this node is overloaded, else among
 // what runs here. If it gives true, the request is answered.
-func (q *request) haul() bool {
-	work := q.g.long
+func (req *request) haul() bool {
+	work := req.router.longWork
 	work.mu.Lock()
-	work.open[q] = struct{}{}
+	work.open[req] = struct{}{}
 	work.mu.Unlock()
-	if q.mayBeOffered() {
-		node := work.reserveNeighbour(q.path)
-		if node != "" && q.offer(node) {
+	if req.mayBeOffered() {
+		node := work.reservePeer(req.route)
+		if node != "" && req.offer(node) {
 			return true
 		}
 	}
-	return !q.enter()
+	return !req.enter()
 }
 
-func (q *request) mayBeOffered() bool {
-	if q.taken || time.Until(q.refuseAt()) < longAnswer {
+func (req *request) mayBeOffered() bool {
+	if req.forPeer || time.Until(req.rejectAfter()) < longAnswer {
 		return false
 	}
-	return q.g.env.Load().LongWork.Always || q.g.long.overloaded()
+	return req.router.settings.Load().LongWork.Always || req.router.longWork.overloaded()
 }
 
 // pack writes the request as its taker is to send it; nil if that is not possible.
-func (q *request) pack() []byte {
-	left := time.Until(q.deadline) - budgetReserve
-	header := q.head.Clone()
+func (req *request) pack() []byte {
+	left := time.Until(req.deadline) - budgetReserve
+	header := req.header.Clone()
 	header.Set(upstream.HeaderTimeBudget, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	if q.lastID >= 0 {
-		header.Set(upstream.HeaderLastEventID, strconv.FormatInt(q.lastID, 10))
+	if req.lastEventID >= 0 {
+		header.Set(upstream.HeaderLastEventID, strconv.FormatInt(req.lastEventID, 10))
 	}
 	outgoing := &http.Request{
-		Method:        q.r.Method,
-		URL:           upstream.RequestURL(q.r.RequestURI),
-		Host:          q.r.Host,
+		Method:        req.inbound.Method,
+		URL:           upstream.RequestURL(req.inbound.RequestURI),
+		Host:          req.inbound.Host,
 		Header:        header,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		ContentLength: int64(len(q.body)),
+		ContentLength: int64(len(req.body)),
 		Body:          http.NoBody,
 	}
-	if len(q.body) > 0 {
-		outgoing.Body = io.NopCloser(bytes.NewReader(q.body))
+	if len(req.body) > 0 {
+		outgoing.Body = io.NopCloser(bytes.NewReader(req.body))
 	}
 	var packed bytes.Buffer
 	if outgoing.Write(&packed) != nil {
@@ -93,12 +93,12 @@
 
 // offer lets a neighbour run the request; false if it was returned and may be run
 // here.
-func (q *request) offer(node string) (answered bool) {
-	body := q.pack()
+func (req *request) offer(node string) (answered bool) {
+	body := req.pack()
 	if body == nil {
 		return false
 	}
-	offered := q.newOfferedJob(node, body)
+	offered := req.newOfferedJob(node, body)
 	defer offered.close()
 	for {
 		select {
@@ -109,8 +109,8 @@
 			case jobReturned:
 				return false
 			}
-		case <-q.r.Context().Done():
-			q.abandon()
+		case <-req.inbound.Context().Done():
+			req.abort()
 		}
 	}
 }
@@ -137,19 +137,19 @@
 }
 
 // newOfferedJob offers the request to a neighbour.
-func (q *request) newOfferedJob(node string, body []byte) *offeredJob {
-	work := q.g.long
+func (req *request) newOfferedJob(node string, body []byte) *offeredJob {
+	work := req.router.longWork
 	job := &offeredJob{
 		work:    work,
-		request: q,
+		request: req,
 		node:    node,
 		inbox:   make(chan handoff.Effect, longInbox),
-		joined:  !q.began,
+		joined:  !req.started,
 	}
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	deadline := work.now() + time.Until(q.deadline) - budgetReserve
-	job.number = work.owner.Take(deadline, q.path.IsRetriable(), q.path.MaxAttempts)
+	deadline := work.now() + time.Until(req.deadline) - budgetReserve
+	job.number = work.owner.Take(deadline, req.route.IsRetriable(), req.route.MaxAttempts)
 	work.inboxes[job.number] = job.inbox
 	work.counters.offered++
 	work.apply(work.owner.Offer(work.now(), job.number, node, body))
@@ -190,7 +190,7 @@
 		}
 	case j.head.Events:
 		event := &upstream.Part{Kind: upstream.PartEvent, Bytes: piece, ID: eventID(piece)}
-		if !q.event(event, j.head.Header, &j.joined) {
+		if !q.relayEvent(event, j.head.Header, &j.joined) {
 			return j.broken("events out of order")
 		}
 	default:
@@ -201,8 +201,8 @@
 
 // broken gives the request up: its answer can't be used, and it has run.
 func (j *offeredJob) broken(why string) jobState {
-	j.request.try.AddRemote(0, true)
-	j.request.giveUp(errkind.UpstreamFailure, why)
+	j.request.history.AddRemote(0, true)
+	j.request.fail(errkind.UpstreamFailure, why)
 	return jobAnswered
 }
 
@@ -221,25 +221,25 @@
 		work.counters.lost++
 		work.log.Warn("a neighbour was lost, its job is placed anew", "node", j.node, "request", q.id)
 	}
-	q.try.AddRemote(q.path.MaxAttempts-attemptsLeft-q.try.Sends(), lost)
+	q.history.AddRemote(q.route.MaxAttempts-attemptsLeft-q.history.Sends(), lost)
 	return true
 }
 
 // ended takes the outcome of a job that does not come back.
 func (j *offeredJob) ended(effect handoff.Effect) jobState {
 	q := j.request
-	q.try.AddRemote(effect.Message.Attempts, effect.Outcome != handoff.Rejected)
+	q.history.AddRemote(effect.Message.Attempts, effect.Outcome != handoff.Rejected)
 	switch effect.Outcome {
 	case handoff.Complete:
 		return j.completed()
 	case handoff.Rejected:
-		q.giveUp(errkind.Overloaded, "no time for long work")
+		q.fail(errkind.Overloaded, "no time for long work")
 	case handoff.DeadlineExceeded:
-		q.giveUp(errkind.DeadlineExceeded, "time ran out")
+		q.fail(errkind.DeadlineExceeded, "time ran out")
 	default:
 		j.countBroken()
 		j.work.log.Warn("a neighbour was lost with a job that may have begun", "node", j.node, "request", q.id)
-		q.giveUp(errkind.UpstreamFailure, "the neighbour was lost")
+		q.fail(errkind.UpstreamFailure, "the neighbour was lost")
 	}
 	return jobAnswered
 }
@@ -248,15 +248,15 @@
 func (j *offeredJob) completed() jobState {
 	q := j.request
 	j.countElsewhere()
-	if j.head == nil || j.head.Events != q.began {
-		q.giveUp(errkind.UpstreamFailure, "no whole answer")
+	if j.head == nil || j.head.Events != q.started {
+		q.fail(errkind.UpstreamFailure, "no whole answer")
 		return jobAnswered
 	}
 	if j.head.Events {
 		return jobAnswered
 	}
 	answer := &upstream.Part{Status: j.head.Status, Header: j.head.Header, Bytes: j.body}
-	if q.whole(answer, "") {
+	if q.complete(answer, "") {
 		return jobReturned
 	}
 	return jobAnswered
@@ -268,7 +268,7 @@
 	j.work.mu.Lock()
 	defer j.work.mu.Unlock()
 	j.work.counters.elsewhere++
-	j.work.addRoom(j.node, 1)
+	j.work.adjustCapacity(j.node, 1)
 }
 
 func (j *offeredJob) countBroken() {
--- a/internal/router/longwork_queue.go
+++ b/internal/router/longwork_queue.go
@@ -9,9 +9,9 @@
 
 // longQueue is the long work of one service that runs or waits here.
 type longQueue struct {
-	handoff *handoff.Queue
-	waiters map[uint64]chan bool // by number; true: it may run, false: it is too late
-	loads   map[string]longLoad  // by replica
+	admission *handoff.Queue
+	waiters   map[uint64]chan bool // by number; true: it may run, false: it is too late
+	loads     map[string]longLoad  // by replica
 }
 
 // longLoad is a replica's report of its load.
@@ -44,15 +44,15 @@
 		Pause:        longPause,
 	}
 	return &longQueue{
-		handoff: handoff.NewQueue(longRoom, shares),
-		waiters: map[uint64]chan bool{},
-		loads:   map[string]longLoad{},
+		admission: handoff.NewQueue(longRoom, shares),
+		waiters:   map[uint64]chan bool{},
+		loads:     map[string]longLoad{},
 	}
 }
 
-// load takes a replica's report of its load: requests running, requests waiting
+// recordLoad takes a replica's report of its load: requests running, requests waiting
 // and slots.
-func (l *longWork) load(service, replica string, report [3]float64) {
+func (l *longWork) recordLoad(service, replica string, report [3]float64) {
 	if !l.enabled() {
 		return
 	}
@@ -68,11 +68,11 @@
 
 // idle tells whether the replicas that reported lately have free slots and no
 // waiting requests. Nothing is held back while none has reported.
-func (x *longQueue) idle() bool {
+func (q *longQueue) idle() bool {
 	var sum longLoad
-	for replica, load := range x.loads {
+	for replica, load := range q.loads {
 		if time.Since(load.at) > longTold {
-			delete(x.loads, replica)
+			delete(q.loads, replica)
 			continue
 		}
 		sum.running += load.running
@@ -85,15 +85,15 @@
 // admit tells the waiters that may run now, and those that are too late; the caller
 // holds the lock.
 func (l *longWork) admit(queue *longQueue) {
-	run, late := queue.handoff.Admit(l.now(), queue.idle())
-	queue.tell(run, true)
-	queue.tell(late, false)
+	run, late := queue.admission.Admit(l.now(), queue.idle())
+	queue.notify(run, true)
+	queue.notify(late, false)
 }
 
-func (x *longQueue) tell(numbers []uint64, mayRun bool) {
+func (q *longQueue) notify(numbers []uint64, mayRun bool) {
 	for _, number := range numbers {
-		x.waiters[number] <- mayRun
-		delete(x.waiters, number)
+		q.waiters[number] <- mayRun
+		delete(q.waiters, number)
 	}
 }
 
@@ -106,19 +106,19 @@
 
 // enter waits shortly for a place among the long work that runs here. If there is
 // none, the request is refused.
-func (q *request) enter() bool {
-	admitted, waiter := q.join()
+func (req *request) enter() bool {
+	admitted, waiter := req.join()
 	if waiter != nil {
 		select {
 		case admitted = <-waiter.granted:
-		case <-q.r.Context().Done():
-			q.g.long.leaveQueue(waiter)
-			q.abandon()
+		case <-req.inbound.Context().Done():
+			req.router.longWork.leaveQueue(waiter)
+			req.abort()
 		}
 	}
-	q.countEntry(admitted)
+	req.countEntry(admitted)
 	if !admitted {
-		q.giveUp(errkind.Overloaded, "no place for long work")
+		req.fail(errkind.Overloaded, "no place for long work")
 	}
 	return admitted
 }
@@ -126,22 +126,22 @@
 // join asks for a place: it is admitted, has to wait, or is refused. One that was
 // sent before is admitted in any case, and one that another router owns does not
 // wait, because its owner does.
-func (q *request) join() (admitted bool, waiter *placeWaiter) {
-	work := q.g.long
+func (req *request) join() (admitted bool, waiter *placeWaiter) {
+	work := req.router.longWork
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	queue := work.queue(q.ask.Pool)
-	until := work.now() + min(time.Until(q.refuseAt()), time.Until(q.deadline))
-	if q.try.Sends() > 0 {
-		queue.handoff.Enter()
+	queue := work.queue(req.wanted.Pool)
+	until := work.now() + min(time.Until(req.rejectAfter()), time.Until(req.deadline))
+	if req.history.Sends() > 0 {
+		queue.admission.Enter()
 		return true, nil
 	}
-	number, now, ok := queue.handoff.Join(until, queue.idle())
+	number, now, ok := queue.admission.Join(until, queue.idle())
 	if !ok || now {
 		return ok, nil
 	}
-	if q.taken {
-		queue.handoff.Leave(number)
+	if req.forPeer {
+		queue.admission.Leave(number)
 		return false, nil
 	}
 	waiter = &placeWaiter{queue: queue, number: number, granted: make(chan bool, 1)}
@@ -155,58 +155,58 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue := waiter.queue
-	queue.handoff.Leave(waiter.number)
+	queue.admission.Leave(waiter.number)
 	delete(queue.waiters, waiter.number)
 	select {
 	case granted := <-waiter.granted: // it was admitted at the same time
 		if granted {
-			queue.handoff.Release()
+			queue.admission.Release()
 		}
 	default:
 	}
 }
 
-func (q *request) countEntry(admitted bool) {
-	work := q.g.long
+func (req *request) countEntry(admitted bool) {
+	work := req.router.longWork
 	work.mu.Lock()
 	defer work.mu.Unlock()
 	if !admitted {
 		work.counters.refused++
 		return
 	}
-	if !q.taken {
+	if !req.forPeer {
 		work.counters.here++
 	}
-	q.place = q.ask.Pool
+	req.longWorkService = req.wanted.Pool
 }
 
 // leavePlace ends a request's part in the long work.
-func (q *request) leavePlace() {
-	if !q.long {
+func (req *request) leavePlace() {
+	if !req.isLongWork {
 		return
 	}
-	work := q.g.long
+	work := req.router.longWork
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	delete(work.open, q)
-	if q.place == "" {
+	delete(work.open, req)
+	if req.longWorkService == "" {
 		return
 	}
-	queue := work.queue(q.place)
-	queue.handoff.Release()
+	queue := work.queue(req.longWorkService)
+	queue.admission.Release()
 	work.admit(queue)
 }
 
 // promptCame takes a request that is no long work, at its first event, into the
 // measure of how long prompt answers take in parts of their target latency.
-func (q *request) promptCame() {
-	work := q.g.long
-	if q.long || q.taken || q.path.LatencyTarget <= 0 || q.ask.Chain == nil || !work.enabled() {
+func (req *request) promptCame() {
+	work := req.router.longWork
+	if req.isLongWork || req.forPeer || req.route.LatencyTarget <= 0 || req.wanted.Chain == nil || !work.enabled() {
 		return
 	}
 	work.mu.Lock()
 	defer work.mu.Unlock()
-	queue := work.queue(q.ask.Pool)
-	queue.handoff.RecordPrompt(work.now(), float64(time.Since(q.arrived))/float64(q.path.LatencyTarget))
+	queue := work.queue(req.wanted.Pool)
+	queue.admission.RecordPrompt(work.now(), float64(time.Since(req.arrived))/float64(req.route.LatencyTarget))
 	work.admit(queue)
 }
--- a/internal/router/longwork_state.go
+++ b/internal/router/longwork_state.go
@@ -34,8 +34,8 @@
 	Waiting int     `json:"waiting"`
 }
 
-// seen gives the section of the state page.
-func (l *longWork) seen() longWorkState {
+// state gives the section of the state page.
+func (l *longWork) state() longWorkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	held, offered, elsewhere := l.owner.Jobs()
@@ -74,7 +74,7 @@
 func (l *longWork) queueStates() map[string]longQueueState {
 	states := map[string]longQueueState{}
 	for service, queue := range l.queues {
-		running, waiting, room := queue.handoff.Stats()
+		running, waiting, room := queue.admission.Stats()
 		states[service] = longQueueState{
 			Idle:    queue.idle(),
 			Room:    room,
--- a/internal/router/longwork_taken.go
+++ b/internal/router/longwork_taken.go
@@ -22,8 +22,8 @@
 // runTaken runs a job for its owner, like a request of our own whose time counts from
 // the owner's offer.
 func (l *longWork) runTaken(ctx context.Context, effect handoff.Effect, offered time.Time) {
-	l.gate.inflight.Inc()
-	defer l.gate.inflight.Dec()
+	l.router.inflight.Inc()
+	defer l.router.inflight.Dec()
 	writer := &takenWriter{work: l, ticket: effect.Ticket.Number, head: http.Header{}}
 	run := &takenRun{
 		work:    l,
@@ -32,7 +32,7 @@
 	}
 	defer run.end()
 	if run.request != nil {
-		run.request.follow()
+		run.request.runSteps()
 	}
 }
 
@@ -42,16 +42,16 @@
 	if err != nil {
 		return nil
 	}
-	q := newRequest(l.gate, writer, received.WithContext(ctx))
+	q := newRequest(l.router, writer, received.WithContext(ctx))
 	path := q.table.Match(received.Host, received.RequestURI)
 	if path == nil {
 		return nil
 	}
 	limited := *path
 	limited.MaxAttempts = min(limited.MaxAttempts, message.Attempts)
-	q.path = &limited
+	q.route = &limited
 	q.arrived = offered
-	q.taken = true
+	q.forPeer = true
 	return q
 }
 
@@ -66,7 +66,7 @@
 	result := handoff.Returned
 	if r.request != nil {
 		r.request.release()
-		attempts = r.request.try.Sends()
+		attempts = r.request.history.Sends()
 		result = r.outcome(cause != nil)
 	}
 	work, ticket := r.work, r.writer.ticket
@@ -80,7 +80,7 @@
 // outcome is what the owner is told of a run whose request could be read.
 func (r *takenRun) outcome(aborted bool) handoff.Kind {
 	passedOn := r.writer.status != 0 && !r.writer.own
-	mayHaveRun := r.request.try.MayHaveRun()
+	mayHaveRun := r.request.history.MayHaveRun()
 	switch {
 	case aborted && (passedOn || mayHaveRun):
 		return handoff.Failed
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -21,8 +21,8 @@
 
 func longOf(e *settings.Settings) *longWork {
 	g := &Router{}
-	g.env.Store(e)
-	return &longWork{gate: g, neighbours: map[string]neighbour{}}
+	g.settings.Store(e)
+	return &longWork{router: g, peers: map[string]peer{}}
 }
 
 func TestNeighbourHasRoomAndMayHaveTheRequest(t *testing.T) {
@@ -30,19 +30,19 @@
 		e := &settings.Settings{Zone: "a", Zones: map[string]string{"a": "east", "b": "west"}, LongWork: settings.LongWork{Enabled: true}}
 		h := longOf(e)
 		fill := func() {
-			h.neighbours = map[string]neighbour{"near": {1, "a", time.Now()}, "far": {3, "b", time.Now()}, "full": {0, "a", time.Now()}}
+			h.peers = map[string]peer{"near": {1, "a", time.Now()}, "far": {3, "b", time.Now()}, "full": {0, "a", time.Now()}}
 		}
 		fill()
-		require.Equal(t, "near", h.reserveNeighbour(&routing.Route{}))
-		require.Empty(t, h.reserveNeighbour(&routing.Route{}), "its room is used up until it speaks again")
+		require.Equal(t, "near", h.reservePeer(&routing.Route{}))
+		require.Empty(t, h.reservePeer(&routing.Route{}), "its room is used up until it speaks again")
 		e.LongWork.OtherZones = true
 		fill()
-		require.Equal(t, "far", h.reserveNeighbour(&routing.Route{}))
-		require.Equal(t, "near", h.reserveNeighbour(&routing.Route{AllowedRegions: map[string]bool{"east": true}}), "a body stays in the route's regions")
-		require.Empty(t, h.reserveNeighbour(&routing.Route{AllowedRegions: map[string]bool{"north": true}}))
+		require.Equal(t, "far", h.reservePeer(&routing.Route{}))
+		require.Equal(t, "near", h.reservePeer(&routing.Route{AllowedRegions: map[string]bool{"east": true}}), "a body stays in the route's regions")
+		require.Empty(t, h.reservePeer(&routing.Route{AllowedRegions: map[string]bool{"north": true}}))
 		fill()
 		<-time.After(longKnown + 1)
-		require.Empty(t, h.reserveNeighbour(&routing.Route{}), "what is not heard of any more has no room")
+		require.Empty(t, h.reservePeer(&routing.Route{}), "what is not heard of any more has no room")
 	})
 }
 
@@ -83,7 +83,7 @@
 		offered := time.Now()
 		<-time.After(durations.FromSeconds(17)) // the taker was frozen before it came to run the job
 		f := handoff.Effect{Message: handoff.Message{Body: []byte(requestText("once", "a")), Attempts: 1}}
-		h := w.g.long
+		h := w.g.longWork
 		h.cancels[0] = func() {}
 		h.runTaken(t.Context(), f, offered)
 		require.Empty(t, w.deliveries, "its time was over")
@@ -95,8 +95,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, worldBudget, stepOK)
 			defer w.end()
-			h := w.g.long
-			q := &request{g: w.g, path: &routing.Route{MaxAttempts: 3}}
+			h := w.g.longWork
+			q := &request{router: w.g, route: &routing.Route{MaxAttempts: 3}}
 			in := make(chan handoff.Effect, 4)
 			job := h.owner.Take(h.now()+durations.FromSeconds(1), true, 3)
 			h.inboxes[job] = in
@@ -124,15 +124,15 @@
 	for _, taken := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			h := longOf(&settings.Settings{LongWork: settings.LongWork{Enabled: true}})
-			h.gate.long, h.start, h.queues, h.open = h, time.Now(), map[string]*longQueue{}, map[*request]struct{}{}
+			h.router.longWork, h.start, h.queues, h.open = h, time.Now(), map[string]*longQueue{}, map[*request]struct{}{}
 			x := h.queue("p")
 			x.loads["r"] = longLoad{running: 7, waiting: 2, slots: 8, at: time.Now()}
 			for range int(longRoom) {
-				x.handoff.Join(0, false)
+				x.admission.Join(0, false)
 			}
 			w := httptest.NewRecorder()
-			q := &request{g: h.gate, w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), ask: &placement.Request{Pool: "p"}, path: &routing.Route{LatencyTarget: durations.FromSeconds(1)},
-				arrived: time.Now(), deadline: time.Now().Add(durations.FromSeconds(9)), taken: taken, long: true}
+			q := &request{router: h.router, writer: w, inbound: httptest.NewRequest(http.MethodPost, "/", nil), wanted: &placement.Request{Pool: "p"}, route: &routing.Route{LatencyTarget: durations.FromSeconds(1)},
+				arrived: time.Now(), deadline: time.Now().Add(durations.FromSeconds(9)), forPeer: taken, isLongWork: true}
 			var pumps sync.WaitGroup
 			defer pumps.Wait()
 			pumps.Go(func() {
@@ -149,9 +149,9 @@
 			if took := time.Since(q.arrived); taken {
 				require.Zero(t, took)
 			} else {
-				require.Equal(t, durations.FromSeconds(refusePart), took)
+				require.Equal(t, durations.FromSeconds(rejectFraction), took)
 			}
-			runs, waiting, _ := x.handoff.Stats()
+			runs, waiting, _ := x.admission.Stats()
 			require.Equal(t, int(longRoom), runs)
 			require.Zero(t, waiting)
 		})
--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -16,12 +16,12 @@
 		{Name: "sendings are not counted", File: attempts, From: "\t\tt.sent++\n", To: "", Run: "EveryPair"},
 		{Name: "a new sending forgets the earlier ones", File: attempts, From: "t.earlierRuns = t.MayHaveRun()", To: "t.earlierRuns = false", Run: "EveryPair"},
 		{Name: "a replica's own 503 is passed on", File: "answer.go", From: "http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:", To: "0:", Run: "EveryPair"},
-		{Name: "a seal on an answer of our own", File: "answer.go", From: "\t\tq.giveUp(errkind.UpstreamFailure, \"the replica refused", To: "\t\tpassBack(q.w.Header(), p.Header)\n\t\tq.giveUp(errkind.UpstreamFailure, \"the replica refused", Run: "EveryPair"},
+		{Name: "a seal on an answer of our own", File: "answer.go", From: "\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", To: "\t\tcopyResponseHeader(req.writer.Header(), p.Header)\n\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", Run: "EveryPair"},
 		{Name: "a cut stream ends as whole", File: "answer.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "EveryByteOfAnAnswer"},
-		{Name: "events of any run are joined", File: "answer.go", From: "if !q.follows(p.ID, *joined) {", To: "if false {", Run: "EveryPair|EveryByteOfAnAnswer|Joined"},
-		{Name: "a gone client gets an empty success", File: "answer.go", From: "func (q *request) abandon() {\n\tpanic(http.ErrAbortHandler)", To: "func (q *request) abandon() {", Run: "OwnDirection"},
+		{Name: "events of any run are joined", File: "answer.go", From: "if !req.mayFollow(p.ID, *joined) {", To: "if false {", Run: "EveryPair|EveryByteOfAnAnswer|Joined"},
+		{Name: "a gone client gets an empty success", File: "answer.go", From: "func (req *request) abort() {\n\tpanic(http.ErrAbortHandler)", To: "func (req *request) abort() {", Run: "OwnDirection"},
 		{Name: "no time before the first byte", File: "attempt.go", From: "NotAfter:  notAfter,", To: "NotAfter:  notAfter.Add(1 << 60),", Run: "Wakes"},
-		{Name: "the route's timeout is not looked at", File: "request.go", From: "min(clientWaits(q.r.Header), q.path.Timeout)", To: "clientWaits(q.r.Header)", Run: "NothingIsHeld"},
-		{Name: "a wait goes on past the deadline", File: "attempt.go", From: "wait := time.Until(q.deadline)\n", To: "wait := time.Until(q.deadline) + q.path.Timeout\n", Run: "NothingIsHeld"},
+		{Name: "the route's timeout is not looked at", File: "request.go", From: "min(clientTimeout(req.inbound.Header), req.route.Timeout)", To: "clientTimeout(req.inbound.Header)", Run: "NothingIsHeld"},
+		{Name: "a wait goes on past the deadline", File: "attempt.go", From: "wait := time.Until(q.deadline)\n", To: "wait := time.Until(q.deadline) + q.route.Timeout\n", Run: "NothingIsHeld"},
 	})
 }
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -9,59 +9,59 @@
 	"shaletrestle/internal/metrics"
 )
 
-// page answers on the state port: the metrics under their path, else all that this process knows.
-func (g *Router) page(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == metrics.Path {
-		metrics.Serve(w, g.figures())
+// serveState answers on the state port: the metrics under their path, else all that this process knows.
+func (r *Router) serveState(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path == metrics.Path {
+		metrics.Serve(w, r.figures())
 		return
 	}
-	v := g.book.View()
+	v := r.store.View()
 	httpreply.JSON(w, http.StatusOK, map[string]any{
 		"program":       "router",
 		"version":       version.Number,
-		"node":          g.env.Load().NodeName,
-		"ready":         g.ready.Load(),
-		"leaving":       g.leaving.Load(),
-		"news":          g.newsSection(),
-		"setup":         map[string]any{"revision": v.Config.Revision, "routes": g.table.Load().RouteCount},
+		"node":          r.settings.Load().NodeName,
+		"ready":         r.ready.Load(),
+		"leaving":       r.leaving.Load(),
+		"news":          r.updateSection(),
+		"setup":         map[string]any{"revision": v.Config.Revision, "routes": r.table.Load().RouteCount},
 		"evacuated":     v.Evacuated,
 		"fleet":         v.FleetSize,
-		"inflight":      g.inflight.Load(),
-		"inquiries":     g.count.inquiries.Load(),
-		"refused":       g.count.refused.Load(),
-		"failed":        g.count.failed.Load(),
-		"further_tries": g.count.further.Load(),
-		"resumed":       g.count.resumed.Load(),
-		"channels_made": &g.made,
-		"budget_left":   g.budgetSection(),
-		"index":         g.indexSection(),
-		"bodies":        g.bodies.UserShares(),
-		"yard":          g.yard.Stats(),
-		"suspected":     g.watcher.Suspected(),
-		"machine":       g.level.State(),
-		"long_work":     g.long.seen(),
+		"inflight":      r.inflight.Load(),
+		"inquiries":     r.counts.requests.Load(),
+		"refused":       r.counts.rejected.Load(),
+		"failed":        r.counts.failed.Load(),
+		"further_tries": r.counts.retries.Load(),
+		"resumed":       r.counts.resumed.Load(),
+		"channels_made": &r.dialCounts,
+		"budget_left":   r.budgetSection(),
+		"index":         r.indexSection(),
+		"bodies":        r.bodies.UserShares(),
+		"yard":          r.placer.Stats(),
+		"suspected":     r.detector.Suspected(),
+		"machine":       r.machine.State(),
+		"long_work":     r.longWork.state(),
 	})
 }
 
-func (g *Router) newsSection() map[string]any {
-	position := g.cursor.Position()
+func (r *Router) updateSection() map[string]any {
+	position := r.cursor.Position()
 	return map[string]any{
 		"epoch":        position.Epoch,
 		"number":       position.Number,
-		"source":       g.follower.SourceAddress(),
-		"heard_ago_ms": g.cursor.SinceContact().Milliseconds(),
+		"source":       r.follower.SourceAddress(),
+		"heard_ago_ms": r.cursor.SinceContact().Milliseconds(),
 	}
 }
 
-func (g *Router) budgetSection() map[string]float64 {
+func (r *Router) budgetSection() map[string]float64 {
 	left := map[string]float64{}
-	for pool := range g.table.Load().Pools {
-		left[pool] = g.budget.Remaining(pool, g.fleet())
+	for pool := range r.table.Load().Pools {
+		left[pool] = r.budget.Remaining(pool, r.fleetSize())
 	}
 	return left
 }
 
-func (g *Router) indexSection() map[string]any {
-	runs, asked, hits := g.index.Stats()
-	return map[string]any{"runs": runs, "asked": asked, "hits": hits, "portions": g.index.OwnerShares()}
+func (r *Router) indexSection() map[string]any {
+	runs, asked, hits := r.prefixes.Stats()
+	return map[string]any{"runs": runs, "asked": asked, "hits": hits, "portions": r.prefixes.OwnerShares()}
 }
--- a/internal/router/ranks_test.go
+++ b/internal/router/ranks_test.go
@@ -37,7 +37,7 @@
 		"c": {Pool: "q", Models: []state.Model{{Name: "m", Revision: 9}}},
 		"d": {Pool: "q"},
 	}
-	w := newWeights(rs)
-	require.Equal(t, &weights{{"p", "m"}: 5, {"p", "n"}: 1, {"q", "m"}: 9}, w)
-	require.Zero(t, newWeights(nil).of("p", "m"))
+	w := newModelRevisions(rs)
+	require.Equal(t, &modelRevisions{{"p", "m"}: 5, {"p", "n"}: 1, {"q", "m"}: 9}, w)
+	require.Zero(t, newModelRevisions(nil).of("p", "m"))
 }
--- a/internal/router/readiness.go
+++ b/internal/router/readiness.go
@@ -8,57 +8,57 @@
 	"shaletrestle/internal/httpreply"
 )
 
-// slowWord marks a ping or its answer of a node whose machine has turned slow.
-const slowWord = "slow"
+// slowMark marks a ping or its answer of a node whose machine has turned slow.
+const slowMark = "slow"
 
-func (g *Router) word() string {
-	if g.level.Slow() {
-		return slowWord
+func (r *Router) machineMark() string {
+	if r.machine.Slow() {
+		return slowMark
 	}
 	return ""
 }
 
-// pinger gives what asks another router whether it is there; both sides say whether they are slow.
-func (g *Router) pinger(lines *rpc.Pool, self string) func(node string) bool {
+// newPing gives what asks another router whether it is there; both sides say whether they are slow.
+func (r *Router) newPing(lines *rpc.Pool, self string) func(node string) bool {
 	return func(node string) bool {
-		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Text: g.word()}, rpc.CallTimeout)
+		a, err := lines.Call(node, &rpc.Message{Kind: rpc.Hello, From: rpc.Member{Address: self}, Text: r.machineMark()}, rpc.CallTimeout)
 		if err != nil || !a.OK {
 			return false
 		}
-		g.level.UpdatePeer(node, a.Text == slowWord)
-		g.long.roomOf(node, a)
+		r.machine.UpdatePeer(node, a.Text == slowMark)
+		r.longWork.recordPeer(node, a)
 		return true
 	}
 }
 
 // handle answers the pings of other routers and takes their notes on long work.
-func (g *Router) handle(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
+func (r *Router) handle(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 	if n.Kind == rpc.Job {
-		g.long.note(ch, n)
+		r.longWork.receive(ch, n)
 		return nil
 	}
 	if n.Kind != rpc.Hello || n.Call == 0 {
 		return nil
 	}
 	if n.From.Address != "" {
-		g.level.UpdatePeer(n.From.Address, n.Text == slowWord)
+		r.machine.UpdatePeer(n.From.Address, n.Text == slowMark)
 	}
 	a := n.Reply(true)
-	a.Text = g.word()
-	return g.long.tellRoom(a)
+	a.Text = r.machineMark()
+	return r.longWork.answerPing(a)
 }
 
-// takesNew tells whether the platform may send new connections here.
-func (g *Router) takesNew() bool {
-	return g.ready.Load() && !g.leaving.Load() && !g.level.ShouldRefuseNew()
+// acceptsConnections tells whether the platform may send new connections here.
+func (r *Router) acceptsConnections() bool {
+	return r.ready.Load() && !r.leaving.Load() && !r.machine.ShouldRefuseNew()
 }
 
-// letsGo tells whether clients should take their open connections elsewhere.
-func (g *Router) letsGo() bool { return g.leaving.Load() || g.level.ShouldShed() }
+// closesConnections tells whether clients should take their open connections elsewhere.
+func (r *Router) closesConnections() bool { return r.leaving.Load() || r.machine.ShouldShed() }
 
-func (g *Router) readiness(w http.ResponseWriter, r *http.Request) {
-	if r.Method == http.MethodGet && r.URL.Path == "/v1/readiness" {
-		if g.takesNew() {
+func (r *Router) serveReadiness(w http.ResponseWriter, request *http.Request) {
+	if request.Method == http.MethodGet && request.URL.Path == "/v1/readiness" {
+		if r.acceptsConnections() {
 			httpreply.JSON(w, http.StatusOK, map[string]bool{"ready": true})
 		} else {
 			httpreply.JSON(w, http.StatusServiceUnavailable, map[string]bool{"ready": false})
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -8,44 +8,44 @@
 	"shaletrestle/coord/rpc"
 )
 
-// further draws one further try; when the own share is used up, it borrows a lump, which all who wait for that service share.
-func (g *Router) further(pool string, within time.Duration) bool {
-	if g.budget.Take(pool, g.fleet()) {
+// takeRetry draws one further try; when the own share is used up, it borrows a lump, which all who wait for that service share.
+func (r *Router) takeRetry(pool string, within time.Duration) bool {
+	if r.budget.Take(pool, r.fleetSize()) {
 		return true
 	}
 	now := time.Now()
-	g.mu.Lock()
-	w := g.asking[pool]
+	r.mu.Lock()
+	w := r.borrowing[pool]
 	if w == nil {
-		if now.Sub(g.refusedAt[pool]) < lumpPause {
-			g.mu.Unlock()
+		if now.Sub(r.loanRejectedAt[pool]) < loanPause {
+			r.mu.Unlock()
 			return false
 		}
 		w = make(chan struct{})
-		g.asking[pool] = w
-		go g.borrow(pool, w)
+		r.borrowing[pool] = w
+		go r.borrow(pool, w)
 	}
-	g.mu.Unlock()
+	r.mu.Unlock()
 	select {
 	case <-w:
 	case <-time.After(min(within, fairshare.LoanTimeout)):
 	}
-	return g.budget.Take(pool, g.fleet())
+	return r.budget.Take(pool, r.fleetSize())
 }
 
 // borrow asks the controller for further tries of a service and wakes who waits for them.
-func (g *Router) borrow(pool string, w chan struct{}) {
+func (r *Router) borrow(pool string, w chan struct{}) {
 	start := time.Now()
-	a, err := g.follower.Call(&rpc.Message{Kind: rpc.Loan, Text: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
+	a, err := r.follower.Call(&rpc.Message{Kind: rpc.Loan, Text: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
 	ok := err == nil && a.OK && a.Number > 0 && a.Number <= fairshare.LoanRetries
 	if ok {
-		g.budget.AddLoan(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
+		r.budget.AddLoan(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
 	}
-	g.mu.Lock()
+	r.mu.Lock()
 	if !ok {
-		g.refusedAt[pool] = time.Now()
+		r.loanRejectedAt[pool] = time.Now()
 	}
-	delete(g.asking, pool)
-	g.mu.Unlock()
+	delete(r.borrowing, pool)
+	r.mu.Unlock()
 	close(w)
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -6,43 +6,43 @@
 	"shaletrestle/internal/state"
 )
 
-// coldShares is this process's share of what cold replicas bear, for one set of nodes: a few nodes by rendezvous, the others none. What is found for a replica is kept.
-type coldShares struct {
-	nodes []string
-	self  string
-	part  sync.Map // by replica
+// coldStartShares is this process's share of what cold replicas bear, for one set of nodes: a few nodes by rendezvous, the others none. What is found for a replica is kept.
+type coldStartShares struct {
+	nodes     []string
+	self      string
+	fractions sync.Map // by replica
 }
 
-func newColdShares(nodes []string, self string) *coldShares {
-	return &coldShares{nodes: nodes, self: self}
+func newColdStartShares(nodes []string, self string) *coldStartShares {
+	return &coldStartShares{nodes: nodes, self: self}
 }
 
 // rate is what this process may send a second to one cold replica that bears perS.
-func (c *coldShares) rate(perS float64, id string) float64 {
+func (c *coldStartShares) rate(perS float64, id string) float64 {
 	if len(c.nodes) == 0 {
-		return perS * coldMargin / fleetGuess
+		return perS * coldStartMargin / defaultFleetSize
 	}
-	part, ok := c.part.Load(id)
+	part, ok := c.fractions.Load(id)
 	if !ok {
-		part, _ = c.part.LoadOrStore(id, c.find(id))
+		part, _ = c.fractions.LoadOrStore(id, c.fraction(id))
 	}
-	return perS * coldMargin * part.(float64)
+	return perS * coldStartMargin * part.(float64)
 }
 
-// find is one in so many if this node is among the first for a replica.
-func (c *coldShares) find(id string) float64 {
-	k := min(coldNodes, len(c.nodes))
+// fraction is one in so many if this node is among the first for a replica.
+func (c *coldStartShares) fraction(id string) float64 {
+	k := min(coldStartNodes, len(c.nodes))
 	if rankOf(c.nodes, id, c.self) >= k {
 		return 0
 	}
 	return 1 / float64(k)
 }
 
-// weights tells the revision of each model that a service's replicas serve, the newest of them.
-type weights map[[2]string]int64
+// modelRevisions tells the revision of each model that a service's replicas serve, the newest of them.
+type modelRevisions map[[2]string]int64
 
-func newWeights(rs map[string]*state.Replica) *weights {
-	w := weights{}
+func newModelRevisions(rs map[string]*state.Replica) *modelRevisions {
+	w := modelRevisions{}
 	for _, r := range rs {
 		for _, m := range r.Models {
 			k := [2]string{r.Pool, m.Name}
@@ -52,4 +52,4 @@
 	return &w
 }
 
-func (w weights) of(pool, model string) int64 { return w[[2]string{pool, model}] }
+func (w modelRevisions) of(pool, model string) int64 { return w[[2]string{pool, model}] }
--- a/internal/router/source.go
+++ b/internal/router/source.go
@@ -8,23 +8,23 @@
 	"shaletrestle/internal/state"
 )
 
-// pick names the controller to follow next: the own locality's first, others if it failed lately.
-func (g *Router) pick(failed string) string {
-	e := g.env.Load()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// pickController names the controller to follow next: the own locality's first, others if it failed lately.
+func (r *Router) pickController(failed string) string {
+	e := r.settings.Load()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
-	if failed != "" && failed != g.dropped {
-		g.bad[failed] = now
+	if failed != "" && failed != r.leftController {
+		r.controllerFailedAt[failed] = now
 	}
-	g.dropped = ""
+	r.leftController = ""
 	var near, far, all []string
 	seen := map[string]bool{}
-	for _, h := range g.book.View().Controllers {
+	for _, h := range r.store.View().Controllers {
 		seen[h.Address] = true
 		all = append(all, h.Address)
 		switch {
-		case now.Sub(g.bad[h.Address]) < e.ContactTimeout():
+		case now.Sub(r.controllerFailedAt[h.Address]) < e.ContactTimeout():
 		case h.Zone == e.Zone:
 			near = append(near, h.Address)
 		default:
@@ -34,38 +34,38 @@
 	for _, a := range e.SeedMembers() {
 		if !seen[a] {
 			all = append(all, a)
-			if now.Sub(g.bad[a]) >= e.ContactTimeout() {
+			if now.Sub(r.controllerFailedAt[a]) >= e.ContactTimeout() {
 				far = append(far, a)
 			}
 		}
 	}
-	g.pickAt++
+	r.controllerIndex++
 	for _, s := range [][]string{near, far, all} {
 		if len(s) > 0 {
-			return s[(g.pickAt+int(xxhash.Sum64String(e.NodeName)%1024))%len(s)]
+			return s[(r.controllerIndex+int(xxhash.Sum64String(e.NodeName)%1024))%len(s)]
 		}
 	}
 	return ""
 }
 
-// nearer changes over to the own locality's controller once it is known, unless it failed lately.
-func (g *Router) nearer(v *state.View) {
-	src := g.follower.SourceAddress()
+// preferNearController changes over to the own locality's controller once it is known, unless it failed lately.
+func (r *Router) preferNearController(v *state.View) {
+	src := r.follower.SourceAddress()
 	if src == "" {
 		return
 	}
-	e := g.env.Load()
+	e := r.settings.Load()
 	for _, h := range v.Controllers {
 		if h.Address == src && h.Zone == e.Zone {
 			return
 		}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, h := range v.Controllers {
-		if h.Zone == e.Zone && time.Since(g.bad[h.Address]) >= 2*e.ContactTimeout() {
-			g.dropped = src
-			go g.follower.Disconnect()
+		if h.Zone == e.Zone && time.Since(r.controllerFailedAt[h.Address]) >= 2*e.ContactTimeout() {
+			r.leftController = src
+			go r.follower.Disconnect()
 			return
 		}
 	}
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -94,11 +94,11 @@
 		replicas = append(replicas, &state.Replica{ID: fmt.Sprint("r", i+1), Pool: "p", Address: fmt.Sprint("r", i+1), Zone: "a", State: "ready", Slots: 8})
 	}
 	for _, e := range []state.Event{
-		state.UpdateFleet{Size: 1, Nodes: []string{env.Port(portGate)}},
+		state.UpdateFleet{Size: 1, Nodes: []string{env.Port(routerPort)}},
 		state.NewPutConfig(0, []byte(put)).WithoutDigest(),
 		state.UpdateReplicas{Changed: replicas},
 	} {
-		require.NoError(t, w.g.book.Update(state.EncodeEvent(e)))
+		require.NoError(t, w.g.store.Update(state.EncodeEvent(e)))
 	}
 	require.True(t, w.g.ready.Load())
 	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
