--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -3,67 +3,70 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
-	"io"
 	"net"
 	"sync"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"go.uber.org/atomic"
-
-	"shaletrestle/internal/errkind"
 )
 
-// Handler takes a note that came in; a non-nil result is sent back.
+// Handler takes a message that came in on a channel. If the message is a call, the result is sent back as its answer;
+// nil leaves the call unanswered. The result is ignored for other messages. A handler of calls runs in a goroutine of
+// its own; for other messages the channel reads on only after it has returned, so that it must not wait for an answer
+// on the same channel.
 type Handler func(*Channel, *Message) *Message
 
-// Channel is one held connection between own processes. A task owns each direction of its socket. Calls are
-// numbered within the channel's life, so that an answer finds the call that it belongs to, or nobody.
+// Channel is one connection to another process. It owns the connection and two goroutines, one for each direction,
+// which end when it is closed.
 type Channel struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	c      net.Conn
-	out    chan outgoing
-	mu     sync.Mutex
-	wait   map[uint64]pending
-	next   uint64
-	heard  atomic.Int64
-	bye    []func()
-	over   bool
-}
+	ctx          context.Context // ends with the channel
+	cancel       context.CancelFunc
+	conn         net.Conn
+	outbox       chan outgoing
+	lastReceived atomic.Int64 // when bytes came last, in Unix nanoseconds
 
-// outgoing is an encoded note on its way to the socket.
-type outgoing struct {
-	encoded []byte
-	until   time.Time // a call that nobody waits for any more is not sent; zero: no bound
+	mu       sync.Mutex
+	pending  map[uint64]pendingCall // guarded by mu: by number
+	lastCall uint64                 // guarded by mu: number of the newest call
+	onClose  []func()               // guarded by mu
+	closed   bool                   // guarded by mu
 }
 
-// pending is a call that waits for its answer.
-type pending struct {
+// pendingCall is a call that waits for its answer.
+type pendingCall struct {
 	kind   Kind
 	answer chan *Message
 }
 
-// Open starts the tasks of a channel over a connection. Calls are handled each in a task of its own, other notes in order.
-func Open(ctx context.Context, c net.Conn, h Handler) *Channel {
+// Open makes a channel of a connection, which the channel closes. It ends when the context ends, when either side
+// closes it or when the connection fails. The handler may be nil if the peer only sends answers.
+func Open(ctx context.Context, conn net.Conn, handler Handler) *Channel {
 	ctx, cancel := context.WithCancel(ctx)
-	ch := &Channel{ctx: ctx, cancel: cancel, c: c, out: make(chan outgoing, outboxLen), wait: map[uint64]pending{}}
-	ch.heard.Store(time.Now().UnixNano())
-	go ch.write()
-	go ch.read(h)
-	return ch
+	channel := &Channel{
+		ctx:     ctx,
+		cancel:  cancel,
+		conn:    conn,
+		outbox:  make(chan outgoing, outboxLen),
+		pending: map[uint64]pendingCall{},
+	}
+	channel.lastReceived.Store(time.Now().UnixNano())
+	go channel.write()
+	go channel.read(handler)
+	return channel
 }
 
+// write sends what is queued; what is queued together leaves in one packet.
 func (ch *Channel) write() {
 	defer ch.Close()
-	w := bufio.NewWriter(ch.c)
+	w := bufio.NewWriter(ch.conn)
 	for {
 		select {
-		case o := <-ch.out:
-			if writeFrame(w, o) != nil {
+		case message := <-ch.outbox:
+			if writeFrame(w, message) != nil {
 				return
 			}
-			if len(ch.out) == 0 && w.Flush() != nil {
+			if len(ch.outbox) == 0 && w.Flush() != nil {
 				return
 			}
 		case <-ch.ctx.Done():
@@ -72,188 +75,158 @@
 	}
 }
 
-// writeFrame writes one note. A process that stood still looks at the time before it sends what was asked for then.
-func writeFrame(w *bufio.Writer, o outgoing) error {
-	if !o.until.IsZero() && !time.Now().Before(o.until) {
-		return nil
-	}
-	var size [4]byte
-	binary.LittleEndian.PutUint32(size[:], uint32(len(o.encoded)))
-	if _, err := w.Write(size[:]); err != nil {
-		return err
-	}
-	_, err := w.Write(o.encoded)
-	return err
-}
-
-// ReadFrame reads one frame; anything over the limit is refused.
-func ReadFrame(r io.Reader) ([]byte, error) {
-	var l [4]byte
-	if _, err := io.ReadFull(r, l[:]); err != nil {
-		return nil, err
-	}
-	n := binary.LittleEndian.Uint32(l[:])
-	if n > frameMax {
-		return nil, errkind.New(errkind.InvalidInput, "frame of %d bytes", n)
-	}
-	var b []byte
-	for uint32(len(b)) < n {
-		k := min(n-uint32(len(b)), 1<<16)
-		at := len(b)
-		b = append(b, make([]byte, k)...)
-		if _, err := io.ReadFull(r, b[at:]); err != nil {
-			return nil, err
-		}
-	}
-	return b, nil
-}
-
-// heardReader notes that something came, also if it is only a part of a frame.
-type heardReader struct{ ch *Channel }
+// activityReader notes when bytes come, also if they are only a part of a frame.
+type activityReader struct{ channel *Channel }
 
-func (r heardReader) Read(b []byte) (int, error) {
-	n, err := r.ch.c.Read(b)
+func (r activityReader) Read(b []byte) (int, error) {
+	n, err := r.channel.conn.Read(b)
 	if n > 0 {
-		r.ch.heard.Store(time.Now().UnixNano())
+		r.channel.lastReceived.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-func (ch *Channel) read(h Handler) {
+func (ch *Channel) read(handler Handler) {
 	defer ch.Close()
-	r := bufio.NewReader(heardReader{ch})
+	r := bufio.NewReader(activityReader{ch})
 	for {
-		b, err := ReadFrame(r)
+		frame, err := ReadFrame(r)
 		if err != nil {
 			return
 		}
-		n, err := Decode(b)
+		message, err := Decode(frame)
 		if err != nil {
 			return
 		}
 		switch {
-		case n.Answer:
-			if !ch.answered(n) {
+		case message.Answer:
+			if !ch.deliver(message) {
 				return
 			}
-		case n.Call != 0:
-			go ch.serve(h, n)
+		case message.Call != 0:
+			go ch.serve(handler, message)
 		default:
-			h(ch, n)
+			handler(ch, message)
 		}
 	}
 }
 
-// answered gives an answer to the call that waits for it; one that came after the call's time is dropped. False
-// means that it is no answer to that call: the other side can't be trusted.
-func (ch *Channel) answered(n *Message) bool {
+// deliver gives an answer to the call that waits for it; one that came after the call's time-out is dropped. False
+// means that it is no answer to that call: the peer can't be trusted.
+func (ch *Channel) deliver(answer *Message) bool {
 	ch.mu.Lock()
-	call, waits := ch.wait[n.Call]
-	delete(ch.wait, n.Call)
+	call, waits := ch.pending[answer.Call]
+	delete(ch.pending, answer.Call)
 	ch.mu.Unlock()
 	if !waits {
 		return true
 	}
-	if call.kind != n.Kind {
+	if call.kind != answer.Kind {
 		return false
 	}
-	call.answer <- n
+	call.answer <- answer
 	return true
 }
 
-func (ch *Channel) serve(h Handler, n *Message) {
-	a := h(ch, n)
-	if a == nil {
+// serve answers one call.
+func (ch *Channel) serve(handler Handler, call *Message) {
+	answer := handler(ch, call)
+	if answer == nil {
 		return
 	}
-	a.Call, a.Answer, a.Kind = n.Call, true, n.Kind
-	ch.Send(a)
+	answer.Call, answer.Answer, answer.Kind = call.Call, true, call.Kind
+	ch.Send(answer)
 }
 
-// Send queues a note; a channel that lags too far is closed.
-func (ch *Channel) Send(n *Message) bool { return ch.SendRaw(n.Encode()) }
+// Send queues a message and doesn't wait. It tells whether the message was queued, which is no promise that it
+// arrives: false if the channel is closed, or lags so far that it is closed now.
+func (ch *Channel) Send(message *Message) bool { return ch.SendRaw(message.Encode()) }
 
-// SendRaw queues an encoded note.
-func (ch *Channel) SendRaw(b []byte) bool { return ch.queue(outgoing{encoded: b}) }
+// SendRaw is Send for a message that is encoded already, as one that goes to many channels. The bytes must not change
+// any more.
+func (ch *Channel) SendRaw(encoded []byte) bool { return ch.queue(outgoing{encoded: encoded}) }
 
-func (ch *Channel) queue(o outgoing) bool {
+func (ch *Channel) queue(message outgoing) bool {
 	select {
-	case ch.out <- o:
+	case ch.outbox <- message:
 		return ch.ctx.Err() == nil
 	default:
-		go ch.Close() // its end may need locks that the sender holds
+		go ch.Close() // what is called at its end may need locks that the sender holds
 		return false
 	}
 }
 
-// Call sends a note and waits for its answer.
-func (ch *Channel) Call(n *Message, d time.Duration) (*Message, error) {
-	until := time.Now().Add(d)
-	call := pending{n.Kind, make(chan *Message, 1)}
+// Call sends a copy of the message as a call and waits for the answer, no longer than the timeout. The error is
+// ErrTimeout or ErrClosed; the peer may have handled the call in both cases.
+func (ch *Channel) Call(message *Message, timeout time.Duration) (*Message, error) {
+	deadline := time.Now().Add(timeout)
+	call := pendingCall{message.Kind, make(chan *Message, 1)}
 	number := ch.register(call)
 	defer ch.unregister(number)
-	m := *n
-	m.Call = number
-	if !ch.queue(outgoing{m.Encode(), until}) {
-		return nil, errkind.New(errkind.Unavailable, "channel closed")
+	numbered := *message
+	numbered.Call = number
+	if !ch.queue(outgoing{numbered.Encode(), deadline}) {
+		return nil, errors.Wrapf(ErrClosed, "call to %v", ch.conn.RemoteAddr())
 	}
-	timer := time.NewTimer(d)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case a := <-call.answer:
-		return a, nil
+	case answer := <-call.answer:
+		return answer, nil
 	case <-ch.ctx.Done():
-		return nil, errkind.New(errkind.Unavailable, "channel closed")
+		return nil, errors.Wrapf(ErrClosed, "call to %v", ch.conn.RemoteAddr())
 	case <-timer.C:
-		return nil, errkind.New(errkind.Unavailable, "no answer from %s", ch.c.RemoteAddr())
+		return nil, errors.Wrapf(ErrTimeout, "call to %v", ch.conn.RemoteAddr())
 	}
 }
 
-func (ch *Channel) register(call pending) (number uint64) {
+func (ch *Channel) register(call pendingCall) (number uint64) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	ch.next++
-	ch.wait[ch.next] = call
-	return ch.next
+	ch.lastCall++
+	ch.pending[ch.lastCall] = call
+	return ch.lastCall
 }
 
 func (ch *Channel) unregister(number uint64) {
 	ch.mu.Lock()
-	delete(ch.wait, number)
+	delete(ch.pending, number)
 	ch.mu.Unlock()
 }
 
-// IdleTime is how long nothing was heard.
+// IdleTime is how long ago bytes came in on the channel, or since it was opened if none came yet.
 func (ch *Channel) IdleTime() time.Duration {
-	return time.Duration(time.Now().UnixNano() - ch.heard.Load())
+	return time.Duration(time.Now().UnixNano() - ch.lastReceived.Load())
 }
 
-// OnClose adds what is to be done when the channel closes.
+// OnClose adds a function that is called when the channel closes, by whoever closes it; on a closed channel it is
+// called at once.
 func (ch *Channel) OnClose(f func()) {
 	ch.mu.Lock()
-	over := ch.over
-	if !over {
-		ch.bye = append(ch.bye, f)
+	closed := ch.closed
+	if !closed {
+		ch.onClose = append(ch.onClose, f)
 	}
 	ch.mu.Unlock()
-	if over {
+	if closed {
 		f()
 	}
 }
 
-// Close ends the channel.
+// Close closes the connection and ends all waiting calls with ErrClosed. It calls the functions of OnClose before it
+// returns and doesn't wait for handlers. It does nothing the second time.
 func (ch *Channel) Close() {
 	ch.mu.Lock()
-	if ch.over {
+	if ch.closed {
 		ch.mu.Unlock()
 		return
 	}
-	ch.over = true
-	bye := ch.bye
+	ch.closed = true
+	onClose := ch.onClose
 	ch.mu.Unlock()
 	ch.cancel()
-	_ = ch.c.Close()
-	for _, f := range bye {
+	_ = ch.conn.Close()
+	for _, f := range onClose {
 		f()
 	}
 }
@@ -264,5 +237,5 @@
 // Done is closed with the channel.
 func (ch *Channel) Done() <-chan struct{} { return ch.ctx.Done() }
 
-// Remote is the peer's address.
-func (ch *Channel) Remote() string { return ch.c.RemoteAddr().String() }
+// Remote is the peer's network address.
+func (ch *Channel) Remote() string { return ch.conn.RemoteAddr().String() }
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -16,21 +16,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rough is a connection that splits what is written at any byte, delays the pieces and breaks in the middle of one.
-type rough struct {
+// faultyConn is a connection that splits what is written at any byte, delays the pieces and breaks in the middle of one.
+type faultyConn struct {
 	net.Conn
-	mu     sync.Mutex
-	r      *rand.Rand
-	breaks int // in so many pieces on the mean; 0: never
+	mu             sync.Mutex
+	random         *rand.Rand
+	piecesPerBreak int // on the mean; 0: it never breaks
 }
 
-func (c *rough) Write(b []byte) (int, error) {
+func (c *faultyConn) Write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
 		c.mu.Lock()
-		k := 1 + c.r.IntN(len(b)-done)
-		wait := time.Duration(c.r.IntN(8)) * time.Millisecond
-		broken := c.breaks > 0 && c.r.IntN(c.breaks) == 0
+		k := 1 + c.random.IntN(len(b)-done)
+		wait := time.Duration(c.random.IntN(8)) * time.Millisecond
+		broken := c.piecesPerBreak > 0 && c.random.IntN(c.piecesPerBreak) == 0
 		c.mu.Unlock()
 		time.Sleep(wait)
 		if broken {
@@ -49,26 +49,26 @@
 	return done, nil
 }
 
-// roughNet dials rough connections to one handler.
-type roughNet struct {
-	ctx     context.Context
-	r       *rand.Rand
-	breaks  int
-	handler Handler
+// faultyNet dials faulty connections to one handler.
+type faultyNet struct {
+	ctx            context.Context
+	random         *rand.Rand
+	piecesPerBreak int
+	handler        Handler
 }
 
-func (n *roughNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (n *faultyNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (n *roughNet) Dial(string, time.Duration) (net.Conn, error) {
+func (n *faultyNet) Dial(string, time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
-	seed := n.r.Uint64()
-	Open(n.ctx, &rough{Conn: b, r: rand.New(rand.NewPCG(seed, 1)), breaks: n.breaks}, n.handler)
-	return &rough{Conn: a, r: rand.New(rand.NewPCG(seed, 2)), breaks: n.breaks}, nil
+	seed := n.random.Uint64()
+	Open(n.ctx, &faultyConn{Conn: b, random: rand.New(rand.NewPCG(seed, 1)), piecesPerBreak: n.piecesPerBreak}, n.handler)
+	return &faultyConn{Conn: a, random: rand.New(rand.NewPCG(seed, 2)), piecesPerBreak: n.piecesPerBreak}, nil
 }
 
-// TestEveryCallGetsItsOwnAnswerOrNone holds many calls against a model: each was answered with what its own
+// TestPoolCall_DelaysAndBreaks_OwnAnswerOrError holds many calls against a model: each was answered with what its own
 // question asks for, or not at all, and no question was handled more than once, whatever the connection does.
-func TestEveryCallGetsItsOwnAnswerOrNone(t *testing.T) {
+func TestPoolCall_DelaysAndBreaks_OwnAnswerOrError(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 5))
@@ -77,7 +77,7 @@
 			var mu sync.Mutex
 			handled := map[string]int{}
 			lag := rand.New(rand.NewPCG(seed, 6))
-			n := &roughNet{ctx: ctx, r: rand.New(rand.NewPCG(seed, 7)), breaks: []int{0, 30, 200}[seed%3]}
+			n := &faultyNet{ctx: ctx, random: rand.New(rand.NewPCG(seed, 7)), piecesPerBreak: []int{0, 30, 200}[seed%3]}
 			n.handler = func(_ *Channel, q *Message) *Message {
 				mu.Lock()
 				handled[string(q.Body)]++
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestAnAnswerThatComesTooLateGoesToNobody(t *testing.T) {
+func TestChannelCall_LateAnswer_Dropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
@@ -139,7 +139,7 @@
 		})
 		ch := Open(ctx, a, nil)
 		_, err := ch.Call(&Message{Kind: Hello, Body: []byte("slow")}, 50*time.Millisecond)
-		require.Error(t, err)
+		require.ErrorIs(t, err, ErrTimeout)
 		for i := range 10 {
 			body := fmt.Sprint(i)
 			answer, err := ch.Call(&Message{Kind: Hello, Body: []byte(body)}, time.Second)
@@ -147,20 +147,20 @@
 			require.Equal(t, body, string(answer.Body))
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Empty(t, ch.wait)
+		require.Empty(t, ch.pending)
 	})
 }
 
-func TestACallWhoseTimeIsOverIsNotSentLate(t *testing.T) {
+func TestChannelCall_TimedOutInOutbox_NotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
 		ch := Open(ctx, a, nil)
 		_, err := ch.Call(&Message{Kind: Hello, Body: []byte("first")}, 10*time.Millisecond) // the socket takes nothing yet
-		require.Error(t, err)
+		require.ErrorIs(t, err, ErrTimeout)
 		_, err = ch.Call(&Message{Kind: Hello, Body: []byte("second")}, 10*time.Millisecond)
-		require.Error(t, err)
+		require.ErrorIs(t, err, ErrTimeout)
 		ch.Send(&Message{Kind: Suspect})
 		var seen []string
 		go func() {
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestAnAnswerOfAnotherKindEndsTheChannel(t *testing.T) {
+func TestChannelCall_AnswerOfOtherKind_ChannelCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
@@ -195,23 +195,23 @@
 			_, _ = b.Write(frame(forged))
 		}()
 		_, err := ch.Call(&Message{Kind: Loan}, time.Second)
-		require.Error(t, err)
+		require.ErrorIs(t, err, ErrClosed)
 		require.True(t, ch.ctx.Err() != nil)
 	})
 }
 
-func TestAPartOfAFrameCountsAsHeard(t *testing.T) {
+func TestChannelIdleTime_PartOfFrame_CountsAsActivity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
 		a, b := net.Pipe()
 		var got []byte
 		ch := Open(ctx, a, func(_ *Channel, n *Message) *Message { got = n.Body; return nil })
-		whole := frame((&Message{Kind: Update, Body: bytes.Repeat([]byte("x"), 1000)}).Encode())
-		for len(whole) > 0 {
-			k := min(100, len(whole))
-			_, _ = b.Write(whole[:k])
-			whole = whole[k:]
+		remaining := frame((&Message{Kind: Update, Body: bytes.Repeat([]byte("x"), 1000)}).Encode())
+		for len(remaining) > 0 {
+			k := min(100, len(remaining))
+			_, _ = b.Write(remaining[:k])
+			remaining = remaining[k:]
 			time.Sleep(time.Second)
 			require.LessOrEqual(t, ch.IdleTime(), time.Second)
 		}
--- a/coord/rpc/constants.go
+++ b/coord/rpc/constants.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Talk between own processes.
 const (
-	frameMax    = 24 << 20 // bytes; a checkpoint of a very large setup still fits
-	userTimeout = 1500     // ms; TCP_USER_TIMEOUT, so that a silent peer frees its socket
-	outboxLen   = 256      // notes; a channel that lags this far is closed and starts over
+	// frameLimitBytes bounds a frame; a snapshot of a very large configuration still fits.
+	frameLimitBytes = 24 << 20
+	// frameReadBytes is how much of a frame is allocated and read at once: a length that only claims to be large costs
+	// no memory.
+	frameReadBytes = 1 << 16
+	// outboxLen is in messages; a channel that lags this far is closed and starts over.
+	outboxLen = 256
+	// tcpUserTimeoutMs is TCP_USER_TIMEOUT in milliseconds: a silent peer frees its socket after it.
+	tcpUserTimeoutMs = 1500
+	// acceptRetryDelay is waited after a failed accept, which mostly means that file descriptors are short.
+	acceptRetryDelay = 250 * time.Millisecond
 )
 
-// Control copies and witnesses.
 const (
-	beatEvery = 250 * time.Millisecond // primary to members; cheap, and four fit into BeatLost
-)
-
-const (
-	// DialTimeout bounds a dial of an own node: one that is up answers in a few milliseconds, one behind a cut never.
+	// DialTimeout bounds a dial of another node: one that is up answers in a few milliseconds, one behind a partition never.
 	DialTimeout = 200 * time.Millisecond
 	// CallTimeout bounds one call to a member, its synced write included.
 	CallTimeout = 500 * time.Millisecond
--- /dev/null
+++ b/coord/rpc/frame.go
@@ -0,0 +1,53 @@
+package rpc
+
+import (
+	"bufio"
+	"encoding/binary"
+	"io"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// outgoing is an encoded message on its way to the socket.
+type outgoing struct {
+	encoded  []byte
+	deadline time.Time // not written after it, since the caller has given up; zero: none
+}
+
+// writeFrame writes one message, its length before it as four bytes little-endian. It looks at the time itself: the
+// message may have waited in the outbox, or the process may have stood still.
+func writeFrame(w *bufio.Writer, message outgoing) error {
+	if !message.deadline.IsZero() && !time.Now().Before(message.deadline) {
+		return nil
+	}
+	var length [4]byte
+	binary.LittleEndian.PutUint32(length[:], uint32(len(message.encoded)))
+	if _, err := w.Write(length[:]); err != nil {
+		return err
+	}
+	_, err := w.Write(message.encoded)
+	return err
+}
+
+// ReadFrame reads one frame and returns what it holds, an encoded message. The error is ErrInvalidMessage if the frame
+// is longer than 24 MiB, else the reader's: io.EOF if it ended before the frame, io.ErrUnexpectedEOF or io.EOF if it
+// ended inside.
+func ReadFrame(r io.Reader) ([]byte, error) {
+	var prefix [4]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
+		return nil, err
+	}
+	length := binary.LittleEndian.Uint32(prefix[:])
+	if length > frameLimitBytes {
+		return nil, errors.Wrapf(ErrInvalidMessage, "frame of %d bytes", length)
+	}
+	var frame []byte
+	for read := uint32(0); read < length; read = uint32(len(frame)) {
+		frame = append(frame, make([]byte, min(length-read, frameReadBytes))...)
+		if _, err := io.ReadFull(r, frame[read:]); err != nil {
+			return nil, err
+		}
+	}
+	return frame, nil
+}
--- a/coord/rpc/message.go
+++ b/coord/rpc/message.go
@@ -1,90 +1,90 @@
-// Package rpc is how the project's own processes talk: FlatBuffers notes in frames over held channels.
 package rpc
 
 import (
+	"github.com/cockroachdb/errors"
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"shaletrestle/coord/rpc/rpcfb"
-	"shaletrestle/internal/errkind"
 )
 
-// Kind tells what a note is about.
+// Kind tells what a message is about. The numbers stand on the wire.
 type Kind uint16
 
-// The kinds of notes.
+// The kinds of messages.
 const (
-	Hello       Kind = iota + 1 // who are you and what do you know
+	Hello       Kind = iota + 1 // asks whether a node is alive
 	Replication                 // a message of package replication, in the body
-	Lease                       // ask a witness for a duty
-	Subscribe                   // subscribe to news
-	Update                      // one numbered change or a checkpoint
-	UpdateAck                   // news acknowledged up to a number
-	Suspect                     // a router suspects another
-	LoadSums                    // what waits at the replicas, as the sender knows it
-	Loan                        // a router asks for further tries out of the common part of a service's budget
-	Job                         // long work between routers
+	Lease                       // asks a grantor for a lease (package lease)
+	Subscribe                   // asks for updates (package distribution)
+	Update                      // one numbered change, a snapshot or a heartbeat
+	UpdateAck                   // updates acknowledged up to a number
+	Suspect                     // tells that a node is suspected to be down, or is back
+	LoadSums                    // the work that waits at the replicas, as the sender knows it (package loadsum)
+	Loan                        // asks for a loan out of a shared budget (package fairshare)
+	Job                         // work handed over between nodes (package handoff)
 )
 
-// Member names a member: its id belongs to its disk, the address is only where it lives.
+// Member names a process: its id belongs to its state, the address is only where it lives now.
 type Member struct {
 	ID      uint64
 	Address string
-	Zone    string
+	Zone    string // failure domain
 }
 
-// Message is one message.
+// Message is one message. What the fields without a comment mean depends on the kind; fields that a kind doesn't
+// use are zero.
 type Message struct {
 	Kind       Kind
-	Call       uint64
-	Answer     bool
-	OK         bool
-	From       Member
-	To         uint64
+	Call       uint64 // number of the call within its channel; 0: no answer is expected
+	Answer     bool   // it answers the call of that number
+	OK         bool   // the answer is positive; in an Update: the sender is current
+	From       Member // the sender
+	To         uint64 // id of the member that it is meant for
 	Epoch      uint64
 	Ballot     uint64
 	Number     uint64
 	Base       uint64
-	Duration   uint64
+	Duration   uint64 // in nanoseconds
 	HeldBallot uint64
 	Text       string
 	Body       []byte
 	Members    []Member
 }
 
-func putMember(b *flatbuffers.Builder, s Member) flatbuffers.UOffsetT {
-	a, l := b.CreateString(s.Address), b.CreateString(s.Zone)
+func encodeMember(b *flatbuffers.Builder, member Member) flatbuffers.UOffsetT {
+	address, zone := b.CreateString(member.Address), b.CreateString(member.Zone)
 	rpcfb.MemberStart(b)
-	rpcfb.MemberAddId(b, s.ID)
-	rpcfb.MemberAddAddress(b, a)
-	rpcfb.MemberAddZone(b, l)
+	rpcfb.MemberAddId(b, member.ID)
+	rpcfb.MemberAddAddress(b, address)
+	rpcfb.MemberAddZone(b, zone)
 	return rpcfb.MemberEnd(b)
 }
 
-func putMembers(b *flatbuffers.Builder, ss []Member, start func(*flatbuffers.Builder, int) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
-	os := make([]flatbuffers.UOffsetT, len(ss))
-	for i, s := range ss {
-		os[i] = putMember(b, s)
+func encodeMembers(b *flatbuffers.Builder, members []Member) flatbuffers.UOffsetT {
+	offsets := make([]flatbuffers.UOffsetT, len(members))
+	for i, member := range members {
+		offsets[i] = encodeMember(b, member)
 	}
-	start(b, len(os))
-	for i := len(os) - 1; i >= 0; i-- {
-		b.PrependUOffsetT(os[i])
+	rpcfb.MessageStartMembersVector(b, len(offsets))
+	for i := len(offsets) - 1; i >= 0; i-- {
+		b.PrependUOffsetT(offsets[i])
 	}
-	return b.EndVector(len(os))
+	return b.EndVector(len(offsets))
 }
 
-// Encode puts a note into bytes.
+// Encode gives the message's bytes. A body that is empty but not nil stays so.
 func (m *Message) Encode() []byte {
 	b := flatbuffers.NewBuilder(256 + len(m.Body))
-	from := putMember(b, m.From)
-	var wd, bd, st flatbuffers.UOffsetT
+	from := encodeMember(b, m.From)
+	var text, body, members flatbuffers.UOffsetT // 0: the field is left out
 	if m.Text != "" {
-		wd = b.CreateString(m.Text)
+		text = b.CreateString(m.Text)
 	}
 	if m.Body != nil {
-		bd = b.CreateByteVector(m.Body)
+		body = b.CreateByteVector(m.Body)
 	}
 	if len(m.Members) > 0 {
-		st = putMembers(b, m.Members, rpcfb.MessageStartMembersVector)
+		members = encodeMembers(b, m.Members)
 	}
 	rpcfb.MessageStart(b)
 	rpcfb.MessageAddKind(b, uint16(m.Kind))
@@ -99,52 +99,57 @@
 	rpcfb.MessageAddBase(b, m.Base)
 	rpcfb.MessageAddDuration(b, m.Duration)
 	rpcfb.MessageAddHeldBallot(b, m.HeldBallot)
-	for _, x := range []struct {
-		o   flatbuffers.UOffsetT
-		add func(*flatbuffers.Builder, flatbuffers.UOffsetT)
-	}{{wd, rpcfb.MessageAddText}, {bd, rpcfb.MessageAddBody}, {st, rpcfb.MessageAddMembers}} {
-		if x.o != 0 {
-			x.add(b, x.o)
-		}
-	}
+	rpcfb.MessageAddText(b, text)
+	rpcfb.MessageAddBody(b, body)
+	rpcfb.MessageAddMembers(b, members)
 	b.Finish(rpcfb.MessageEnd(b))
 	return b.FinishedBytes()
 }
 
-func getMember(s *rpcfb.Member) Member {
-	if s == nil {
+func decodeMember(member *rpcfb.Member) Member {
+	if member == nil {
 		return Member{}
 	}
-	return Member{s.Id(), string(s.Address()), string(s.Zone())}
+	return Member{member.Id(), string(member.Address()), string(member.Zone())}
 }
 
-// Decode reads a note; bytes that are none give an error, never a panic.
-func Decode(b []byte) (n *Message, err error) {
+// Decode reads a message; its body shares the bytes. Bytes that are no message give ErrInvalidMessage, never a panic.
+func Decode(encoded []byte) (message *Message, err error) {
 	defer func() {
-		if r := recover(); r != nil {
-			n, err = nil, errkind.New(errkind.InvalidInput, "note: %v", r)
+		if cause := recover(); cause != nil { // FlatBuffers reads past the bytes that it is given
+			message, err = nil, errors.Wrapf(ErrInvalidMessage, "%v", cause)
 		}
 	}()
-	if len(b) < 8 {
-		return nil, errkind.New(errkind.InvalidInput, "note of %d bytes", len(b))
+	if len(encoded) < 8 {
+		return nil, errors.Wrapf(ErrInvalidMessage, "%d bytes", len(encoded))
 	}
-	f := rpcfb.GetRootAsMessage(b, 0)
-	n = &Message{
-		Kind: Kind(f.Kind()), Call: f.Call(), Answer: f.Answer(), OK: f.Ok(), From: getMember(f.From(nil)), To: f.To(),
-		Epoch: f.Epoch(), Ballot: f.Ballot(), Number: f.Number(), Base: f.Base(), Duration: f.Duration(),
-		HeldBallot: f.HeldBallot(),
-		Text:       string(f.Text()), Body: f.BodyBytes(),
+	fields := rpcfb.GetRootAsMessage(encoded, 0)
+	message = &Message{
+		Kind:       Kind(fields.Kind()),
+		Call:       fields.Call(),
+		Answer:     fields.Answer(),
+		OK:         fields.Ok(),
+		From:       decodeMember(fields.From(nil)),
+		To:         fields.To(),
+		Epoch:      fields.Epoch(),
+		Ballot:     fields.Ballot(),
+		Number:     fields.Number(),
+		Base:       fields.Base(),
+		Duration:   fields.Duration(),
+		HeldBallot: fields.HeldBallot(),
+		Text:       string(fields.Text()),
+		Body:       fields.BodyBytes(),
 	}
-	for i := range f.MembersLength() {
-		var s rpcfb.Member
-		if f.Members(&s, i) {
-			n.Members = append(n.Members, getMember(&s))
+	for i := range fields.MembersLength() {
+		var member rpcfb.Member
+		if fields.Members(&member, i) {
+			message.Members = append(message.Members, decodeMember(&member))
 		}
 	}
-	return n, nil
+	return message, nil
 }
 
-// Reply starts the answer to a note.
+// Reply starts the answer to a call.
 func (m *Message) Reply(ok bool) *Message {
 	return &Message{Kind: m.Kind, Call: m.Call, Answer: true, OK: ok}
 }
--- a/coord/rpc/net.go
+++ b/coord/rpc/net.go
@@ -3,133 +3,58 @@
 import (
 	"context"
 	"net"
-	"sync"
 	"syscall"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"golang.org/x/sys/unix"
 
-	"shaletrestle/internal/errkind"
+	"shaletrestle/coord/wait"
 )
 
-// Net is what a process reaches others through; tests put a simulated one here.
+// Net is the network that a process uses; tests put a simulated one here. It must be safe for concurrent use.
 type Net interface {
-	Dial(addr string, d time.Duration) (net.Conn, error)
-	Listen(addr string) (net.Listener, error)
+	// Dial connects to an address within the timeout.
+	Dial(address string, timeout time.Duration) (net.Conn, error)
+	// Listen accepts connections on an address.
+	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the real network.
+// TCP is the real network, IPv4 only. Its sockets have no keep-alive, but TCP_USER_TIMEOUT: one whose peer is gone
+// fails 1.5 s after something was sent on it.
 type TCP struct{}
 
-// Dial connects, with a bound on how long unacknowledged bytes may wait.
-func (TCP) Dial(addr string, d time.Duration) (net.Conn, error) {
-	x := net.Dialer{Timeout: d, KeepAlive: -1, Control: setUserTimeout}
-	return x.Dial("tcp4", addr)
+// Dial is part of Net.
+func (TCP) Dial(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout}
+	return dialer.Dial("tcp4", address)
 }
 
-// Listen accepts connections.
-func (TCP) Listen(addr string) (net.Listener, error) {
-	x := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout}
-	return x.Listen(context.Background(), "tcp4", addr)
+// Listen is part of Net.
+func (TCP) Listen(address string) (net.Listener, error) {
+	config := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout}
+	return config.Listen(context.Background(), "tcp4", address)
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
-func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	_ = c.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeout)
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. A system without it only notices silent peers later.
+func setUserTimeout(_, _ string, socket syscall.RawConn) error {
+	_ = socket.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, tcpUserTimeoutMs)
 	})
 	return nil
 }
 
-// Serve accepts channels until the context ends.
-func Serve(ctx context.Context, ln net.Listener, h Handler) {
-	go func() {
-		<-ctx.Done()
-		_ = ln.Close()
-	}()
+// Serve opens a channel on each connection that the listener accepts, until the context ends. That closes the listener
+// and the channels. A failed accept is tried again after a pause.
+func Serve(ctx context.Context, listener net.Listener, handler Handler) {
+	context.AfterFunc(ctx, func() { _ = listener.Close() })
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
-			if ctx.Err() != nil || !wait.Sleep(ctx, beatEvery) {
+			if ctx.Err() != nil || !wait.Sleep(ctx, acceptRetryDelay) {
 				return
 			}
 			continue
 		}
-		Open(ctx, c, h)
-	}
-}
-
-// Lines holds one channel per address and dials when it is needed.
-type Pool struct {
-	ctx context.Context
-	net Net
-	h   Handler
-	mu  sync.Mutex
-	m   map[string]*line
-}
-
-type line struct {
-	ch      *Channel
-	dialing chan struct{} // closed when the dial under way has ended
-	err     error         // of the newest dial
-}
-
-// NewLines makes the set of channels of a process.
-func NewPool(ctx context.Context, n Net, h Handler) *Pool {
-	return &Pool{ctx: ctx, net: n, h: h, m: map[string]*line{}}
-}
-
-// Get gives the channel to an address. Whoever comes while it is being dialled shares that dial's result: a silent address never makes a queue.
-func (l *Pool) Get(addr string) (*Channel, error) {
-	l.mu.Lock()
-	x := l.m[addr]
-	if x == nil {
-		x = &line{}
-		l.m[addr] = x
-	}
-	if x.ch != nil && x.ch.ctx.Err() == nil {
-		defer l.mu.Unlock()
-		return x.ch, nil
-	}
-	if w := x.dialing; w != nil {
-		l.mu.Unlock()
-		<-w
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if x.err != nil || x.ch == nil {
-			return nil, errkind.New(errkind.Unavailable, "dial of %s failed", addr)
-		}
-		return x.ch, nil
-	}
-	w := make(chan struct{})
-	x.dialing = w
-	l.mu.Unlock()
-	c, err := l.net.Dial(addr, DialTimeout)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	x.dialing, x.err = nil, err
-	close(w)
-	if err != nil {
-		return nil, errkind.Wrap(errkind.Unavailable, err, "dial")
-	}
-	x.ch = Open(l.ctx, c, l.h)
-	return x.ch, nil
-}
-
-// Call asks one address. A channel on which nothing came during a failed call is closed, so that the next call dials anew.
-func (l *Pool) Call(addr string, n *Message, d time.Duration) (*Message, error) {
-	if addr == "" {
-		return nil, errkind.New(errkind.Unavailable, "no address")
-	}
-	ch, err := l.Get(addr)
-	if err != nil {
-		return nil, err
-	}
-	a, err := ch.Call(n, d)
-	if err != nil && ch.IdleTime() >= d {
-		ch.Close()
+		Open(ctx, conn, handler)
 	}
-	return a, err
 }
