--- a/internal/simtest/arrival.go
+++ b/internal/simtest/arrival.go
@@ -11,32 +11,32 @@
 const (
 	drainBound    = 3 * time.Second
 	evacuateBound = 5 * time.Second
-	onTheWay      = 10 * time.Millisecond // what was sent before its sender knew better
-	coldSettle    = 2 * time.Second       // the bound for cold replicas counts from so long after their start
-	coldMost      = 20*3/2 + 5            // warmup_per_s x cold_overshoot + cold_slack
+	inFlight      = 10 * time.Millisecond // what was sent before its sender knew better
+	warmupSettle  = 2 * time.Second       // the bound for cold replicas counts from so long after their start
+	warmupLimit   = 20*3/2 + 5            // warmup_per_s x cold_overshoot + cold_slack
 )
 
 // arrival is a request at a replica.
 type arrival struct {
-	w       *World
+	sim     *Simulation
 	replica *Replica
 	http    *http.Request
 	id      string
 	body    string
 	record  *request // nil if no client sent it
-	sender  *Proc    // nil if it is none of our processes
+	sender  *Process // nil if it is none of our processes
 	now     time.Time
 }
 
-// arrivalRule checks arrivals; a check returns what is wrong, or nothing. It is called with the world held.
+// arrivalRule checks arrivals; a check returns what is wrong, or nothing. It is called with the simulation's lock held.
 type arrivalRule struct {
 	rule  Rule
 	check func(*arrival) string
 }
 
 var arrivalRules = []arrivalRule{
-	{RuleUnasked, checkUnasked},
-	{RuleDeadlineHead, checkDeadlineHead},
+	{RuleUnsolicited, checkUnsolicited},
+	{RuleTimeBudget, checkTimeBudget},
 	{RuleHome, checkHome},
 	{RuleSplit, checkSplit},
 	{RuleDrain, checkDrain},
@@ -45,26 +45,26 @@
 	{RuleFailback, checkFailback},
 }
 
-// arrived holds an arrival against the rules.
-func (r *Replica) arrived(q *http.Request, id, body string) *arrival {
-	w := r.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	a := &arrival{w: w, replica: r, http: q, id: id, body: body, record: w.requests[id], sender: w.processAt(q.RemoteAddr), now: time.Now()}
+// judgeArrival checks an arrival against the rules.
+func (r *Replica) judgeArrival(q *http.Request, id, body string) *arrival {
+	sim := r.sim
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	a := &arrival{sim: sim, replica: r, http: q, id: id, body: body, record: sim.requests[id], sender: sim.processAt(q.RemoteAddr), now: time.Now()}
 	if a.record != nil {
 		a.record.offered = true
 	}
 	for _, x := range arrivalRules {
 		if wrong := x.check(a); wrong != "" {
-			w.broke(x.rule, id+" "+wrong)
+			sim.addViolationLocked(x.rule, id+" "+wrong)
 		}
 	}
 	return a
 }
 
-// processAt is the process at an address, nil if there is none; the caller holds the world.
-func (w *World) processAt(ip string) *Proc {
-	for _, p := range w.procs {
+// processAt is the process at an address, nil if there is none; the caller holds the simulation's lock.
+func (sim *Simulation) processAt(ip string) *Process {
+	for _, p := range sim.processes {
 		if p.ip == ip {
 			return p
 		}
@@ -72,35 +72,35 @@
 	return nil
 }
 
-// ran notes that a replica has begun work on an arrival.
-func (r *Replica) ran(a *arrival) {
-	w := r.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordRun notes that a replica has begun work on an arrival.
+func (r *Replica) recordRun(a *arrival) {
+	sim := r.sim
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	if a.record == nil {
 		return
 	}
 	a.record.runs++
 	a.record.ranOn[r.ID] = true
-	if wrong := checkTwice(a.record); wrong != "" {
-		w.broke(RuleTwice, wrong)
+	if wrong := checkRunsOnce(a.record); wrong != "" {
+		sim.addViolationLocked(RuleRunsOnce, wrong)
 	}
 	if wrong := checkAttempts(a.record); wrong != "" {
-		w.broke(RuleAttempts, wrong)
+		sim.addViolationLocked(RuleAttempts, wrong)
 	}
 }
 
-func checkUnasked(a *arrival) string {
+func checkUnsolicited(a *arrival) string {
 	if a.record == nil {
 		return "was sent by nobody"
 	}
-	if a.record.wire != a.http.Method+" "+a.http.URL.RequestURI()+" "+a.body {
+	if a.record.content != a.http.Method+" "+a.http.URL.RequestURI()+" "+a.body {
 		return "came changed"
 	}
 	return ""
 }
 
-func checkDeadlineHead(a *arrival) string {
+func checkTimeBudget(a *arrival) string {
 	if a.http.Header.Get("Time-Budget-Ms") == "" {
 		return "came without what is left"
 	}
@@ -119,8 +119,8 @@
 		return ""
 	}
 	key, _, _ := strings.Cut(a.http.Header.Get("Prompt-Prefix"), ",")
-	was, again := a.w.keys[key]
-	a.w.keys[key] = a.replica.pool
+	was, again := a.sim.keys[key]
+	a.sim.keys[key] = a.replica.pool
 	if again && was != a.replica.pool {
 		return fmt.Sprintf("of key %s went to %s and to %s", key, was, a.replica.pool)
 	}
@@ -128,8 +128,8 @@
 }
 
 func checkEvacuation(a *arrival) string {
-	since := a.replica.evacAt
-	if a.w.inTouchOnly && (a.sender == nil || !a.w.inTouch(a.sender, a.now)) {
+	since := a.replica.evacuatedAt
+	if a.sim.connectedOnly && (a.sender == nil || !a.sim.isConnected(a.sender, a.now)) {
 		return ""
 	}
 	if !since.IsZero() && a.now.Sub(since) > evacuateBound {
@@ -140,17 +140,17 @@
 
 func checkFailback(a *arrival) string {
 	r := a.replica
-	if r.cold <= 0 {
+	if r.warmupLeftMs <= 0 {
 		return ""
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.coldGot = append(r.coldGot, a.now)
-	for len(r.coldGot) > 0 && a.now.Sub(r.coldGot[0]) > time.Second {
-		r.coldGot = r.coldGot[1:]
+	r.warmupArrivals = append(r.warmupArrivals, a.now)
+	for len(r.warmupArrivals) > 0 && a.now.Sub(r.warmupArrivals[0]) > time.Second {
+		r.warmupArrivals = r.warmupArrivals[1:]
 	}
-	if len(r.coldGot) > coldMost && a.now.Sub(r.since) > coldSettle {
-		return fmt.Sprintf("is one of %d in a second at cold %s", len(r.coldGot), r.ID)
+	if len(r.warmupArrivals) > warmupLimit && a.now.Sub(r.since) > warmupSettle {
+		return fmt.Sprintf("is one of %d in a second at cold %s", len(r.warmupArrivals), r.ID)
 	}
 	return ""
 }
--- a/internal/simtest/badinput_test.go
+++ b/internal/simtest/bad_input_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raw sends bytes to a gate and gives the answer's status; 0 is a close without one.
-func raw(t *testing.T, w *World, text string, slow time.Duration) int {
+// raw sends bytes to a router and gives the answer's status; 0 is a close without one.
+func raw(t *testing.T, sim *Simulation, text string, slow time.Duration) int {
 	t.Helper()
-	c, err := w.Net.Host("10.8.0.3").Dial(w.procs["g1"].ip+":80", time.Second)
+	c, err := sim.Network.Host("10.8.0.3").Dial(sim.processes["router-1"].ip+":80", time.Second)
 	require.NoError(t, err)
 	defer c.Close()
 	for i, part := range strings.Split(text, "|") {
@@ -36,16 +36,16 @@
 	return a.StatusCode
 }
 
-// small is a world with one gate that serves.
-func small(t *testing.T) (*World, *Script) {
+// small is a simulation with one router that serves.
+func small(t *testing.T) (*Simulation, *Script) {
 	t.Helper()
-	w := NewWorld(slog.New(slog.DiscardHandler))
-	s := &Script{w: w, bad: map[int]int{}}
-	for _, l := range []string{"fleet houses=3 gates=1", "replica r1 pool=svc zone=a", "replica m1 pool=lm zone=a", "wait 1s", "put 5 base=0 expect=200", "wait 1500ms"} {
+	sim := NewSimulation(slog.New(slog.DiscardHandler))
+	s := &Script{sim: sim, failed: map[int]int{}}
+	for _, l := range []string{"fleet controllers=3 routers=1", "replica r1 pool=svc zone=a", "replica m1 pool=lm zone=a", "wait 1s", "put 5 base=0 expect=200", "wait 1500ms"} {
 		f := strings.Fields(l)
-		require.NoError(t, s.line(f[0], f[1:]), l)
+		require.NoError(t, s.run(f[0], f[1:]), l)
 	}
-	return w, s
+	return sim, s
 }
 
 func TestBadInputNeverReachesAReplica(t *testing.T) {
@@ -74,12 +74,12 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, s := small(t)
-				defer func() { w.End(); time.Sleep(10 * time.Second) }()
-				require.Contains(t, x.want, raw(t, w, x.text, x.slow))
-				require.NoError(t, s.line("got", []string{"r1", "max=0"}))
-				require.Empty(t, w.broken)
-				require.NoError(t, s.line("ask", []string{"gate=g1", "path=/n/x", "expect=200"}), "the gate goes on serving")
+				sim, s := small(t)
+				defer func() { sim.Close(); time.Sleep(10 * time.Second) }()
+				require.Contains(t, x.want, raw(t, sim, x.text, x.slow))
+				require.NoError(t, s.run("executed", []string{"r1", "max=0"}))
+				require.Empty(t, sim.violations)
+				require.NoError(t, s.run("request", []string{"router=router-1", "path=/n/x", "expect=200"}), "the router goes on serving")
 			})
 		})
 	}
@@ -87,13 +87,13 @@
 
 func TestOddHintsDoNotFailAGoodInquiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _ := small(t)
-		defer func() { w.End(); time.Sleep(10 * time.Second) }()
+		sim, _ := small(t)
+		defer func() { sim.Close(); time.Sleep(10 * time.Second) }()
 		for _, h := range []string{"Time-Budget-Ms: soon", "Time-Budget-Ms: 1e400", "Prompt-Prefix: ::,;", "Prompt-Prefix: zz:1,aa:x", "Token-Counts: a,b", "Token-Counts: -5,99999999999999999999", "Model:"} {
-			w.expect(&request{id: "ok", wire: "POST /s/x "})
-			got := raw(t, w, "POST /s/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: ok\r\n"+h+"\r\nContent-Length: 0\r\n\r\n", 0)
+			sim.register(&request{id: "ok", content: "POST /s/x "})
+			got := raw(t, sim, "POST /s/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: ok\r\n"+h+"\r\nContent-Length: 0\r\n\r\n", 0)
 			require.Equal(t, http.StatusOK, got, h)
 		}
-		require.Empty(t, w.broken)
+		require.Empty(t, sim.violations)
 	})
 }
--- a/internal/simtest/behaviour.go
+++ b/internal/simtest/behaviour.go
@@ -33,23 +33,23 @@
 // extraLinger is how long a replica keeps a connection open after a surplus answer.
 const extraLinger = 50 * time.Millisecond
 
-// never is longer than any scenario.
-const never = time.Hour
+// pastEverything is longer than any scenario.
+const pastEverything = time.Hour
 
 // reply is one answer that a replica is about to give.
 type reply struct {
-	id     string
-	how    behaviour
-	events int
-	record *request
+	id        string
+	behaviour behaviour
+	events    int
+	record    *request
 }
 
 // reply answers one request that has run.
 func (r *Replica) reply(rw http.ResponseWriter, q *http.Request, a reply) {
-	switch a.how {
+	switch a.behaviour {
 	case behavesDark:
 		r.breakOff(a)
-		rest(q, never)
+		sleepUntilCancelled(q, pastEverything)
 		panic(http.ErrAbortHandler)
 	case behavesReset:
 		r.breakOff(a)
@@ -79,17 +79,17 @@
 		r.seal(a, http.StatusOK)
 		writeRaw(rw, rawAnswer(a.id, sealOf(a.id), answerTo(a.id))+rawAnswer("zzz", "s", "late"), extraLinger)
 	default:
-		r.replyWhole(rw, q, a)
+		r.replyCompletely(rw, q, a)
 	}
 }
 
-// replyWhole gives the proper answer, or half of it.
-func (r *Replica) replyWhole(rw http.ResponseWriter, q *http.Request, a reply) {
+// replyCompletely gives the proper answer, or half of it.
+func (r *Replica) replyCompletely(rw http.ResponseWriter, q *http.Request, a reply) {
 	if strings.HasPrefix(q.URL.Path, "/s/") || strings.HasPrefix(q.URL.Path, "/t/") {
 		r.stream(rw, q, a)
 		return
 	}
-	if a.how == behavesCut {
+	if a.behaviour == behavesCut {
 		r.breakOff(a)
 		rw.Header().Set("Content-Length", "100")
 		_, _ = rw.Write([]byte("half"))
@@ -108,27 +108,27 @@
 	}
 	rw.Header().Set("Content-Type", "text/event-stream")
 	for i := from + 1; i <= a.events; i++ {
-		if a.how == behavesCut && i == from+3 {
+		if a.behaviour == behavesCut && i == from+3 {
 			r.breakOff(a)
 			_, _ = fmt.Fprintf(rw, "id: %d\nda", i)
 			_ = http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		if a.how == behavesStall && i == from+3 {
+		if a.behaviour == behavesStall && i == from+3 {
 			r.breakOff(a)
-			rest(q, never)
+			sleepUntilCancelled(q, pastEverything)
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprintf(rw, "id: %d\ndata: piece %d\n\n", i, i)
 		_ = http.NewResponseController(rw).Flush()
-		rest(q, usualWork)
+		sleepUntilCancelled(q, usualWork)
 	}
 }
 
 // seal notes the status that a replica gives under its seal.
 func (r *Replica) seal(a reply, status int) {
-	r.w.mu.Lock()
-	defer r.w.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	if a.record != nil {
 		a.record.sealed[status] = true
 	}
@@ -136,8 +136,8 @@
 
 // breakOff notes that it is the replica that gives no proper answer.
 func (r *Replica) breakOff(a reply) {
-	r.w.mu.Lock()
-	defer r.w.mu.Unlock()
+	r.sim.mu.Lock()
+	defer r.sim.mu.Unlock()
 	if a.record != nil {
 		a.record.brokeOff = true
 	}
--- a/internal/simtest/client.go
+++ b/internal/simtest/client.go
@@ -21,13 +21,13 @@
 )
 
 // client makes a client whose calls leave from a host of its own.
-func (w *World) client(ip string) *http.Client {
-	return w.clientOf(ip, nil)
+func (sim *Simulation) client(ip string) *http.Client {
+	return sim.keepAliveClient(ip, nil)
 }
 
-// clientOf makes a client that keeps its connections and counts those that it opens; without a counter it opens a new one each time.
-func (w *World) clientOf(ip string, made *atomic.Int64) *http.Client {
-	h := w.Net.Host(ip)
+// keepAliveClient makes a client that keeps its connections and counts those that it opens; without a counter it opens a new one each time.
+func (sim *Simulation) keepAliveClient(ip string, made *atomic.Int64) *http.Client {
+	h := sim.Network.Host(ip)
 	transport := &http.Transport{
 		DisableKeepAlives:  made == nil,
 		DisableCompression: true,
@@ -47,27 +47,27 @@
 // Outcome is how one request ended.
 type Outcome struct {
 	ID     string
-	Status int // 0: no whole answer
+	Status int // 0: no complete answer
 	Body   string
 	Took   time.Duration
 }
 
-// Ask sends one request to a router and judges its answer.
-func (w *World) Ask(router, path, prefix string, once bool, size int) Outcome {
-	return w.askWith(w.client("10.8.0.1"), question{router: router, path: path, prefix: prefix, once: once, size: size, budget: usualBudget})
+// Request sends one request to a router and judges its answer.
+func (sim *Simulation) Request(router, path, prefix string, once bool, size int) Outcome {
+	return sim.requestWith(sim.client("10.8.0.1"), clientRequest{router: router, path: path, prefix: prefix, once: once, size: size, budget: usualBudget})
 }
 
-// question is what a client asks.
-type question struct {
+// clientRequest is what a client asks.
+type clientRequest struct {
 	router, path, prefix string
 	once                 bool
 	size                 int
 	budget               time.Duration
 }
 
-func (w *World) askWith(c *http.Client, ask question) Outcome {
-	r, body := w.newRequest(ask)
-	q, _ := http.NewRequest(http.MethodPost, "http://"+w.process(ask.router).ip+":80"+ask.path, strings.NewReader(body))
+func (sim *Simulation) requestWith(c *http.Client, ask clientRequest) Outcome {
+	r, body := sim.newRequest(ask)
+	q, _ := http.NewRequest(http.MethodPost, "http://"+sim.process(ask.router).ip+":80"+ask.path, strings.NewReader(body))
 	q.Host = "h.example"
 	q.Header.Set("Attempt-Id", r.id)
 	q.Header.Set("Time-Budget-Ms", strconv.FormatInt(ask.budget.Milliseconds(), 10))
@@ -95,47 +95,47 @@
 		x.gaveUp = errors.As(err, &timeout) && timeout.Timeout()
 	}
 	x.endedAt = time.Now()
-	w.judge(x)
+	sim.judgeExchange(x)
 	return Outcome{r.id, x.status, x.body, x.took()}
 }
 
-// exchangeRule checks how requests ended; a check returns what is wrong, or nothing. It is called with the world held.
+// exchangeRule checks how requests ended; a check returns what is wrong, or nothing. It is called with the simulation's lock held.
 type exchangeRule struct {
 	rule  Rule
-	check func(*World, *exchange) string
+	check func(*Simulation, *exchange) string
 }
 
 var exchangeRules = []exchangeRule{
 	{RuleMixed, checkMixed},
 	{RuleMixedFailure, checkMixedFailure},
-	{RuleRefused, checkRefused},
+	{RuleRejected, checkRejected},
 	{RuleRetryAfter, checkRetryAfter},
 	{RuleLost, checkLost},
-	{PriceHeldTimeout, checkHeldTimeout},
+	{PriceHeld, checkHeldPastTimeout},
 	{PriceUnoffered, checkUnoffered},
-	{PriceFreeRefusal, checkFreeRefusal},
+	{PriceNeedlessRejection, checkNeedlessRejection},
 }
 
-// judge holds an exchange against the rules and counts it.
-func (w *World) judge(x *exchange) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// judgeExchange checks an exchange against the rules and counts it.
+func (sim *Simulation) judgeExchange(x *exchange) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, r := range exchangeRules {
-		if wrong := r.check(w, x); wrong != "" {
-			w.broke(r.rule, x.id+" "+wrong)
+		if wrong := r.check(sim, x); wrong != "" {
+			sim.addViolationLocked(r.rule, x.id+" "+wrong)
 		}
 	}
-	w.add(x)
+	sim.countExchange(x)
 }
 
-func checkRefused(_ *World, x *exchange) string {
-	if x.promised() && x.runs > 0 && x.once {
-		return "was refused and ran"
+func checkRejected(_ *Simulation, x *exchange) string {
+	if x.isRejection() && x.runs > 0 && x.once {
+		return "was rejected and ran"
 	}
 	return ""
 }
 
-func checkRetryAfter(_ *World, x *exchange) string {
+func checkRetryAfter(_ *Simulation, x *exchange) string {
 	if x.status == http.StatusServiceUnavailable && x.header.Get("Retry-After") == "" {
 		return "was not told when to come back"
 	}
--- a/internal/simtest/command_expect.go
+++ b/internal/simtest/command_expect.go
@@ -10,35 +10,35 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// expectCommands hold what is seen against what a scenario expects.
+// expectCommands compare what is seen with what a scenario expects.
 var expectCommands = map[string]command{
-	"page":      expectOnPage,
-	"keys":      expectKeys,
-	"suspected": expectSuspected,
-	"ready":     expectReady,
-	"shares":    expectShares,
-	"served":    expectServed,
-	"got":       expectGot,
-	"chart":     expectView,
-	"primary":   expectPrimary,
-	"calls":     expectCalls,
+	"state_page":     expectOnPage,
+	"affinity_keys":  expectKeys,
+	"suspected":      expectSuspected,
+	"ready":          expectReady,
+	"fleet_size":     expectShares,
+	"served":         expectServed,
+	"executed":       expectGot,
+	"view":           expectView,
+	"primary":        expectPrimary,
+	"platform_calls": expectCalls,
 }
 
 // Pauses between two looks.
 const (
-	quickLook = 50 * time.Millisecond
-	look      = 100 * time.Millisecond
+	shortPoll = 50 * time.Millisecond
+	poll      = 100 * time.Millisecond
 )
 
-// viewWait is how long a view may take to come.
-const viewWait = 3 * time.Second
+// viewTimeout is how long a view may take to come.
+const viewTimeout = 3 * time.Second
 
-// noMost stands for no upper bound.
-const noMost = 1 << 30
+// unbounded stands for no upper bound.
+const unbounded = 1 << 30
 
-// page g1 run_elsewhere min=3 max=9: a count of the state page's section on long work
+// expectOnPage is the command "state_page router-1 run_elsewhere min=3 max=9": a count of the state page's section on long work
 func expectOnPage(s *Script, a args) error {
-	r, err := s.w.client("10.8.0.2").Get("http://" + s.w.process(a.at(0)).ip + ":7003/")
+	r, err := s.sim.client("10.8.0.2").Get("http://" + s.sim.process(a.word(0)).ip + ":7003/")
 	if err != nil {
 		return err
 	}
@@ -49,34 +49,34 @@
 	if err := json.NewDecoder(r.Body).Decode(&p); err != nil {
 		return err
 	}
-	name := a.at(1)
+	name := a.word(1)
 	n, ok := p.Long[name].(float64)
-	if !ok || int(n) < a.num("min", 0) || int(n) > a.num("max", noMost) {
+	if !ok || int(n) < a.number("min", 0) || int(n) > a.number("max", unbounded) {
 		return fmt.Errorf("%s is %v", name, p.Long[name])
 	}
 	return nil
 }
 
-// keys 20: as many affinity keys were split between services, each held to one
+// expectKeys is the command "affinity_keys 20": as many affinity keys were split between services, each held to one
 func expectKeys(s *Script, a args) error {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
 	services := map[string]bool{}
-	for _, service := range s.w.keys {
+	for _, service := range s.sim.keys {
 		services[service] = true
 	}
-	if len(s.w.keys) != mustInt(a.at(0)) || len(services) != 2 {
-		return fmt.Errorf("%v", s.w.keys)
+	if len(s.sim.keys) != numberOf(a.word(0)) || len(services) != 2 {
+		return fmt.Errorf("%v", s.sim.keys)
 	}
 	return nil
 }
 
-// suspected r1 at=g1,g6 within=2s: these routers hold it under suspicion; no=1: they don't
+// expectSuspected is the command "suspected r1 at=router-1,router-6 within=2s": these routers hold it under suspicion; no=1: they don't
 func expectSuspected(s *Script, a args) error {
-	return until(a.span("within", time.Second), quickLook, func() error {
+	return pollUntil(a.duration("within", time.Second), shortPoll, func() error {
 		for _, name := range a.list("at") {
-			health := s.w.process(name).gate.Health()
-			if health[a.at(0)].Suspected == (a.kv["no"] != "") {
+			health := s.sim.process(name).router.Health()
+			if health[a.word(0)].Suspected == (a.options["no"] != "") {
 				return fmt.Errorf("%s holds %v", name, health)
 			}
 		}
@@ -84,12 +84,12 @@
 	})
 }
 
-// ready g1 g2 are=no within=3s: all of them come to answer so
+// expectReady is the command "ready router-1 router-2 are=no within=3s": all of them come to answer so
 func expectReady(s *Script, a args) error {
-	want := a.kv["are"] != "no"
-	for _, name := range a.pos {
-		err := until(a.span("within", 0), look, func() error {
-			if s.w.Ready(name) != want {
+	want := a.options["are"] != "no"
+	for _, name := range a.words {
+		err := pollUntil(a.duration("within", 0), poll, func() error {
+			if s.sim.Ready(name) != want {
 				return fmt.Errorf("%s does not", name)
 			}
 			return nil
@@ -101,11 +101,11 @@
 	return nil
 }
 
-// shares 6 g1 g2 within=4s: by these routers the shares are made for so many
+// expectShares is the command "fleet_size 6 router-1 router-2 within=4s": by these routers the shares are made for so many
 func expectShares(s *Script, a args) error {
-	for _, name := range a.pos[1:] {
-		err := until(a.span("within", 0), look, func() error {
-			if n := s.w.Shares(name); n != mustInt(a.at(0)) {
+	for _, name := range a.words[1:] {
+		err := pollUntil(a.duration("within", 0), poll, func() error {
+			if n := s.sim.FleetSize(name); n != numberOf(a.word(0)) {
 				return fmt.Errorf("%s says %d", name, n)
 			}
 			return nil
@@ -117,44 +117,44 @@
 	return nil
 }
 
-// served 95: at least so many in a hundred of the load were served
+// expectServed is the command "served 95": at least so many in a hundred of the load were served
 func expectServed(s *Script, a args) error {
-	s.bg.Wait()
+	s.background.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.good
-	for _, n := range s.bad {
+	all := s.served
+	for _, n := range s.failed {
 		all += n
 	}
-	if all == 0 || s.good*100 < all*mustInt(a.at(0)) {
-		return fmt.Errorf("%d of %d served, others %v", s.good, all, s.bad)
+	if all == 0 || s.served*100 < all*numberOf(a.word(0)) {
+		return fmt.Errorf("%d of %d served, others %v", s.served, all, s.failed)
 	}
-	s.good, s.bad = 0, map[int]int{}
+	s.served, s.failed = 0, map[int]int{}
 	return nil
 }
 
-// got r1 min=3 max=9: requests that a replica ran
+// expectGot is the command "executed r1 min=3 max=9": requests that a replica ran
 func expectGot(s *Script, a args) error {
-	r := s.w.replicas[a.at(0)]
+	r := s.sim.replicas[a.word(0)]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.got < a.num("min", 0) || r.got > a.num("max", noMost) {
-		return fmt.Errorf("it ran %d", r.got)
+	if r.executed < a.number("min", 0) || r.executed > a.number("max", unbounded) {
+		return fmt.Errorf("it ran %d", r.executed)
 	}
-	r.got = 0
+	r.executed = 0
 	return nil
 }
 
-// chart copies=3 witnesses=5 none=h7 within=3s: what the primary's view holds; none names a controller that must not be in it
+// expectView is the command "view replicas=3 witnesses=5 without=controller-7 within=3s": what the primary's view holds; without names a controller that must not be in it
 func expectView(s *Script, a args) error {
-	return until(a.span("within", viewWait), quickLook, func() error {
+	return pollUntil(a.duration("within", viewTimeout), shortPoll, func() error {
 		why := fmt.Errorf("nobody is primary")
-		for _, name := range s.w.living() {
-			p := s.w.process(name)
-			if p.house == nil || !p.house.IsActivePrimary() {
+		for _, name := range s.sim.running() {
+			p := s.sim.process(name)
+			if p.controller == nil || !p.controller.IsActivePrimary() {
 				continue
 			}
-			why = s.checkView(p.house.View(), a)
+			why = s.checkView(p.controller.View(), a)
 			if why == nil {
 				return nil
 			}
@@ -164,44 +164,44 @@
 }
 
 func (s *Script) checkView(view *core.View, a args) error {
-	copies, witnesses := view.Replicas(), view.Witnesses
-	if name := a.kv["none"]; name != "" {
-		unwanted := func(m core.Member) bool { return strings.HasPrefix(m.Address, s.w.process(name).ip+":") }
-		if slices.ContainsFunc(copies, unwanted) || slices.ContainsFunc(witnesses, unwanted) {
+	replicas, witnesses := view.Replicas(), view.Witnesses
+	if name := a.options["without"]; name != "" {
+		unwanted := func(m core.Member) bool { return strings.HasPrefix(m.Address, s.sim.process(name).ip+":") }
+		if slices.ContainsFunc(replicas, unwanted) || slices.ContainsFunc(witnesses, unwanted) {
 			return fmt.Errorf("%s is in it", name)
 		}
 	}
-	if len(copies) != a.num("copies", len(copies)) || len(witnesses) != a.num("witnesses", len(witnesses)) {
-		return fmt.Errorf("%d copies, %d witnesses", len(copies), len(witnesses))
+	if len(replicas) != a.number("replicas", len(replicas)) || len(witnesses) != a.number("witnesses", len(witnesses)) {
+		return fmt.Errorf("%d replicas, %d witnesses", len(replicas), len(witnesses))
 	}
 	return nil
 }
 
-// primary not=h1 is=h2 within=3s: exactly one member is primary
+// expectPrimary is the command "primary not=controller-1 is=controller-2 within=3s": exactly one member is primary
 func expectPrimary(s *Script, a args) error {
-	return until(a.span("within", viewWait), quickLook, func() error {
+	return pollUntil(a.duration("within", viewTimeout), shortPoll, func() error {
 		var on []string
-		for _, name := range s.w.living() {
-			p := s.w.process(name)
-			if p.house != nil && p.house.IsActivePrimary() {
+		for _, name := range s.sim.running() {
+			p := s.sim.process(name)
+			if p.controller != nil && p.controller.IsActivePrimary() {
 				on = append(on, name)
 			}
 		}
-		if len(on) != 1 || on[0] == a.kv["not"] || a.kv["is"] != "" && a.kv["is"] != on[0] {
+		if len(on) != 1 || on[0] == a.options["not"] || a.options["is"] != "" && a.options["is"] != on[0] {
 			return fmt.Errorf("primaries %v", on)
 		}
 		return nil
 	})
 }
 
-// calls max=20: the platform was asked so often since the last time
+// expectCalls is the command "platform_calls max=20": the platform was asked so often since the last time
 func expectCalls(s *Script, a args) error {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	calls := s.w.platform.calls
-	if calls > a.num("max", noMost) || calls < a.num("min", 0) {
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	calls := s.sim.platform.calls
+	if calls > a.number("max", unbounded) || calls < a.number("min", 0) {
 		return fmt.Errorf("%d calls", calls)
 	}
-	s.w.platform.calls = 0
+	s.sim.platform.calls = 0
 	return nil
 }
--- a/internal/simtest/command_replica.go
+++ b/internal/simtest/command_replica.go
@@ -8,89 +8,89 @@
 
 // replicaCommands put replicas and the platform up and change what they do.
 var replicaCommands = map[string]command{
-	"replica":  addReplica,
-	"state":    setReplicaState,
-	"reuse":    reuseAddress,
-	"does":     setBehaviour,
-	"health":   setHealth,
-	"cold":     setCold,
-	"flap":     flap,
-	"forgets":  forgetIdle,
-	"resets":   resetSome,
-	"blackout": blackOut,
-	"platform": setPlatform,
+	"replica":           addReplica,
+	"state":             setReplicaState,
+	"reuse_address":     reuseAddress,
+	"behaviour":         setBehaviour,
+	"health":            setHealth,
+	"warmup":            setWarmup,
+	"flap":              flap,
+	"drop_idle":         dropIdleConnections,
+	"reset_some":        resetSome,
+	"replica_power_off": powerOffReplica,
+	"platform":          setPlatform,
 }
 
-// replica r1 pool=svc zone=a cold=0 slots=8
+// addReplica is the command "replica r1 pool=svc zone=a warmup=0 slots=8".
 func addReplica(s *Script, a args) error {
-	r := s.w.AddReplica(a.at(0), a.kv["pool"], fmt.Sprintf("10.7.0.%d", len(s.w.replicas)+1), a.kv["zone"])
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
+	r := s.sim.AddReplica(a.word(0), a.options["pool"], fmt.Sprintf("10.7.0.%d", len(s.sim.replicas)+1), a.options["zone"])
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cold = float64(a.num("cold", 0))
-	r.slots = a.num("slots", usualSlots)
+	r.warmupLeftMs = float64(a.number("warmup", 0))
+	r.slots = a.number("slots", usualSlots)
 	return nil
 }
 
-// state r1 draining|gone|ready
+// setReplicaState is the command "state r1 draining|gone|ready".
 func setReplicaState(s *Script, a args) error {
-	s.w.SetState(a.at(0), a.at(1))
+	s.sim.SetState(a.word(0), a.word(1))
 	return nil
 }
 
-// reuse r1 r9: another replica answers at r1's address
+// reuseAddress is the command "reuse_address r1 r9": another replica answers at r1's address
 func reuseAddress(s *Script, a args) error {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	s.w.replicas[a.at(0)].ID = a.at(1)
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	s.sim.replicas[a.word(0)].ID = a.word(1)
 	return nil
 }
 
-// does r1,r2 ok|full|cut|... work=20ms only=/n/ part=45 from=g1: a part in a hundred, or one caller's only
+// setBehaviour is the command "behaviour r1,r2 ok|full|cut|... work=20ms path=/n/ percent=45 from=router-1": a part in a hundred, or one caller's only
 func setBehaviour(s *Script, a args) error {
 	from := ""
-	if p := s.w.process(a.kv["from"]); p != nil {
+	if p := s.sim.process(a.options["from"]); p != nil {
 		from = p.ip
 	}
-	for _, id := range strings.Split(a.at(0), ",") {
-		r := s.w.replicas[id]
+	for _, id := range strings.Split(a.word(0), ",") {
+		r := s.sim.replicas[id]
 		r.mu.Lock()
-		r.how = behaviour(a.at(1))
-		r.work = a.span("work", r.work)
-		r.only = a.kv["only"]
-		r.part = a.num("part", 100)
+		r.behaviour = behaviour(a.word(1))
+		r.workTime = a.duration("work", r.workTime)
+		r.slowPath = a.options["path"]
+		r.percent = a.number("percent", 100)
 		r.from = from
 		r.mu.Unlock()
 	}
 	return nil
 }
 
-// health r1 ill|well: what its health answer says, whatever it does
+// setHealth is the command "health r1 unhealthy|well": what its health answer says, whatever it does
 func setHealth(s *Script, a args) error {
-	r := s.w.replicas[a.at(0)]
+	r := s.sim.replicas[a.word(0)]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ill = a.at(1) == "ill"
+	r.unhealthy = a.word(1) == "unhealthy"
 	return nil
 }
 
-// cold m3 0: what the list says of how long it stays cold
-func setCold(s *Script, a args) error {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	s.w.replicas[a.at(0)].cold = float64(mustInt(a.at(1)))
+// setWarmup is the command "warmup m3 0": what the list says of how long it stays cold
+func setWarmup(s *Script, a args) error {
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	s.sim.replicas[a.word(0)].warmupLeftMs = float64(numberOf(a.word(1)))
 	return nil
 }
 
-// flap r1 gap=700ms for=5s: it goes down and up by turns
+// flap is the command "flap r1 gap=700ms for=5s": it goes down and up by turns
 func flap(s *Script, a args) error {
-	r := s.w.replicas[a.at(0)]
-	end := time.Now().Add(a.span("for", time.Second))
-	half := a.span("gap", time.Second) / 2
-	s.bg.Add(1)
+	r := s.sim.replicas[a.word(0)]
+	end := time.Now().Add(a.duration("for", time.Second))
+	half := a.duration("gap", time.Second) / 2
+	s.background.Add(1)
 	go func() {
-		defer s.bg.Done()
+		defer s.background.Done()
 		for time.Now().Before(end) {
 			r.Down()
 			time.Sleep(half)
@@ -101,32 +101,32 @@
 	return nil
 }
 
-// forgets r1 2s: it forgets connections idle longer, without a word; 0s ends that
-func forgetIdle(s *Script, a args) error {
-	d, err := time.ParseDuration(a.at(1))
+// dropIdleConnections is the command "drop_idle r1 2s": it forgets connections idle longer, silently; 0s ends that
+func dropIdleConnections(s *Script, a args) error {
+	d, err := time.ParseDuration(a.word(1))
 	if err != nil {
 		return err
 	}
-	s.w.Net.Forget(s.w.replicas[a.at(0)].ip, d)
+	s.sim.Network.DropIdle(s.sim.replicas[a.word(0)].ip, d)
 	return nil
 }
 
-// resets r1 each=2: every so manieth connection to it is reset
+// resetSome is the command "reset_some r1 every=2": every so manieth connection to it is reset
 func resetSome(s *Script, a args) error {
-	s.w.Net.Reset(s.w.replicas[a.at(0)].ip, a.num("each", 2))
+	s.sim.Network.Reset(s.sim.replicas[a.word(0)].ip, a.number("every", 2))
 	return nil
 }
 
-// blackout r1: its machine goes dark
-func blackOut(s *Script, a args) error {
-	s.w.Net.Kill(s.w.replicas[a.at(0)].ip, true)
+// powerOffReplica is the command "replica_power_off r1": its machine goes dark
+func powerOffReplica(s *Script, a args) error {
+	s.sim.Network.Kill(s.sim.replicas[a.word(0)].ip, true)
 	return nil
 }
 
-// platform down|empty|up
+// setPlatform is the command "platform down|empty|up".
 func setPlatform(s *Script, a args) error {
-	s.w.mu.Lock()
-	defer s.w.mu.Unlock()
-	s.w.platform.set(a.at(0))
+	s.sim.mu.Lock()
+	defer s.sim.mu.Unlock()
+	s.sim.platform.set(a.word(0))
 	return nil
 }
--- a/internal/simtest/configuration.go
+++ b/internal/simtest/configuration.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// setupOf is the configuration of the scenarios at a revision; extra routes and flaws are asked for by name.
-func setupOf(rev int, extra, flaw string) string {
+// configurationAt is the configuration of the scenarios at a revision; extra routes and flaws are asked for by name.
+func configurationAt(rev int, extra, flaw string) string {
 	pool, weight, timeout, second := "svc", "", "3000", ""
 	switch flaw {
 	case "unknown_service":
--- a/internal/simtest/conn.go
+++ b/internal/simtest/conn.go
@@ -11,82 +11,82 @@
 )
 
 type chunk struct {
-	at time.Time
-	b  []byte
+	arrivesAt time.Time
+	data      []byte
 }
 
 // conn is one end; what it reads lies in its own in.
 type conn struct {
-	n        *Net
-	from, to string
-	name     string
-	peer     *conn
-	in       []chunk
-	eof      bool
-	broken   bool
-	lostAt   time.Time
-	unacked  time.Time // the first write after that
-	lost     bool      // its host or its peer's lost power
-	shut     bool
-	last     time.Time // something went either way
-	rd, wd   time.Time
+	network                     *Network
+	from, to                    string
+	remote                      string
+	peer                        *conn
+	inbound                     []chunk
+	eof                         bool
+	isReset                     bool
+	lostAt                      time.Time
+	unackedSince                time.Time // the first write after that
+	peerLost                    bool      // its host or its peer's lost power
+	closed                      bool
+	lastActive                  time.Time // something went either way
+	readDeadline, writeDeadline time.Time
 }
 
-func (n *Net) pair(from, to, at string) (*conn, *conn) {
-	a, b := &conn{n: n, from: from, to: to, name: at}, &conn{n: n, from: to, to: from, name: from}
+func (n *Network) pair(from, to, at string) (*conn, *conn) {
+	a, b := &conn{network: n, from: from, to: to, remote: at}, &conn{network: n, from: to, to: from, remote: from}
 	a.peer, b.peer = b, a
 	n.mu.Lock()
-	n.all[a], n.all[b] = true, true
+	n.connections[a], n.connections[b] = true, true
 	n.mu.Unlock()
 	return a, b
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		c.n.mu.Lock()
-		c.n.awake(c.from)
+		c.network.mu.Lock()
+		c.network.waitAwakeLocked(c.from)
 		now := time.Now()
 		wait := time.Duration(-1)
 		switch {
-		case c.shut:
-			c.n.mu.Unlock()
+		case c.closed:
+			c.network.mu.Unlock()
 			return 0, net.ErrClosed
-		case c.broken:
-			c.n.mu.Unlock()
+		case c.isReset:
+			c.network.mu.Unlock()
 			return 0, syscall.ECONNRESET
-		case !c.rd.IsZero() && !now.Before(c.rd):
-			c.n.mu.Unlock()
+		case !c.readDeadline.IsZero() && !now.Before(c.readDeadline):
+			c.network.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
-		case c.lost && !now.Before(c.given()):
-			c.n.mu.Unlock()
+		case c.peerLost && !now.Before(c.timesOutAt()):
+			c.network.mu.Unlock()
 			return 0, syscall.ETIMEDOUT
-		case len(c.in) > 0 && !c.n.cuts[[2]string{c.to, c.from}]:
-			if x := &c.in[0]; !now.Before(x.at) {
-				k := copy(b, x.b)
-				if x.b = x.b[k:]; len(x.b) == 0 {
-					c.in = c.in[1:]
+		case len(c.inbound) > 0 && !c.network.cuts[[2]string{c.to, c.from}]:
+			if x := &c.inbound[0]; !now.Before(x.arrivesAt) {
+				k := copy(b, x.data)
+				if x.data = x.data[k:]; len(x.data) == 0 {
+					c.inbound = c.inbound[1:]
 				}
-				c.n.mu.Unlock()
+				c.network.mu.Unlock()
 				return k, nil
 			} else {
-				wait = x.at.Sub(now)
+				wait = x.arrivesAt.Sub(now)
 			}
-		case len(c.in) == 0 && c.eof:
-			c.n.mu.Unlock()
+		case len(c.inbound) == 0 && c.eof:
+			c.network.mu.Unlock()
 			return 0, io.EOF
 		}
-		if !c.rd.IsZero() {
-			if d := c.rd.Sub(now); wait < 0 || d < wait {
+		if !c.readDeadline.IsZero() {
+			if d := c.readDeadline.Sub(now); wait < 0 || d < wait {
 				wait = d
 			}
 		}
-		if c.lost {
-			if d := c.given().Sub(now); wait < 0 || d < wait {
+		if c.peerLost {
+			if d := c.timesOutAt().Sub(now); wait < 0 || d < wait {
 				wait = d
 			}
 		}
-		w := c.n.wake
-		c.n.mu.Unlock()
+		w := c.network.wakeup
+		c.network.mu.Unlock()
 		if wait < 0 {
 			<-w
 			continue
@@ -100,66 +100,66 @@
 	}
 }
 
-// given is when the kernel gives a lost connection up: by its probes, or sooner if bytes go unacknowledged.
-func (c *conn) given() time.Time {
+// timesOutAt is when the kernel gives a lost connection up: by its probes, or sooner if bytes go unacknowledged.
+func (c *conn) timesOutAt() time.Time {
 	end := c.lostAt.Add(upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval)
-	if u := c.unacked.Add(upstream.UnacknowledgedTimeout); !c.unacked.IsZero() && u.Before(end) {
+	if u := c.unackedSince.Add(upstream.UnacknowledgedTimeout); !c.unackedSince.IsZero() && u.Before(end) {
 		end = u
 	}
 	return end
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	c.n.awake(c.from)
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.network.waitAwakeLocked(c.from)
 	switch {
-	case c.shut:
+	case c.closed:
 		return 0, net.ErrClosed
-	case c.broken:
+	case c.isReset:
 		return 0, syscall.ECONNRESET
-	case c.lost:
-		if c.unacked.IsZero() {
-			c.unacked = time.Now()
-			c.n.changed()
+	case c.peerLost:
+		if c.unackedSince.IsZero() {
+			c.unackedSince = time.Now()
+			c.network.wakeAll()
 		}
 		return len(b), nil
-	case c.peer.shut:
-		c.broken = true
+	case c.peer.closed:
+		c.isReset = true
 		return 0, syscall.EPIPE
 	}
 	now := time.Now()
-	if d := c.n.keeps[c.to]; d > 0 && !c.last.IsZero() && now.Sub(c.last) > d {
-		c.broken, c.peer.broken = true, true
-		c.n.changed()
+	if d := c.network.idleLimits[c.to]; d > 0 && !c.lastActive.IsZero() && now.Sub(c.lastActive) > d {
+		c.isReset, c.peer.isReset = true, true
+		c.network.wakeAll()
 		return len(b), nil
 	}
-	c.last, c.peer.last = now, now
-	c.peer.in = append(c.peer.in, chunk{time.Now().Add(c.n.delay), append([]byte{}, b...)})
-	c.n.changed()
+	c.lastActive, c.peer.lastActive = now, now
+	c.peer.inbound = append(c.peer.inbound, chunk{time.Now().Add(c.network.delay), append([]byte{}, b...)})
+	c.network.wakeAll()
 	return len(b), nil
 }
 
 func (c *conn) Close() error {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
-	if c.shut {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	if c.closed {
 		return nil
 	}
-	c.shut = true
-	delete(c.n.all, c)
-	if !c.lost {
-		if len(c.in) > 0 {
-			c.peer.broken = true
+	c.closed = true
+	delete(c.network.connections, c)
+	if !c.peerLost {
+		if len(c.inbound) > 0 {
+			c.peer.isReset = true
 		}
 		c.peer.eof = true
 	}
-	c.n.changed()
+	c.network.wakeAll()
 	return nil
 }
 
 func (c *conn) LocalAddr() net.Addr  { return addr(c.from + ":0") }
-func (c *conn) RemoteAddr() net.Addr { return addr(c.name) }
+func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
 
 func (c *conn) SetDeadline(t time.Time) error {
 	_ = c.SetWriteDeadline(t)
@@ -167,16 +167,16 @@
 }
 
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.n.mu.Lock()
-	c.rd = t
-	c.n.changed()
-	c.n.mu.Unlock()
+	c.network.mu.Lock()
+	c.readDeadline = t
+	c.network.wakeAll()
+	c.network.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.n.mu.Lock()
-	c.wd = t
-	c.n.mu.Unlock()
+	c.network.mu.Lock()
+	c.writeDeadline = t
+	c.network.mu.Unlock()
 	return nil
 }
--- a/internal/simtest/counts.go
+++ b/internal/simtest/counts.go
@@ -4,24 +4,24 @@
 
 // counts is what the judge adds up over a scenario.
 type counts struct {
-	kinds    map[string]*kindCount    // by route
+	routes   map[string]*routeCount   // by route
 	subjects map[string]*subjectCount // by route and subject
 }
 
 func newCounts() counts {
-	return counts{kinds: map[string]*kindCount{}, subjects: map[string]*subjectCount{}}
+	return counts{routes: map[string]*routeCount{}, subjects: map[string]*subjectCount{}}
 }
 
-// kindCount is how often one route's requests came and were served.
-type kindCount struct {
-	route               *route
-	asked, served       int
-	calmAsked, calmGood int // of those in a calm time, when the route was in force everywhere
+// routeCount is how often one route's requests came and were served.
+type routeCount struct {
+	route                 *route
+	asked, served         int
+	calmAsked, calmServed int // of those in a calm time, when the route was in force everywhere
 }
 
-func (k *kindCount) share() float64 { return share(k.served, k.asked) }
+func (k *routeCount) share() float64 { return share(k.served, k.asked) }
 
-func (k *kindCount) calmShare() float64 { return share(k.calmGood, k.calmAsked) }
+func (k *routeCount) calmShare() float64 { return share(k.calmServed, k.calmAsked) }
 
 func share(part, all int) float64 {
 	if all == 0 {
@@ -36,40 +36,40 @@
 	first, last   time.Time
 }
 
-// add counts one exchange; the caller holds the world.
-func (w *World) add(x *exchange) {
+// countExchange counts one exchange; the caller holds the simulation's lock.
+func (sim *Simulation) countExchange(x *exchange) {
 	if x.route == nil {
 		return
 	}
-	k := w.counts.kinds[x.route.Name]
+	k := sim.counts.routes[x.route.Name]
 	if k == nil {
-		k = &kindCount{}
-		w.counts.kinds[x.route.Name] = k
+		k = &routeCount{}
+		sim.counts.routes[x.route.Name] = k
 	}
 	k.route = x.route
 	k.asked++
-	calm := w.calmSince(x.sentAt) && x.sentAt.Sub(x.route.since) > configApply
+	calm := sim.isCalmSince(x.sentAt) && x.sentAt.Sub(x.route.since) > configApply
 	if calm {
 		k.calmAsked++
 	}
 	if x.served() {
 		k.served++
 		if calm {
-			k.calmGood++
+			k.calmServed++
 		}
 	}
-	w.addSubject(x)
+	sim.countSubject(x)
 }
 
-func (w *World) addSubject(x *exchange) {
+func (sim *Simulation) countSubject(x *exchange) {
 	if x.subject == "" {
 		return
 	}
 	key := x.route.Name + " " + x.subject
-	s := w.counts.subjects[key]
+	s := sim.counts.subjects[key]
 	if s == nil {
 		s = &subjectCount{first: x.sentAt}
-		w.counts.subjects[key] = s
+		sim.counts.subjects[key] = s
 	}
 	s.asked++
 	s.last = x.sentAt
--- a/internal/simtest/disk.go
+++ b/internal/simtest/disk.go
@@ -11,20 +11,20 @@
 
 // Disk is a replication.Store in memory, with faults. What a method returned for is synced; a power loss takes nothing else away.
 type Disk struct {
-	mu       sync.Mutex
-	id       uint64
-	boot     bool
-	seeds    []string // of the first start
-	register core.Register
-	snapshot *core.Snapshot
-	entries  []core.Entry // after the snapshot
-	full     bool
-	slow     time.Duration
-	stuck    chan struct{}
+	mu        sync.Mutex
+	id        uint64
+	bootstrap bool
+	seeds     []string // of the first start
+	register  core.Register
+	snapshot  *core.Snapshot
+	entries   []core.Entry // after the snapshot
+	full      bool
+	delay     time.Duration
+	stalled   chan struct{}
 }
 
 // NewDisk makes an empty disk with a new identity.
-func NewDisk(id uint64, boot bool) *Disk { return &Disk{id: id, boot: boot} }
+func NewDisk(id uint64, boot bool) *Disk { return &Disk{id: id, bootstrap: boot} }
 
 // BootstrapSeeds is replication.Store's.
 func (d *Disk) BootstrapSeeds() []string { return d.seeds }
@@ -33,22 +33,22 @@
 func (d *Disk) Fault(how string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stuck != nil {
-		close(d.stuck)
-		d.stuck = nil
+	if d.stalled != nil {
+		close(d.stalled)
+		d.stalled = nil
 	}
-	d.full, d.slow = how == "full", 0
+	d.full, d.delay = how == "full", 0
 	switch how {
 	case "stall":
-		d.stuck = make(chan struct{})
+		d.stalled = make(chan struct{})
 	case "slow":
-		d.slow = 150 * time.Millisecond
+		d.delay = 150 * time.Millisecond
 	}
 }
 
 func (d *Disk) write() error {
 	d.mu.Lock()
-	full, slow, stuck := d.full, d.slow, d.stuck
+	full, slow, stuck := d.full, d.delay, d.stalled
 	d.mu.Unlock()
 	if stuck != nil {
 		<-stuck
@@ -61,7 +61,7 @@
 }
 
 // Identity is replication.Store's.
-func (d *Disk) Identity() (uint64, bool) { return d.id, d.boot }
+func (d *Disk) Identity() (uint64, bool) { return d.id, d.bootstrap }
 
 // Load is replication.Store's.
 func (d *Disk) Load() core.Stored {
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// operators are several operators that change the configuration at once, repeat what got no clear answer, repeat
+// operatorSet are several operators that change the configuration at once, repeat what got no clear answer, repeat
 // at times what did get one, and judge all clear answers as those of one register.
-type operators struct {
-	world *World
+type operatorSet struct {
+	sim   *Simulation
 	nodes []string
 	until time.Time
 	pause time.Duration // the longest between two calls of one operator
 
-	mu       sync.Mutex
-	newest   int               // the newest version that a clear answer spoke of
-	taken    map[int]sentOrder // by the version built on: the change that was acknowledged
-	acked    map[sentOrder]bool
-	refused  map[sentOrder]bool
-	content  map[int]string       // by version: what was read
-	orders   map[string]sentOrder // by the mark in the body's route
-	marks    int                  // marks given out
-	calls    map[int]int          // answers by status
-	evacs    []evacuationOutcome  // of the evacuations that were sent
-	zoneDown string               // "yes", "no", or "" if unknown: whether the zone is evacuated
+	mu                 sync.Mutex
+	newest             int               // the newest version that a clear answer spoke of
+	accepted           map[int]sentOrder // by the version built on: the change that was acknowledged
+	acknowledged       map[sentOrder]bool
+	rejected           map[sentOrder]bool
+	content            map[int]string       // by version: what was read
+	orders             map[string]sentOrder // by the mark in the body's route
+	marks              int                  // marks given out
+	calls              map[int]int          // answers by status
+	evacuationOutcomes []evacuationOutcome  // of the evacuations that were sent
+	zoneEvacuated      string               // "yes", "no", or "" if unknown: whether the zone is evacuated
 }
 
 // sentOrder is one change: how it is sent, the version that it builds on and its body.
@@ -39,30 +39,30 @@
 }
 
 type evacuationOutcome struct {
-	acked bool
-	took  time.Duration
+	acknowledged bool
+	took         time.Duration
 }
 
 // operatorZone is the zone that is evacuated again and again.
 const operatorZone = "c"
 
-func newOperators(w *World, nodes []string, from int) *operators {
-	return &operators{
-		world:    w,
-		nodes:    nodes,
-		newest:   from,
-		taken:    map[int]sentOrder{},
-		acked:    map[sentOrder]bool{},
-		refused:  map[sentOrder]bool{},
-		content:  map[int]string{},
-		orders:   map[string]sentOrder{},
-		calls:    map[int]int{},
-		zoneDown: "no",
+func newOperatorSet(sim *Simulation, nodes []string, from int) *operatorSet {
+	return &operatorSet{
+		sim:           sim,
+		nodes:         nodes,
+		newest:        from,
+		accepted:      map[int]sentOrder{},
+		acknowledged:  map[sentOrder]bool{},
+		rejected:      map[sentOrder]bool{},
+		content:       map[int]string{},
+		orders:        map[string]sentOrder{},
+		calls:         map[int]int{},
+		zoneEvacuated: "no",
 	}
 }
 
 // run lets n operators work until their time is over.
-func (o *operators) run(n int, seed uint64) {
+func (o *operatorSet) run(n int, seed uint64) {
 	var all sync.WaitGroup
 	for i := range n {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
@@ -87,20 +87,20 @@
 	all.Wait()
 }
 
-func (o *operators) floor() int {
+func (o *operatorSet) newestKnown() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.newest
 }
 
 // read reads the configuration at one node and judges what comes.
-func (o *operators) read(node string) bool {
-	floor := o.floor()
-	status, body := o.world.Order(node, "GET", "/v1/config", "", "")
+func (o *operatorSet) read(node string) bool {
+	floor := o.newestKnown()
+	status, body := o.sim.Send(node, "GET", "/v1/config", "", "")
 	o.count(status)
 	if status != 200 {
 		if status == 404 {
-			o.world.Broke(RuleConfig, "%s says that there is none, version %d is known", node, floor)
+			o.sim.AddViolation(RuleConfig, "%s says that there is none, version %d is known", node, floor)
 		}
 		return false
 	}
@@ -121,13 +121,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if got.Revision < floor {
-		o.world.Broke(RuleConfig, "%s read version %d after %d was known", node, got.Revision, floor)
+		o.sim.AddViolation(RuleConfig, "%s read version %d after %d was known", node, got.Revision, floor)
 	}
 	if was, known := o.content[got.Revision]; known && was != mark {
-		o.world.Broke(RuleConfig, "version %d was read as %q and as %q", got.Revision, was, mark)
+		o.sim.AddViolation(RuleConfig, "version %d was read as %q and as %q", got.Revision, was, mark)
 	}
-	if o.refused[o.orders[mark]] {
-		o.world.Broke(RuleConfig, "version %d is in force, which was refused", got.Revision)
+	if o.rejected[o.orders[mark]] {
+		o.sim.AddViolation(RuleConfig, "version %d is in force, which was rejected", got.Revision)
 	}
 	o.content[got.Revision] = mark
 	o.newest = max(o.newest, got.Revision)
@@ -135,7 +135,7 @@
 }
 
 // change sends one change until it has a clear answer, and at times once more after that.
-func (o *operators) change(r *rand.Rand) {
+func (o *operatorSet) change(r *rand.Rand) {
 	o.mu.Lock()
 	order := o.compose(r)
 	o.mu.Unlock()
@@ -158,24 +158,24 @@
 	}
 }
 
-// send sends a change once. A refusal names the version that is current: it must be none that is known to be past.
-func (o *operators) send(node string, order sentOrder) int {
-	floor := o.floor()
-	status, text := o.world.Order(node, order.method, "/v1/config", fmt.Sprint(order.base), order.body)
+// send sends a change once. A rejection names the version that is current: it must be none that is known to be past.
+func (o *operatorSet) send(node string, order sentOrder) int {
+	floor := o.newestKnown()
+	status, text := o.sim.Send(node, order.method, "/v1/config", fmt.Sprint(order.base), order.body)
 	o.count(status)
 	var current int
 	if at := strings.Index(text, "version "); status == 412 && at >= 0 {
 		_, _ = fmt.Sscanf(text[at:], "version %d is current", &current)
 		if current < floor {
-			o.world.Broke(RuleConfig, "%s refused a change because version %d is current, %d was known", node, current, floor)
+			o.sim.AddViolation(RuleConfig, "%s rejected a change because version %d is current, %d was known", node, current, floor)
 		}
 	}
 	return status
 }
 
-// press reads at one node many times a second, and sends it changes that must be refused, without waiting for
+// press reads at one node many times a second, and sends it changes that must be rejected, without waiting for
 // the answers. It writes nothing: a primary that can't write notices sooner that it is cut off.
-func (o *operators) press(node string, d time.Duration) {
+func (o *operatorSet) press(node string, d time.Duration) {
 	var all sync.WaitGroup
 	for i, end := 0, time.Now().Add(d); time.Now().Before(end); i++ {
 		all.Add(1)
@@ -198,7 +198,7 @@
 
 // compose makes a change on the newest version known, at times on one that is old, with the same content as
 // another's, or with the same number as another's. The caller holds the lock.
-func (o *operators) compose(r *rand.Rand) sentOrder {
+func (o *operatorSet) compose(r *rand.Rand) sentOrder {
 	base := o.newest
 	if r.IntN(8) == 0 {
 		base = max(1, base-1-r.IntN(3))
@@ -220,7 +220,7 @@
 	return order
 }
 
-func (o *operators) newMark() string {
+func (o *operatorSet) newMark() string {
 	o.marks++
 	return fmt.Sprint("m", o.marks)
 }
@@ -228,60 +228,60 @@
 func orderOf(method string, base, revision int, mark string) sentOrder {
 	route := fmt.Sprintf(markedRoute, mark)
 	if method == "PUT" {
-		whole := strings.Replace(setupOf(revision, "", ""), `"route_table":[`, `"route_table":[`+route+",", 1)
+		whole := strings.Replace(configurationAt(revision, "", ""), `"route_table":[`, `"route_table":[`+route+",", 1)
 		return sentOrder{method, base, whole}
 	}
 	return sentOrder{method, base, fmt.Sprintf(`{"revision":%d,"upsert":{"route_table":[%s]}}`, revision, route)}
 }
 
-// judge holds an answer to a change against all others; it tells whether it was clear.
-func (o *operators) judge(order sentOrder, status int) bool {
+// judge holds an answer to a change against all others; it reports whether it was clear.
+func (o *operatorSet) judge(order sentOrder, status int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch status {
 	case 200:
-		o.judgeTaken(order)
+		o.judgeAccepted(order)
 		return true
 	case 400, 412:
-		if o.acked[order] {
-			o.world.Broke(RuleConfig, "a change on %d was acknowledged, sent again and answered %d", order.base, status)
+		if o.acknowledged[order] {
+			o.sim.AddViolation(RuleConfig, "a change on %d was acknowledged, sent again and answered %d", order.base, status)
 		}
-		o.refused[order] = true
+		o.rejected[order] = true
 		return true
 	case 0, 307, 503, 502, 504:
 		return false
 	}
-	o.world.Broke(RuleConfig, "a change on %d was answered %d", order.base, status)
+	o.sim.AddViolation(RuleConfig, "a change on %d was answered %d", order.base, status)
 	return true
 }
 
-func (o *operators) judgeTaken(order sentOrder) {
-	if other, known := o.taken[order.base]; known && other != order {
-		o.world.Broke(RuleConfig, "two changes on %d were acknowledged", order.base)
+func (o *operatorSet) judgeAccepted(order sentOrder) {
+	if other, known := o.accepted[order.base]; known && other != order {
+		o.sim.AddViolation(RuleConfig, "two changes on %d were acknowledged", order.base)
 	}
-	if o.refused[order] {
-		o.world.Broke(RuleConfig, "a change on %d was refused and acknowledged", order.base)
+	if o.rejected[order] {
+		o.sim.AddViolation(RuleConfig, "a change on %d was rejected and acknowledged", order.base)
 	}
-	o.taken[order.base] = order
-	o.acked[order] = true
-	o.newest = max(o.newest, order.makes())
+	o.accepted[order.base] = order
+	o.acknowledged[order] = true
+	o.newest = max(o.newest, order.revision())
 }
 
-// makes is the version that the change leads to.
-func (order sentOrder) makes() int {
+// revision is the version that the change leads to.
+func (order sentOrder) revision() int {
 	var read struct{ Revision int }
 	_ = json.Unmarshal([]byte(order.body), &read)
 	return read.Revision
 }
 
-func (o *operators) count(status int) {
+func (o *operatorSet) count(status int) {
 	o.mu.Lock()
 	o.calls[status]++
 	o.mu.Unlock()
 }
 
 // evacuations orders one zone evacuated and taken back by turns.
-func (o *operators) evacuations(r *rand.Rand) {
+func (o *operatorSet) evacuations(r *rand.Rand) {
 	path := "/v1/evacuation/" + operatorZone
 	for time.Now().Before(o.until) {
 		o.evacuationOrder(r, "POST", path, "yes")
@@ -291,32 +291,32 @@
 	}
 }
 
-func (o *operators) evacuationOrder(r *rand.Rand, method, path, becomes string) {
+func (o *operatorSet) evacuationOrder(r *rand.Rand, method, path, becomes string) {
 	start := time.Now()
 	end := start.Add(4 * time.Second)
 	pause := 50 * time.Millisecond
 	acked := false
 	for !acked && time.Now().Before(end) {
-		status, _ := o.world.Order(o.nodes[r.IntN(len(o.nodes))], method, path, "", "")
+		status, _ := o.sim.Send(o.nodes[r.IntN(len(o.nodes))], method, path, "", "")
 		o.count(status)
 		acked = status == 200
 		if status >= 400 && status < 500 {
-			o.world.Broke(RuleEvacuation, "%s was answered %d", method, status)
+			o.sim.AddViolation(RuleEvacuation, "%s was answered %d", method, status)
 		}
 		time.Sleep(pause)
 		pause = min(2*pause, 400*time.Millisecond)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.evacs = append(o.evacs, evacuationOutcome{acked, time.Since(start)})
-	o.zoneDown = ""
+	o.evacuationOutcomes = append(o.evacuationOutcomes, evacuationOutcome{acked, time.Since(start)})
+	o.zoneEvacuated = ""
 	if acked {
-		o.zoneDown = becomes
+		o.zoneEvacuated = becomes
 	}
 }
 
-// settle judges the end: all nodes that answer read the same, nothing that was refused wrongly, and the routers go by it.
-func (o *operators) settle() error {
+// judgeEnd judges the end: all nodes that answer read the same, nothing was rejected wrongly, and the routers go by it.
+func (o *operatorSet) judgeEnd() error {
 	deadline := time.Now().Add(5 * time.Second)
 	for {
 		some := false
@@ -333,32 +333,32 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for order := range o.refused {
+	for order := range o.rejected {
 		if order.base == o.newest {
-			return fmt.Errorf("a change on version %d was refused, and that is the newest", order.base)
+			return fmt.Errorf("a change on version %d was rejected, and that is the newest", order.base)
 		}
 	}
-	for base, order := range o.taken {
-		if order.makes() > o.newest || base >= o.newest {
-			return fmt.Errorf("version %d was acknowledged, %d is the newest", order.makes(), o.newest)
+	for base, order := range o.accepted {
+		if order.revision() > o.newest || base >= o.newest {
+			return fmt.Errorf("version %d was acknowledged, %d is the newest", order.revision(), o.newest)
 		}
 	}
 	return o.followersAgree()
 }
 
 // followersAgree waits until all living routers have the newest version and the zone as it was ordered last.
-func (o *operators) followersAgree() error {
+func (o *operatorSet) followersAgree() error {
 	deadline := time.Now().Add(3 * time.Second)
 	for {
 		wrong := ""
-		for name, p := range o.world.procs {
-			if p.gate == nil || p.life == nil || p.life.dead.Load() {
+		for name, p := range o.sim.processes {
+			if p.router == nil || p.incarnation == nil || p.incarnation.dead.Load() {
 				continue
 			}
-			revision, evacuated := p.gate.InForce()
+			revision, evacuated := p.router.InForce()
 			down := fmt.Sprint(map[bool]string{true: "yes", false: "no"}[evacuated[operatorZone]])
-			if int(revision) != o.newest || o.zoneDown != "" && down != o.zoneDown {
-				wrong = fmt.Sprintf("%s holds version %d, zone evacuated: %s; ordered %d, %s", name, revision, down, o.newest, o.zoneDown)
+			if int(revision) != o.newest || o.zoneEvacuated != "" && down != o.zoneEvacuated {
+				wrong = fmt.Sprintf("%s holds version %d, zone evacuated: %s; ordered %d, %s", name, revision, down, o.newest, o.zoneEvacuated)
 			}
 		}
 		if wrong == "" {
@@ -372,7 +372,7 @@
 }
 
 // report says what happened, for the log.
-func (o *operators) report() string {
+func (o *operatorSet) report() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var statuses []int
@@ -380,16 +380,16 @@
 		statuses = append(statuses, status)
 	}
 	sort.Ints(statuses)
-	text := fmt.Sprintf("%d changes taken, %d refused; answers", len(o.taken), len(o.refused))
+	text := fmt.Sprintf("%d changes accepted, %d rejected; answers", len(o.accepted), len(o.rejected))
 	for _, status := range statuses {
 		text += fmt.Sprintf(" %d: %d", status, o.calls[status])
 	}
 	lost, worst := 0, time.Duration(0)
-	for _, e := range o.evacs {
-		if !e.acked {
+	for _, e := range o.evacuationOutcomes {
+		if !e.acknowledged {
 			lost++
 		}
 		worst = max(worst, e.took)
 	}
-	return text + fmt.Sprintf("; evacuation orders %d, unacknowledged %d, slowest %v", len(o.evacs), lost, worst)
+	return text + fmt.Sprintf("; evacuation orders %d, unacknowledged %d, slowest %v", len(o.evacuationOutcomes), lost, worst)
 }
--- a/internal/simtest/planned.go
+++ b/internal/simtest/planned.go
@@ -4,7 +4,7 @@
 
 // Bounds of planned work, as in the simulated settings.
 const (
-	grace       = 8 * time.Second
+	gracePeriod = 8 * time.Second
 	configApply = 3 * time.Second
 	lossSlack   = time.Second
 )
@@ -21,17 +21,17 @@
 	return planned{leaving: map[string]time.Time{}, reloaded: map[string]time.Time{}}
 }
 
-// around tells whether an exchange that ended without an answer did so beside planned work on its machine.
-func (p *planned) around(x *exchange) bool {
-	if at, ok := p.leaving[x.router]; ok && !x.endedAt.Before(at) && x.endedAt.Before(at.Add(grace+time.Second)) {
+// isNear reports whether an exchange that ended without an answer did so beside planned work on its machine.
+func (p *planned) isNear(x *exchange) bool {
+	if at, ok := p.leaving[x.router]; ok && !x.endedAt.Before(at) && x.endedAt.Before(at.Add(gracePeriod+time.Second)) {
 		return true
 	}
 	at, ok := p.reloaded[x.router]
 	return ok && x.sentAt.Before(at.Add(configApply)) && x.endedAt.After(at)
 }
 
-// excused tells whether its replica was still at work in the second half of the grace.
-func (p *planned) excused(x *exchange) bool {
+// isWithinGrace reports whether its replica was still at work in the second half of the grace.
+func (p *planned) isWithinGrace(x *exchange) bool {
 	at, ok := p.leaving[x.router]
-	return ok && x.offered && x.endedAt.After(at.Add(grace/2))
+	return ok && x.offered && x.endedAt.After(at.Add(gracePeriod/2))
 }
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -9,6 +9,8 @@
 	"net"
 	"net/http"
 	"sort"
+	"strconv"
+	"strings"
 	"sync/atomic"
 	"time"
 
@@ -19,72 +21,85 @@
 	"shaletrestle/internal/settings"
 )
 
-// life fences what a killed process still tries to do.
-type life struct {
+// incarnation fences what a killed process still tries to do.
+type incarnation struct {
 	*Host
 	*Disk
 	dead atomic.Bool
 }
 
-var errDead = errors.New("this life is over")
+var errEnded = errors.New("the process has ended")
 
-func (l *life) Dial(at string, d time.Duration) (net.Conn, error) {
+func (l *incarnation) Dial(at string, d time.Duration) (net.Conn, error) {
 	if l.dead.Load() {
-		return nil, errDead
+		return nil, errEnded
 	}
 	return l.Host.Dial(at, d)
 }
 
-func (l *life) DialReplica(at string, d time.Duration) (net.Conn, error) { return l.Dial(at, d) }
+func (l *incarnation) DialReplica(at string, d time.Duration) (net.Conn, error) { return l.Dial(at, d) }
 
-func (l *life) Listen(at string) (net.Listener, error) {
+func (l *incarnation) Listen(at string) (net.Listener, error) {
 	if l.dead.Load() {
-		return nil, errDead
+		return nil, errEnded
 	}
 	return l.Host.Listen(at)
 }
 
-func (l *life) alive(f func() error) error {
-	l.n.waitAwake(l.ip)
+func (l *incarnation) ifAlive(f func() error) error {
+	l.network.waitAwake(l.ip)
 	if l.dead.Load() {
-		return errDead
+		return errEnded
 	}
 	return f()
 }
 
-func (l *life) SaveRegister(r core.Register) error {
-	return l.alive(func() error { return l.Disk.SaveRegister(r) })
+func (l *incarnation) SaveRegister(r core.Register) error {
+	return l.ifAlive(func() error { return l.Disk.SaveRegister(r) })
 }
 
-func (l *life) SaveSnapshot(s core.Snapshot, tail []core.Entry) error {
-	return l.alive(func() error { return l.Disk.SaveSnapshot(s, tail) })
+func (l *incarnation) SaveSnapshot(s core.Snapshot, tail []core.Entry) error {
+	return l.ifAlive(func() error { return l.Disk.SaveSnapshot(s, tail) })
 }
 
-func (l *life) Append(e core.Entry) error {
-	return l.alive(func() error { return l.Disk.Append(e) })
+func (l *incarnation) Append(e core.Entry) error {
+	return l.ifAlive(func() error { return l.Disk.Append(e) })
 }
 
-// Proc is one of our processes.
-type Proc struct {
-	Name   string
-	ip     string
-	zone   string
-	disk   *Disk
-	relay  bool // it has no disk
-	life   *life
-	ctx    context.Context
-	cancel context.CancelFunc
-	log    *slog.Logger
-	house  *controller.Controller
-	gate   *router.Router
-	slow   atomic.Int64 // so many times slower is its machine; none are 0 or 1
-	first  bool
+// Names of processes, by which a scenario calls them.
+const (
+	controllerPrefix = "controller-"
+	routerPrefix     = "router-"
+)
+
+func controllerName(number int) string { return controllerPrefix + strconv.Itoa(number) }
+
+func routerName(number int) string { return routerPrefix + strconv.Itoa(number) }
+
+// isController tells a controller's name from a router's.
+func isController(process string) bool { return strings.HasPrefix(process, controllerPrefix) }
+
+// Process is one of our processes.
+type Process struct {
+	Name        string
+	ip          string
+	zone        string
+	disk        *Disk
+	relay       bool // it has no disk
+	incarnation *incarnation
+	ctx         context.Context
+	cancel      context.CancelFunc
+	log         *slog.Logger
+	controller  *controller.Controller
+	router      *router.Router
+	slowdown    atomic.Int64 // so many times slower is its machine; none are 0 or 1
+	firstStart  bool
 
 	startedAt time.Time
 }
 
-// running tells whether a process was started and not killed since.
-func (p *Proc) running() bool { return p.life != nil && !p.life.dead.Load() }
+// isRunning reports whether a process was started and not killed since.
+func (p *Process) isRunning() bool { return p.incarnation != nil && !p.incarnation.dead.Load() }
 
 // Bounds and settings of every simulated process.
 const settingsTemplate = `
@@ -104,36 +119,36 @@
 cloud_api: {address: "10.9.0.1:90", rate_per_s: 40, max_lag_ms: 100}
 `
 
-// Seeds sets the controllers that everybody is told of.
-func (w *World) Seeds(names ...string) {
-	w.seeds = nil
+// Seeds sets the seed nodes of processes that start from now on.
+func (sim *Simulation) Seeds(names ...string) {
+	sim.seeds = nil
 	for _, n := range names {
-		w.seeds = append(w.seeds, w.process(n).ip+":82")
+		sim.seeds = append(sim.seeds, sim.process(n).ip+":82")
 	}
 }
 
 // Add puts up a machine for one process, without starting it.
-func (w *World) Add(name, ip, zone string) *Proc {
-	p := &Proc{Name: name, ip: ip, zone: zone, first: true}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.procs[name] = p
+func (sim *Simulation) Add(name, ip, zone string) *Process {
+	p := &Process{Name: name, ip: ip, zone: zone, firstStart: true}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.processes[name] = p
 	return p
 }
 
 // process gives the process of a name, nil if there is none.
-func (w *World) process(name string) *Proc {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.procs[name]
+func (sim *Simulation) process(name string) *Process {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.processes[name]
 }
 
-// living names the running processes, in order.
-func (w *World) living() (names []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, p := range w.procs {
-		if p.running() {
+// running names the running processes, in order.
+func (sim *Simulation) running() (names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for name, p := range sim.processes {
+		if p.isRunning() {
 			names = append(names, name)
 		}
 	}
@@ -142,10 +157,10 @@
 }
 
 // settingsOf makes the settings of a process, with the seeds of the moment.
-func (w *World) settingsOf(p *Proc, bootstrap bool) (*settings.Settings, error) {
-	seeds, _ := json.Marshal(w.seeds)
+func (sim *Simulation) settingsOf(p *Process, bootstrap bool) (*settings.Settings, error) {
+	seeds, _ := json.Marshal(sim.seeds)
 	regions := map[string]string{}
-	for _, z := range w.zones {
+	for _, z := range sim.zones {
 		regions[z] = "r"
 		if z == "d" { // the one zone of another region
 			regions[z] = "s"
@@ -156,97 +171,97 @@
 	if p.relay {
 		disk = "quorum_member: false"
 	}
-	text := fmt.Sprintf(settingsTemplate, p.Name, p.ip, p.zone, seeds, bootstrap, zones, disk, w.losses) + w.more
+	text := fmt.Sprintf(settingsTemplate, p.Name, p.ip, p.zone, seeds, bootstrap, zones, disk, sim.losses) + sim.extraSettings
 	return settings.Parse([]byte(text), settings.Need{Front: !isController(p.Name), Control: isController(p.Name)})
 }
 
 // Start starts a process; a controller's name begins with h, a router's with g.
-func (w *World) Start(name string) error {
-	p := w.process(name)
-	bootstrap := p.first
-	p.first = false
-	env, err := w.settingsOf(p, bootstrap)
+func (sim *Simulation) Start(name string) error {
+	p := sim.process(name)
+	bootstrap := p.firstStart
+	p.firstStart = false
+	env, err := sim.settingsOf(p, bootstrap)
 	if err != nil {
 		return err
 	}
-	w.Net.Host(p.ip)
-	w.Net.On(p.ip)
+	sim.Network.Host(p.ip)
+	sim.Network.PowerOn(p.ip)
 	if p.disk == nil {
-		w.ids++
-		p.disk = NewDisk(w.ids*1000003, bootstrap)
+		sim.disksMade++
+		p.disk = NewDisk(sim.disksMade*1000003, bootstrap)
 		if bootstrap {
 			p.disk.seeds = env.SeedMembers()
 		}
 	}
-	w.mu.Lock()
+	sim.mu.Lock()
 	if !bootstrap {
-		w.trouble(name)
+		sim.addFaultLocked(name)
 	}
-	delete(w.planned.leaving, name)
+	delete(sim.planned.leaving, name)
 	p.startedAt = time.Now()
-	p.life = &life{Host: w.Net.Host(p.ip), Disk: p.disk}
-	w.mu.Unlock()
+	p.incarnation = &incarnation{Host: sim.Network.Host(p.ip), Disk: p.disk}
+	sim.mu.Unlock()
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	p.log = w.Log.With("node", name)
+	p.log = sim.Log.With("node", name)
 	if isController(name) {
-		return w.startController(p, env)
+		return sim.startController(p, env)
 	}
-	gate := router.New(p.ctx, p.log, router.Options{Settings: env, Net: p.life, Dialer: p.life, SlownessProbe: p.work})
-	w.mu.Lock()
-	p.gate = gate
-	w.mu.Unlock()
+	gate := router.New(p.ctx, p.log, router.Options{Settings: env, Net: p.incarnation, Dialer: p.incarnation, SlownessProbe: p.workTime})
+	sim.mu.Lock()
+	p.router = gate
+	sim.mu.Unlock()
 	go func() { _ = gate.Run() }()
 	return nil
 }
 
-func (w *World) startController(p *Proc, env *settings.Settings) error {
-	var store replication.Store = p.life
+func (sim *Simulation) startController(p *Process, env *settings.Settings) error {
+	var store replication.Store = p.incarnation
 	if p.relay {
 		store = replication.NewNoDisk()
 	}
-	house, err := controller.New(p.ctx, p.log, controller.Options{Settings: env, Net: p.life, Store: store})
+	house, err := controller.New(p.ctx, p.log, controller.Options{Settings: env, Net: p.incarnation, Store: store})
 	if err != nil {
 		return err
 	}
-	p.house = house
+	p.controller = house
 	go func() { _ = house.Run() }()
 	return nil
 }
 
 // Reload gives a process new settings with the seeds of the moment, as a SIGHUP does.
-func (w *World) Reload(name string) error {
-	p := w.process(name)
-	env, err := w.settingsOf(p, false)
+func (sim *Simulation) Reload(name string) error {
+	p := sim.process(name)
+	env, err := sim.settingsOf(p, false)
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	w.planned.reloaded[name] = time.Now()
-	w.mu.Unlock()
-	if p.gate != nil {
-		p.gate.Reload(env)
+	sim.mu.Lock()
+	sim.planned.reloaded[name] = time.Now()
+	sim.mu.Unlock()
+	if p.router != nil {
+		p.router.Reload(env)
 	} else {
-		p.house.Reload(env)
+		p.controller.Reload(env)
 	}
 	return nil
 }
 
 // Freeze stops a process in the middle of whatever it does, or lets it go on.
-func (w *World) Freeze(name string, on bool) {
-	w.setOngoing(frozen, name, on)
-	w.Net.Freeze(w.process(name).ip, on)
+func (sim *Simulation) Freeze(name string, on bool) {
+	sim.setLasting(faultFreeze, name, on)
+	sim.Network.Freeze(sim.process(name).ip, on)
 }
 
-// work is the time that a router's piece of work takes.
-func (p *Proc) work() time.Duration {
-	return 10 * time.Microsecond * time.Duration(max(1, p.slow.Load()))
+// workTime is the time that a router's piece of work takes.
+func (p *Process) workTime() time.Duration {
+	return 10 * time.Microsecond * time.Duration(max(1, p.slowdown.Load()))
 }
 
 // Ready asks a router as the platform does.
-func (w *World) Ready(name string) bool {
-	c := w.client("10.9.0.2")
+func (sim *Simulation) Ready(name string) bool {
+	c := sim.client("10.9.0.2")
 	c.Timeout = time.Second
-	a, err := c.Get("http://" + w.process(name).ip + ":81/v1/readiness")
+	a, err := c.Get("http://" + sim.process(name).ip + ":81/v1/readiness")
 	if err != nil {
 		return false
 	}
@@ -254,11 +269,11 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// Shares is the fleet size that a router goes by; 0 if it does not answer.
-func (w *World) Shares(name string) int {
-	c := w.client("10.9.0.2")
+// FleetSize is the fleet size that a router goes by; 0 if it does not answer.
+func (sim *Simulation) FleetSize(name string) int {
+	c := sim.client("10.9.0.2")
 	c.Timeout = time.Second
-	a, err := c.Get("http://" + w.process(name).ip + ":7003/")
+	a, err := c.Get("http://" + sim.process(name).ip + ":7003/")
 	if err != nil {
 		return 0
 	}
@@ -268,35 +283,35 @@
 	return p.Fleet
 }
 
-// Kill ends a process; power: without a word to its peers.
-func (w *World) Kill(name string, power bool) {
-	w.mu.Lock()
-	w.trouble(name)
-	delete(w.troubles.ongoing, ongoingKey(frozen, name))
-	w.mu.Unlock()
-	w.end(name, power)
+// Kill ends a process; power: silently for its peers.
+func (sim *Simulation) Kill(name string, power bool) {
+	sim.mu.Lock()
+	sim.addFaultLocked(name)
+	delete(sim.faults.lasting, faultKey(faultFreeze, name))
+	sim.mu.Unlock()
+	sim.stop(name, power)
 }
 
-func (w *World) end(name string, power bool) {
-	p := w.process(name)
-	p.life.dead.Store(true)
-	w.Net.Kill(p.ip, power)
+func (sim *Simulation) stop(name string, power bool) {
+	p := sim.process(name)
+	p.incarnation.dead.Store(true)
+	sim.Network.Kill(p.ip, power)
 	p.cancel()
 }
 
 // Wipe gives a killed process an empty disk.
-func (w *World) Wipe(name string) { w.process(name).disk = nil }
-
-// Leave sends a process SIGTERM and waits until it has ended.
-func (w *World) Leave(name string) {
-	p := w.process(name)
-	w.mu.Lock()
-	w.planned.leaving[name] = time.Now()
-	w.mu.Unlock()
-	if p.gate != nil {
-		p.gate.Shutdown()
+func (sim *Simulation) Wipe(name string) { sim.process(name).disk = nil }
+
+// Shutdown sends a process SIGTERM and waits until it has ended.
+func (sim *Simulation) Shutdown(name string) {
+	p := sim.process(name)
+	sim.mu.Lock()
+	sim.planned.leaving[name] = time.Now()
+	sim.mu.Unlock()
+	if p.router != nil {
+		p.router.Shutdown()
 	} else {
-		p.house.Shutdown()
+		p.controller.Shutdown()
 	}
-	w.end(name, false)
+	sim.stop(name, false)
 }
--- a/internal/simtest/random_day_test.go
+++ b/internal/simtest/random_day_test.go
@@ -21,7 +21,7 @@
 	dayEvents     = 14
 )
 
-// randomDay is a day of troubles drawn from a seed. One operator makes changes one after the other.
+// randomDay is a day of faults drawn from a seed. One operator makes changes one after the other.
 type randomDay struct {
 	s        *Script
 	draw     *rand.Rand
@@ -29,7 +29,7 @@
 	zone     string   // evacuated, or empty
 	core     []string // the controllers of the moment
 	added    int      // machines added
-	pending  []string // lines that end troubles that last
+	pending  []string // lines that end lasting faults
 	lines    []string // what was done, for a failing seed
 }
 
@@ -37,7 +37,7 @@
 	line := fmt.Sprintf(format, a...)
 	d.lines = append(d.lines, line)
 	f := strings.Fields(line)
-	if err := d.s.line(f[0], f[1:]); err != nil {
+	if err := d.s.run(f[0], f[1:]); err != nil {
 		return fmt.Errorf("%s: %w", line, err)
 	}
 	return nil
@@ -50,7 +50,7 @@
 
 func (d *randomDay) of(names ...string) string { return names[d.draw.IntN(len(names))] }
 
-// run plays the day: a start, troubles, an end on which everything must be whole again.
+// run plays the day: a start, faults, an end at which everything must work again.
 func (d *randomDay) run() error {
 	steps := []func() error{d.start}
 	for range dayEvents {
@@ -61,8 +61,8 @@
 			return err
 		}
 	}
-	d.s.bg.Wait()
-	d.s.w.judgeDay()
+	d.s.background.Wait()
+	d.s.sim.judgeScenario()
 	return d.s.verdict("random day")
 }
 
@@ -77,10 +77,10 @@
 
 func (d *randomDay) start() error {
 	d.revision = 5
-	d.core = []string{"h1", "h2", "h3"}
+	d.core = []string{"controller-1", "controller-2", "controller-3"}
 	return d.all(
-		"in_touch_only",
-		"fleet houses=3 gates=3",
+		"connected_only",
+		"fleet controllers=3 routers=3",
 		"replica r1 pool=svc zone=a slots=20",
 		"replica r2 pool=svc zone=b slots=20",
 		"replica r3 pool=svc zone=c slots=20",
@@ -90,14 +90,14 @@
 		"wait 1s",
 		"put 5 base=0 expect=200",
 		"wait 1500ms",
-		"load gate=g1,g2,g3 path=/n/x rate=30 for=40s once=1",
-		"load gate=g1,g2,g3 path=/i/x rate=30 for=40s",
-		"load gate=g1,g2,g3 path=/s/x rate=10 for=40s once=1 prefix=aa:100",
-		"load gate=g1,g2,g3 path=/t/x rate=10 for=40s prefix=aa:100;bb:50",
+		"load router=router-1,router-2,router-3 path=/n/x rate=30 for=40s once=1",
+		"load router=router-1,router-2,router-3 path=/i/x rate=30 for=40s",
+		"load router=router-1,router-2,router-3 path=/s/x rate=10 for=40s once=1 prefix=aa:100",
+		"load router=router-1,router-2,router-3 path=/t/x rate=10 for=40s prefix=aa:100;bb:50",
 	)
 }
 
-// lasts begins a trouble whose end comes some time later, beside other troubles at times.
+// lasts begins a fault whose end comes some time later, beside other faults at times.
 func (d *randomDay) lasts(most time.Duration, begin, end string) error {
 	if err := d.do("%s", begin); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return d.pause(100*time.Millisecond, most)
 }
 
-// endPending ends the troubles that last.
+// endPending ends the lasting faults.
 func (d *randomDay) endPending() error {
 	lines := d.pending
 	d.pending = nil
@@ -131,7 +131,7 @@
 	return others
 }
 
-// event brings one trouble or order; what lasts ends before it or goes on beside it.
+// event causes one fault or order; what lasts ends before it or goes on beside it.
 func (d *randomDay) event() error {
 	if d.draw.IntN(2) == 0 {
 		if err := d.endPending(); err != nil {
@@ -154,9 +154,9 @@
 	if err != nil {
 		return err
 	}
-	d.s.w.mu.Lock()
-	taken := strings.Contains(d.s.w.operator.newest.body, fmt.Sprintf(`"revision":%d,`, next))
-	d.s.w.mu.Unlock()
+	d.s.sim.mu.Lock()
+	taken := strings.Contains(d.s.sim.operator.newest.body, fmt.Sprintf(`"revision":%d,`, next))
+	d.s.sim.mu.Unlock()
 	if !taken { // without a clear answer: the same order goes on
 		if err := d.mend(); err != nil {
 			return err
@@ -167,7 +167,7 @@
 	}
 	d.revision = next
 	if d.draw.IntN(2) == 0 {
-		return d.do("again expect=200,0")
+		return d.do("repeat_last expect=200,0")
 	}
 	return nil
 }
@@ -177,33 +177,33 @@
 	if err := d.endPending(); err != nil {
 		return err
 	}
-	return d.all("answers lost=0", "wait 2s")
+	return d.all("lose_answers percent=0", "wait 2s")
 }
 
 func (d *randomDay) evacuation() error {
 	if d.zone != "" {
 		zone := d.zone
 		d.zone = ""
-		return d.do("return %s expect=200,0", zone)
+		return d.do("end_evacuation %s expect=200,0", zone)
 	}
 	d.zone = d.of("a", "b", "c")
 	return d.do("evacuate %s expect=200,0", d.zone)
 }
 
 func (d *randomDay) freeze() error {
-	who := d.of(d.coreMember(), d.coreMember(), "g1", "g2")
+	who := d.of(d.coreMember(), d.coreMember(), "router-1", "router-2")
 	return d.lasts(5*time.Second, "freeze "+who, "thaw "+who)
 }
 
 func (d *randomDay) cut() error {
 	who := d.coreMember()
-	to := strings.Join(d.othersOf(who), ",") + d.of("", ",g1", ",g1,g2")
-	return d.lasts(5*time.Second, "cut "+who+" "+to+d.of("", " oneway=1"), "heal")
+	to := strings.Join(d.othersOf(who), ",") + d.of("", ",router-1", ",router-1,router-2")
+	return d.lasts(5*time.Second, "partition "+who+" "+to+d.of("", " oneway=1"), "heal")
 }
 
 func (d *randomDay) restart() error {
-	who := d.of(d.coreMember(), d.coreMember(), "g1", "g2", strings.Join(d.core, " "))
-	if err := d.do("%s %s", d.of("kill", "power"), who); err != nil {
+	who := d.of(d.coreMember(), d.coreMember(), "router-1", "router-2", strings.Join(d.core, " "))
+	if err := d.do("%s %s", d.of("kill", "power_off"), who); err != nil {
 		return err
 	}
 	if err := d.pause(50*time.Millisecond, 2*time.Second); err != nil {
@@ -220,14 +220,14 @@
 	who := d.coreMember()
 	others := d.othersOf(who)
 	d.added++
-	fresh := fmt.Sprintf("h%d", 3+d.added)
+	fresh := controllerName(3 + d.added)
 	d.core = append(others, fresh)
 	err := d.all(
-		d.of("wipe "+who, "leave "+who),
+		d.of("wipe "+who, "shutdown "+who),
 		"seeds "+strings.Join(others, " "),
 		fmt.Sprintf("add %s zone=%s", fresh, d.of("a", "b", "c")),
 		"start "+fresh,
-		"reload g1 g2 g3 "+strings.Join(d.core, " "),
+		"reload router-1 router-2 router-3 "+strings.Join(d.core, " "),
 	)
 	if err != nil {
 		return err
@@ -236,13 +236,13 @@
 }
 
 func (d *randomDay) resets() error {
-	return d.do("reset_conns %s", d.of(d.coreMember(), d.coreMember(), d.coreMember(), "g1", "g2", "g3"))
+	return d.do("reset_connections %s", d.of(d.coreMember(), d.coreMember(), d.coreMember(), "router-1", "router-2", "router-3"))
 }
 
 func (d *randomDay) replicaFault() error {
 	who := d.of("r1", "r2", "r1,r2", "m1", "m2,m3")
 	how := d.of("full", "busy", "slow", "dark", "reset", "error", "unable", "noseal", "wrongid", "garble", "extra", "cut", "stall")
-	return d.lasts(3*time.Second, fmt.Sprintf("does %s %s part=%d", who, how, 20+d.draw.IntN(81)), "does "+who+" ok")
+	return d.lasts(3*time.Second, fmt.Sprintf("behaviour %s %s percent=%d", who, how, 20+d.draw.IntN(81)), "behaviour "+who+" ok")
 }
 
 func (d *randomDay) draining() error {
@@ -256,13 +256,13 @@
 }
 
 func (d *randomDay) lostAnswers() error {
-	if err := d.do("answers lost=%d", 20+d.draw.IntN(50)); err != nil {
+	if err := d.do("lose_answers percent=%d", 20+d.draw.IntN(50)); err != nil {
 		return err
 	}
 	if err := d.change(); err != nil {
 		return err
 	}
-	return d.do("answers lost=0")
+	return d.do("lose_answers percent=0")
 }
 
 func (d *randomDay) platformDown() error {
@@ -275,7 +275,7 @@
 		return err
 	}
 	if d.zone != "" {
-		if err := d.do("return %s expect=200 within=8s", d.zone); err != nil {
+		if err := d.do("end_evacuation %s expect=200 within=8s", d.zone); err != nil {
 			return err
 		}
 	}
@@ -283,10 +283,10 @@
 		"wait 4s",
 		"primary within=4s",
 		fmt.Sprintf("read %d within=8s", d.revision),
-		"ready g1 g2 g3 within=5s",
-		"ask gate=g1 path=/n/x once=1 expect=200 n=3",
-		"ask gate=g2 path=/s/x once=1 expect=200 n=3",
-		"ask gate=g3 path=/t/x expect=200 n=3",
+		"ready router-1 router-2 router-3 within=5s",
+		"request router=router-1 path=/n/x once=1 expect=200 n=3",
+		"request router=router-2 path=/s/x once=1 expect=200 n=3",
+		"request router=router-3 path=/t/x expect=200 n=3",
 	)
 }
 
@@ -304,7 +304,7 @@
 	return first, last
 }
 
-// TestRandomDays holds days of drawn troubles against all rules.
+// TestRandomDays checks days of drawn faults against all rules.
 func TestRandomDays(t *testing.T) {
 	first, last := seedsOf(t)
 	for seed := first; seed <= last; seed++ {
@@ -316,11 +316,11 @@
 }
 
 func playRandomDay(t *testing.T, seed uint64) {
-	w := NewWorld(slog.New(slog.DiscardHandler))
-	d := &randomDay{s: &Script{w: w, bad: map[int]int{}}, draw: rand.New(rand.NewPCG(seed, seed))}
+	sim := NewSimulation(slog.New(slog.DiscardHandler))
+	d := &randomDay{s: &Script{sim: sim, failed: map[int]int{}}, draw: rand.New(rand.NewPCG(seed, seed))}
 	err := d.run()
-	d.s.bg.Wait()
-	w.End()
+	d.s.background.Wait()
+	sim.Close()
 	time.Sleep(10 * time.Second)
 	require.NoError(t, err, "seed %d:\n%s", seed, strings.Join(d.lines, "\n"))
 }
--- a/internal/simtest/replica.go
+++ b/internal/simtest/replica.go
@@ -21,80 +21,80 @@
 
 // Replica is a stand-in replica; it judges what reaches it.
 type Replica struct {
-	w       *World
-	ID      string
-	pool    string
-	at      string
-	ip      string
-	zone    string
-	slots   int
-	state   string
-	since   time.Time // of the state
-	cold    float64
-	evacAt  time.Time
-	srv     *http.Server
-	mu      sync.Mutex
-	how     behaviour
-	part    int    // in a hundred of the requests it does so with
-	from    string // only with those of this caller
-	ill     bool   // what its health answer says
-	work    time.Duration
-	only    string // the paths that take so long; the others are quick
-	busy    int
-	got     int
-	events  int
-	coldGot []time.Time
-	knew    map[string]time.Time // callers, and when they were first seen to know that it takes nothing more
+	sim              *Simulation
+	ID               string
+	pool             string
+	address          string
+	ip               string
+	zone             string
+	slots            int
+	state            string
+	since            time.Time // of the state
+	warmupLeftMs     float64
+	evacuatedAt      time.Time
+	server           *http.Server
+	mu               sync.Mutex
+	behaviour        behaviour
+	percent          int    // in a hundred of the requests it does so with
+	from             string // only with those of this caller
+	unhealthy        bool   // what its health answer says
+	workTime         time.Duration
+	slowPath         string // the paths that take so long; the others are quick
+	busy             int
+	executed         int
+	events           int
+	warmupArrivals   []time.Time
+	knownUnavailable map[string]time.Time // callers, and when they were first seen to know that it takes nothing more
 }
 
 // AddReplica puts up a replica.
-func (w *World) AddReplica(id, pool, ip, zone string) *Replica {
+func (sim *Simulation) AddReplica(id, pool, ip, zone string) *Replica {
 	r := &Replica{
-		w:      w,
-		ID:     id,
-		pool:   pool,
-		at:     ip + ":9000",
-		ip:     ip,
-		zone:   zone,
-		slots:  usualSlots,
-		state:  "ready",
-		since:  time.Now(),
-		how:    behavesWell,
-		part:   100,
-		work:   usualWork,
-		events: usualEvents,
-		knew:   map[string]time.Time{},
+		sim:              sim,
+		ID:               id,
+		pool:             pool,
+		address:          ip + ":9000",
+		ip:               ip,
+		zone:             zone,
+		slots:            usualSlots,
+		state:            "ready",
+		since:            time.Now(),
+		behaviour:        behavesWell,
+		percent:          100,
+		workTime:         usualWork,
+		events:           usualEvents,
+		knownUnavailable: map[string]time.Time{},
 	}
-	w.mu.Lock()
-	w.replicas[id] = r
-	w.mu.Unlock()
-	r.srv = w.serve(r.at, r)
+	sim.mu.Lock()
+	sim.replicas[id] = r
+	sim.mu.Unlock()
+	r.server = sim.serve(r.address, r)
 	return r
 }
 
-// listed is the replica's entry in the platform's list; the caller holds the world.
+// listed is the replica's entry in the platform's list; the caller holds the simulation's lock.
 func (r *Replica) listed() *state.Replica {
 	return &state.Replica{
 		ID:               r.ID,
 		Pool:             r.pool,
-		Address:          r.at,
+		Address:          r.address,
 		Zone:             r.zone,
 		SoftwareRevision: "v1",
 		Slots:            r.slots,
 		State:            r.state,
-		WarmupLeftMs:     r.cold,
+		WarmupLeftMs:     r.warmupLeftMs,
 		Models:           []state.Model{{Name: "m", Revision: 1}},
 	}
 }
 
 // Down ends a replica's process; Up starts it again, under the same id.
 func (r *Replica) Down() {
-	_ = r.srv.Close()
-	r.w.Net.Kill(r.ip, false)
+	_ = r.server.Close()
+	r.sim.Network.Kill(r.ip, false)
 }
 
 // Up starts a replica that is down.
-func (r *Replica) Up() { r.srv = r.w.serve(r.at, r) }
+func (r *Replica) Up() { r.server = r.sim.serve(r.address, r) }
 
 // ServeHTTP is the replica's side.
 func (r *Replica) ServeHTTP(rw http.ResponseWriter, q *http.Request) {
@@ -112,22 +112,22 @@
 	if !r.isMeant(rw, q) {
 		return
 	}
-	a := r.arrived(q, id, string(body))
+	a := r.judgeArrival(q, id, string(body))
 	how, work, events := r.behaviourFor(q, id)
 	if !r.begin(how) {
-		refuse(rw, how)
+		reject(rw, how)
 		return
 	}
 	defer r.finish()
-	r.ran(a)
-	rest(q, work)
+	r.recordRun(a)
+	sleepUntilCancelled(q, work)
 	rw.Header().Set("Replica-Seal", sealOf(id))
-	r.reply(rw, q, reply{id: id, how: how, events: events, record: a.record})
+	r.reply(rw, q, reply{id: id, behaviour: how, events: events, record: a.record})
 }
 
 func (r *Replica) answerHealth(rw http.ResponseWriter) {
 	r.mu.Lock()
-	ill := r.ill
+	ill := r.unhealthy
 	r.mu.Unlock()
 	rw.Header().Set("Replica-Id", r.ID)
 	if ill {
@@ -137,9 +137,9 @@
 
 // isMeant answers 421 to a request for another replica.
 func (r *Replica) isMeant(rw http.ResponseWriter, q *http.Request) bool {
-	r.w.mu.Lock()
+	r.sim.mu.Lock()
 	mine := r.ID
-	r.w.mu.Unlock()
+	r.sim.mu.Unlock()
 	if q.Header.Get("Expected-Replica") == mine {
 		return true
 	}
@@ -152,12 +152,12 @@
 func (r *Replica) behaviourFor(q *http.Request, id string) (how behaviour, work time.Duration, events int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	how, work, events = r.how, r.work, r.events
+	how, work, events = r.behaviour, r.workTime, r.events
 	otherCaller := r.from != "" && !strings.HasPrefix(q.RemoteAddr, r.from)
-	if otherCaller || int(crc32.ChecksumIEEE([]byte(id))%100) >= r.part {
+	if otherCaller || int(crc32.ChecksumIEEE([]byte(id))%100) >= r.percent {
 		how = behavesWell
 	}
-	if !strings.HasPrefix(q.URL.Path, r.only) {
+	if !strings.HasPrefix(q.URL.Path, r.slowPath) {
 		work = usualWork
 	}
 	if how == behavesSlow {
@@ -174,7 +174,7 @@
 		return false
 	}
 	r.busy++
-	r.got++
+	r.executed++
 	return true
 }
 
@@ -191,15 +191,15 @@
 	return r.busy, r.slots
 }
 
-// turnsAway tells whether it refuses whatever comes.
-func (r *Replica) turnsAway() bool {
+// isRejecting reports whether it refuses every request.
+func (r *Replica) isRejecting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.how != behavesWell
+	return r.behaviour != behavesWell
 }
 
-// refuse promises that the request has not run.
-func refuse(rw http.ResponseWriter, how behaviour) {
+// reject promises that the request has not run.
+func reject(rw http.ResponseWriter, how behaviour) {
 	rw.Header().Set("Not-Executed", "1")
 	if how == behavesBusy {
 		rw.WriteHeader(http.StatusTooManyRequests)
@@ -208,7 +208,7 @@
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func rest(q *http.Request, d time.Duration) {
+func sleepUntilCancelled(q *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/simtest/request.go
+++ b/internal/simtest/request.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// request is what the judge knows of one try of a client.
+// request is what the judge knows of one attempt of a client.
 type request struct {
 	id       string
-	wire     string // method, target and body as they were sent
+	content  string // method, target and body as they were sent
 	once     bool   // it may run once
 	route    *route // nil if no configuration allows it
 	router   string // the process that took it
@@ -24,34 +24,34 @@
 	brokeOff bool            // a replica broke its answer off or gave none
 }
 
-// expect registers a request before it is sent.
-func (w *World) expect(r *request) {
+// register registers a request before it is sent.
+func (sim *Simulation) register(r *request) {
 	r.ranOn = map[string]bool{}
 	r.sealed = map[int]bool{}
 	r.sentAt = time.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.requests[r.id] = r
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.requests[r.id] = r
 }
 
 // newRequest makes the next request for a path and registers it.
-func (w *World) newRequest(ask question) (r *request, body string) {
-	w.mu.Lock()
-	w.asked++
-	id := fmt.Sprintf("q%d", w.asked)
-	rt := w.routeOf(ask.path)
-	w.mu.Unlock()
+func (sim *Simulation) newRequest(ask clientRequest) (r *request, body string) {
+	sim.mu.Lock()
+	sim.requestsMade++
+	id := fmt.Sprintf("q%d", sim.requestsMade)
+	rt := sim.routeOf(ask.path)
+	sim.mu.Unlock()
 	body = "body of " + id + strings.Repeat(".", ask.size)
 	r = &request{
 		id:      id,
-		wire:    http.MethodPost + " " + ask.path + " " + body,
+		content: http.MethodPost + " " + ask.path + " " + body,
 		once:    ask.once,
 		route:   rt,
 		router:  ask.router,
 		subject: subjectOf(ask.prefix),
 		budget:  ask.budget,
 	}
-	w.expect(r)
+	sim.register(r)
 	return r, body
 }
 
@@ -78,8 +78,8 @@
 
 func (x *exchange) served() bool { return x.status == http.StatusOK }
 
-// promised tells whether the answer says that nothing ran.
-func (x *exchange) promised() bool {
+// isRejection reports whether the answer says that nothing ran.
+func (x *exchange) isRejection() bool {
 	switch x.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/internal/simtest/rule_mixed.go
+++ b/internal/simtest/rule_answer.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// checkMixed holds a success against the only whole answer that this request can have.
-func checkMixed(_ *World, x *exchange) string {
+// checkMixed checks a success against the only complete answer that this request can have.
+func checkMixed(_ *Simulation, x *exchange) string {
 	if x.status != http.StatusOK {
 		return ""
 	}
@@ -20,8 +20,8 @@
 	return ""
 }
 
-// checkMixedFailure holds the seal on a failure against the statuses that replicas gave under it.
-func checkMixedFailure(_ *World, x *exchange) string {
+// checkMixedFailure checks the seal on a failure against the statuses that replicas gave under it.
+func checkMixedFailure(_ *Simulation, x *exchange) string {
 	if x.status == 0 || x.status/100 == 2 || x.header.Get("Replica-Seal") == "" {
 		return ""
 	}
--- a/internal/simtest/rule_day.go
+++ b/internal/simtest/rule_scenario.go
@@ -9,45 +9,45 @@
 
 // Bounds of the rules on a whole scenario.
 const (
-	kindLeast      = 20  // requests of a kind that make its share count
-	laterPart      = 4.0 // routes added later are served at least one such part as often as the first
-	starvedPart    = 4.0 // the same for a kind of request against all
-	urgencyGap     = 0.05
-	subjectLeast   = 4 // requests that make a subject one that is asked for through the scenario
-	subjectSpan    = 8 * time.Second
-	subjectFree    = 2.0 // subjects that may go unserved
-	subjectFreePer = 0.04
-	subjectChance  = 3.0 // and so many times those that chance leaves unserved
+	minRouteRequests   = 20  // requests of a kind that make its share count
+	laterRouteFactor   = 4.0 // routes added later are served at least one such part as often as the first
+	starvedFactor      = 4.0 // the same for a kind of request against all
+	urgencyGap         = 0.05
+	minSubjectRequests = 4 // requests that make a subject one that is asked for through the scenario
+	subjectSpan        = 8 * time.Second
+	subjectFree        = 2.0 // subjects that may go unserved
+	subjectFreePer     = 0.04
+	subjectChance      = 3.0 // and so many times those that chance leaves unserved
 )
 
-// dayRule checks what was counted over a scenario; a check returns all that is wrong. It is called with the world held.
-type dayRule struct {
+// scenarioRule checks what was counted over a scenario; a check returns all that is wrong. It is called with the simulation's lock held.
+type scenarioRule struct {
 	rule  Rule
 	check func(*counts) []string
 }
 
-var dayRules = []dayRule{
+var scenarioRules = []scenarioRule{
 	{RuleLaterRoutes, checkLaterRoutes},
-	{RuleStarvedRoute, checkStarvedKinds},
+	{RuleStarvedRoute, checkStarvedRoutes},
 	{RuleStarved, checkStarvedSubjects},
 	{PriceUrgency, checkUrgency},
 }
 
-// judgeDay holds the whole scenario against the rules.
-func (w *World) judgeDay() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, r := range dayRules {
-		for _, wrong := range r.check(&w.counts) {
-			w.broke(r.rule, wrong)
+// judgeScenario checks the whole scenario against the rules.
+func (sim *Simulation) judgeScenario() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, r := range scenarioRules {
+		for _, wrong := range r.check(&sim.counts) {
+			sim.addViolationLocked(r.rule, wrong)
 		}
 	}
 }
 
 // sorted gives the kinds by name.
-func (c *counts) sorted() []*kindCount {
-	var all []*kindCount
-	for _, k := range c.kinds {
+func (c *counts) sorted() []*routeCount {
+	var all []*routeCount
+	for _, k := range c.routes {
 		all = append(all, k)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].route.Name < all[j].route.Name })
@@ -55,8 +55,8 @@
 }
 
 // total adds all kinds up.
-func (c *counts) total() (all kindCount) {
-	for _, k := range c.kinds {
+func (c *counts) total() (all routeCount) {
+	for _, k := range c.routes {
 		all.asked += k.asked
 		all.served += k.served
 	}
@@ -70,29 +70,29 @@
 
 // checkLaterRoutes compares the routes that were added later with the first ones, in calm times.
 func checkLaterRoutes(c *counts) []string {
-	var first, later kindCount
+	var first, later routeCount
 	for _, k := range c.sorted() {
 		sum := &first
-		if k.route.later {
+		if k.route.addedLater {
 			sum = &later
 		}
 		sum.calmAsked += k.calmAsked
-		sum.calmGood += k.calmGood
+		sum.calmServed += k.calmServed
 	}
-	if later.calmAsked < kindLeast || first.calmAsked < kindLeast {
+	if later.calmAsked < minRouteRequests || first.calmAsked < minRouteRequests {
 		return nil
 	}
-	if later.calmShare() >= first.calmShare()/laterPart {
+	if later.calmShare() >= first.calmShare()/laterRouteFactor {
 		return nil
 	}
-	return []string{fmt.Sprintf("routes added later served %d of %d, the first ones %d of %d", later.calmGood, later.calmAsked, first.calmGood, first.calmAsked)}
+	return []string{fmt.Sprintf("routes added later served %d of %d, the first ones %d of %d", later.calmServed, later.calmAsked, first.calmServed, first.calmAsked)}
 }
 
-// checkStarvedKinds compares each kind of request with all of them.
-func checkStarvedKinds(c *counts) (wrong []string) {
+// checkStarvedRoutes compares each kind of request with all of them.
+func checkStarvedRoutes(c *counts) (wrong []string) {
 	all := c.total()
 	for _, k := range c.sorted() {
-		if k.asked >= kindLeast && k.share() < all.share()/starvedPart {
+		if k.asked >= minRouteRequests && k.share() < all.share()/starvedFactor {
 			wrong = append(wrong, fmt.Sprintf("%s served %d of %d, all kinds %d of %d", k.route.Name, k.served, k.asked, all.served, all.asked))
 		}
 	}
@@ -104,7 +104,7 @@
 	asked, starved, chance := 0, 0, 0.0
 	missed := 1 - c.servedShare()
 	for _, s := range c.subjects {
-		if s.asked < subjectLeast || s.last.Sub(s.first) < subjectSpan {
+		if s.asked < minSubjectRequests || s.last.Sub(s.first) < subjectSpan {
 			continue
 		}
 		asked++
@@ -127,7 +127,7 @@
 			if urgent.route.Service != other.route.Service || urgent.route.Priority >= other.route.Priority {
 				continue
 			}
-			if urgent.asked < kindLeast || other.asked < kindLeast {
+			if urgent.asked < minRouteRequests || other.asked < minRouteRequests {
 				continue
 			}
 			if urgent.share() < other.share()-urgencyGap {
--- a/internal/simtest/rule_test.go
+++ b/internal/simtest/rule_test.go
@@ -14,8 +14,8 @@
 func ended(status int, change func(*exchange)) *exchange {
 	r := &request{
 		id:     "q1",
-		route:  &route{Name: "r-i", Service: "svc", TimeoutMs: 3000, AimMs: 400, MaxAttempts: 2},
-		router: "g1",
+		route:  &route{Name: "r-i", Service: "svc", TimeoutMs: 3000, TargetLatencyMs: 400, MaxAttempts: 2},
+		router: "router-1",
 		budget: 3 * time.Second,
 		sentAt: time.Now(),
 		ranOn:  map[string]bool{},
@@ -26,13 +26,13 @@
 	return x
 }
 
-// inWorld runs a test in an empty world that has been calm for long.
-func inWorld(t *testing.T, f func(*World)) {
+// inSimulation runs a test in an empty simulation that has been calm for long.
+func inSimulation(t *testing.T, f func(*Simulation)) {
 	synctest.Test(t, func(*testing.T) {
-		w := NewWorld(slog.New(slog.DiscardHandler))
+		sim := NewSimulation(slog.New(slog.DiscardHandler))
 		time.Sleep(time.Minute)
-		f(w)
-		w.End()
+		f(sim)
+		sim.Close()
 	})
 }
 
@@ -50,30 +50,30 @@
 	}
 	for _, c := range []struct {
 		name   string
-		rule   func(*World, *exchange) string
+		rule   func(*Simulation, *exchange) string
 		status int
 		change func(*exchange)
 		wrong  bool
 	}{
-		{"whole answer", checkMixed, 200, sealed(200), false},
+		{"complete answer", checkMixed, 200, sealed(200), false},
 		{"success without a seal", checkMixed, 200, func(x *exchange) { x.body = answerTo(x.id) }, true},
 		{"another's answer", checkMixed, 200, func(x *exchange) { sealed(200)(x); x.body = answerTo("q2") }, true},
 		{"failure as the replica gave it", checkMixedFailure, 500, sealed(500), false},
 		{"own failure without a seal", checkMixedFailure, 502, func(*exchange) {}, false},
 		{"own status with a seal", checkMixedFailure, 502, sealed(500), true},
-		{"refusal of what never ran", checkRefused, 503, func(x *exchange) { x.once = true }, false},
-		{"refusal of what ran", checkRefused, 503, func(x *exchange) { x.once, x.runs = true, 1 }, true},
-		{"refusal that says when", checkRetryAfter, 503, func(x *exchange) { x.header.Set("Retry-After", "1") }, false},
-		{"refusal that does not", checkRetryAfter, 503, func(*exchange) {}, true},
-		{"held to the timeout", checkHeldTimeout, 504, held(3200 * time.Millisecond), false},
-		{"held beyond it", checkHeldTimeout, 504, held(3300 * time.Millisecond), true},
-		{"refused soon", checkUnoffered, 503, held(1400 * time.Millisecond), false},
-		{"refused late, never offered", checkUnoffered, 503, held(1600 * time.Millisecond), true},
-		{"refused late after an offer", checkUnoffered, 503, func(x *exchange) { held(1600 * time.Millisecond)(x); x.offered = true }, false},
+		{"rejection of what never ran", checkRejected, 503, func(x *exchange) { x.once = true }, false},
+		{"rejection of what ran", checkRejected, 503, func(x *exchange) { x.once, x.runs = true, 1 }, true},
+		{"rejection that says when", checkRetryAfter, 503, func(x *exchange) { x.header.Set("Retry-After", "1") }, false},
+		{"rejection that does not", checkRetryAfter, 503, func(*exchange) {}, true},
+		{"held to the timeout", checkHeldPastTimeout, 504, held(3200 * time.Millisecond), false},
+		{"held beyond it", checkHeldPastTimeout, 504, held(3300 * time.Millisecond), true},
+		{"rejected soon", checkUnoffered, 503, held(1400 * time.Millisecond), false},
+		{"rejected late, never offered", checkUnoffered, 503, held(1600 * time.Millisecond), true},
+		{"rejected late after an offer", checkUnoffered, 503, func(x *exchange) { held(1600 * time.Millisecond)(x); x.offered = true }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *World) {
-				got := c.rule(w, ended(c.status, c.change))
+			inSimulation(t, func(sim *Simulation) {
+				got := c.rule(sim, ended(c.status, c.change))
 				require.Equal(t, c.wrong, got != "", got)
 			})
 		})
@@ -84,32 +84,35 @@
 func TestLostBites(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(*World, *exchange)
+		change func(*Simulation, *exchange)
 		wrong  bool
 	}{
-		{"its router leaves", func(w *World, x *exchange) { w.planned.leaving["g1"] = x.sentAt }, true},
-		{"its router reloads", func(w *World, x *exchange) { w.planned.reloaded["g1"] = x.sentAt }, true},
-		{"another router leaves", func(w *World, x *exchange) { w.planned.leaving["g2"] = x.sentAt }, false},
-		{"the replica broke off", func(w *World, x *exchange) { w.planned.leaving["g1"] = x.sentAt; x.brokeOff = true }, false},
-		{"it was never passed on and closed at once", func(w *World, x *exchange) { w.planned.leaving["g1"] = x.sentAt; x.offered = false }, false},
-		{"its time was over", func(w *World, x *exchange) {
-			w.planned.leaving["g1"] = x.sentAt
+		{"its router leaves", func(sim *Simulation, x *exchange) { sim.planned.leaving["router-1"] = x.sentAt }, true},
+		{"its router reloads", func(sim *Simulation, x *exchange) { sim.planned.reloaded["router-1"] = x.sentAt }, true},
+		{"another router leaves", func(sim *Simulation, x *exchange) { sim.planned.leaving["router-2"] = x.sentAt }, false},
+		{"the replica broke off", func(sim *Simulation, x *exchange) { sim.planned.leaving["router-1"] = x.sentAt; x.brokeOff = true }, false},
+		{"it was never passed on and closed at once", func(sim *Simulation, x *exchange) { sim.planned.leaving["router-1"] = x.sentAt; x.offered = false }, false},
+		{"its time was over", func(sim *Simulation, x *exchange) {
+			sim.planned.leaving["router-1"] = x.sentAt
 			x.endedAt = x.sentAt.Add(3 * time.Second)
 		}, false},
-		{"a machine was killed just before", func(w *World, x *exchange) { w.planned.leaving["g1"] = x.sentAt; w.trouble("h1") }, false},
+		{"a machine was killed just before", func(sim *Simulation, x *exchange) {
+			sim.planned.leaving["router-1"] = x.sentAt
+			sim.addFaultLocked("controller-1")
+		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *World) {
+			inSimulation(t, func(sim *Simulation) {
 				x := ended(0, func(x *exchange) { x.offered = true })
-				c.change(w, x)
-				got := checkLost(w, x)
+				c.change(sim, x)
+				got := checkLost(sim, x)
 				require.Equal(t, c.wrong, got != "", got)
 			})
 		})
 	}
 }
 
-// TestFreeRefusalBites shows that a refusal counts only while replicas have room.
+// TestFreeRefusalBites shows that a rejection counts only while replicas have free slots.
 func TestFreeRefusalBites(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -119,13 +122,13 @@
 	}{
 		{"room", 3, behavesWell, true},
 		{"half taken", 4, behavesWell, false},
-		{"the replica refuses", 0, behavesFull, false},
+		{"the replica rejects", 0, behavesFull, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *World) {
-				r := w.AddReplica("r1", "svc", "10.7.0.1", "a")
-				r.busy, r.how = c.busy, c.how
-				got := checkFreeRefusal(w, ended(503, func(*exchange) {}))
+			inSimulation(t, func(sim *Simulation) {
+				r := sim.AddReplica("r1", "svc", "10.7.0.1", "a")
+				r.busy, r.behaviour = c.busy, c.how
+				got := checkNeedlessRejection(sim, ended(503, func(*exchange) {}))
 				require.Equal(t, c.wrong, got != "", got)
 			})
 		})
@@ -136,38 +139,38 @@
 func TestArrivalRulesBite(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(*World, *arrival)
+		change func(*Simulation, *arrival)
 		wrong  bool
 	}{
-		{"ready", func(*World, *arrival) {}, false},
-		{"leaving for less than the bound", func(_ *World, a *arrival) { leavingFor(a, 2*time.Second) }, false},
-		{"leaving for more", func(_ *World, a *arrival) { leavingFor(a, 4*time.Second) }, true},
-		{"the platform was down meanwhile", func(w *World, a *arrival) {
+		{"ready", func(*Simulation, *arrival) {}, false},
+		{"leaving for less than the bound", func(_ *Simulation, a *arrival) { leavingFor(a, 2*time.Second) }, false},
+		{"leaving for more", func(_ *Simulation, a *arrival) { leavingFor(a, 4*time.Second) }, true},
+		{"the platform was down meanwhile", func(sim *Simulation, a *arrival) {
 			leavingFor(a, 4*time.Second)
-			w.platform.outages = []outage{{from: a.now.Add(-3 * time.Second), till: a.now.Add(-time.Second)}}
+			sim.platform.outages = []outage{{from: a.now.Add(-3 * time.Second), till: a.now.Add(-time.Second)}}
 		}, false},
-		{"the platform is down", func(w *World, a *arrival) {
+		{"the platform is down", func(sim *Simulation, a *arrival) {
 			leavingFor(a, 4*time.Second)
-			w.platform.outages = []outage{{from: a.now.Add(-2 * time.Second)}}
+			sim.platform.outages = []outage{{from: a.now.Add(-2 * time.Second)}}
 		}, false},
-		{"out of touch", func(w *World, a *arrival) {
+		{"out of touch", func(sim *Simulation, a *arrival) {
 			leavingFor(a, 4*time.Second)
-			w.inTouchOnly, w.coreSize = true, 3
-			w.trouble("h1")
+			sim.connectedOnly, sim.coreSize = true, 3
+			sim.addFaultLocked("controller-1")
 		}, false},
-		{"in touch again, counted from the list", func(w *World, a *arrival) {
+		{"in touch again, counted from the list", func(sim *Simulation, a *arrival) {
 			leavingFor(a, 4*time.Second)
-			w.inTouchOnly = true
-			w.procs["h1"] = &Proc{Name: "h1", life: &life{}}
-			w.coreSize = 1
+			sim.connectedOnly = true
+			sim.processes["controller-1"] = &Process{Name: "controller-1", incarnation: &incarnation{}}
+			sim.coreSize = 1
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, func(w *World) {
-				a := &arrival{w: w, replica: &Replica{ID: "r1", state: "ready"}, sender: &Proc{Name: "g1"}, now: time.Now()}
-				c.change(w, a)
+			inSimulation(t, func(sim *Simulation) {
+				a := &arrival{sim: sim, replica: &Replica{ID: "r1", state: "ready"}, sender: &Process{Name: "router-1"}, now: time.Now()}
+				c.change(sim, a)
 				got := checkDrain(a)
-				delete(w.procs, "h1")
+				delete(sim.processes, "controller-1")
 				require.Equal(t, c.wrong, got != "", got)
 			})
 		})
@@ -182,14 +185,14 @@
 func TestAttemptRulesBite(t *testing.T) {
 	r := &request{id: "q1", route: &route{MaxAttempts: 2}, ranOn: map[string]bool{"r1": true, "r2": true}, runs: 2}
 	require.Empty(t, checkAttempts(r))
-	require.Empty(t, checkTwice(r))
+	require.Empty(t, checkRunsOnce(r))
 	r.ranOn["r3"] = true
 	require.NotEmpty(t, checkAttempts(r))
 	r.once = true
-	require.NotEmpty(t, checkTwice(r))
+	require.NotEmpty(t, checkRunsOnce(r))
 }
 
-// TestOperatorRulesBite shows what is held against answers to orders.
+// TestOperatorRulesBite shows what answers to orders are checked for.
 func TestOperatorRulesBite(t *testing.T) {
 	require.NotEmpty(t, checkRepeat(true, 412))
 	require.Empty(t, checkRepeat(false, 412))
@@ -206,54 +209,54 @@
 
 // TestRepeatIsHeldAgainstTheNewestAcknowledgement follows orders as the operator sends them.
 func TestRepeatIsHeldAgainstTheNewestAcknowledgement(t *testing.T) {
-	inWorld(t, func(w *World) {
-		first := order{"PUT", "/v1/config", "0", setupOf(5, "", "")}
-		second := order{"PUT", "/v1/config", "5", setupOf(7, "", "")}
-		w.orderAnswered(first, w.orderSent(first), 200)
-		w.orderAnswered(first, w.orderSent(first), 412)
-		require.Len(t, w.broken, 1)
-		w.orderSent(second)
-		w.orderAnswered(first, w.orderSent(first), 412)
-		require.Len(t, w.broken, 1, "another change was sent since")
-		w.orderAnswered(second, false, 200)
-		w.orderAnswered(second, w.orderSent(second), 412)
-		require.Len(t, w.broken, 2)
-		w.operator.open[first] = true
-		w.orderAnswered(second, w.orderSent(second), 412)
-		require.Len(t, w.broken, 2, "another change may still be taken")
+	inSimulation(t, func(sim *Simulation) {
+		first := order{"PUT", "/v1/config", "0", configurationAt(5, "", "")}
+		second := order{"PUT", "/v1/config", "5", configurationAt(7, "", "")}
+		sim.recordAnswer(first, sim.recordSent(first), 200)
+		sim.recordAnswer(first, sim.recordSent(first), 412)
+		require.Len(t, sim.violations, 1)
+		sim.recordSent(second)
+		sim.recordAnswer(first, sim.recordSent(first), 412)
+		require.Len(t, sim.violations, 1, "another change was sent since")
+		sim.recordAnswer(second, false, 200)
+		sim.recordAnswer(second, sim.recordSent(second), 412)
+		require.Len(t, sim.violations, 2)
+		sim.operator.open[first] = true
+		sim.recordAnswer(second, sim.recordSent(second), 412)
+		require.Len(t, sim.violations, 2, "another change may still be taken")
 	})
 }
 
 // TestDayRulesBite shows for rules on whole scenarios what they find.
 func TestDayRulesBite(t *testing.T) {
-	kind := func(name string, priority, asked, served int, later bool) *kindCount {
-		return &kindCount{
-			route:     &route{Name: name, Service: "svc", Priority: priority, later: later},
-			asked:     asked,
-			served:    served,
-			calmAsked: asked,
-			calmGood:  served,
+	kind := func(name string, priority, asked, served int, later bool) *routeCount {
+		return &routeCount{
+			route:      &route{Name: name, Service: "svc", Priority: priority, addedLater: later},
+			asked:      asked,
+			served:     served,
+			calmAsked:  asked,
+			calmServed: served,
 		}
 	}
 	for _, c := range []struct {
 		name  string
 		check func(*counts) []string
-		kinds []*kindCount
+		kinds []*routeCount
 		wrong bool
 	}{
-		{"later routes as the first", checkLaterRoutes, []*kindCount{kind("a", 1, 100, 90, false), kind("b", 1, 100, 30, true)}, false},
-		{"later routes hardly", checkLaterRoutes, []*kindCount{kind("a", 1, 100, 90, false), kind("b", 1, 100, 20, true)}, true},
-		{"too few of them", checkLaterRoutes, []*kindCount{kind("a", 1, 100, 90, false), kind("b", 1, 19, 0, true)}, false},
-		{"a kind starves", checkStarvedKinds, []*kindCount{kind("a", 1, 100, 100, false), kind("b", 1, 20, 4, false)}, true},
-		{"no kind does", checkStarvedKinds, []*kindCount{kind("a", 1, 100, 100, false), kind("b", 1, 20, 5, false)}, false},
-		{"the urgent one less often", checkUrgency, []*kindCount{kind("a", 0, 100, 80, false), kind("b", 2, 100, 86, false)}, true},
-		{"by less than the gap", checkUrgency, []*kindCount{kind("a", 0, 100, 80, false), kind("b", 2, 100, 84, false)}, false},
-		{"the urgent one more often", checkUrgency, []*kindCount{kind("a", 0, 100, 90, false), kind("b", 2, 100, 10, false)}, false},
+		{"later routes as the first", checkLaterRoutes, []*routeCount{kind("a", 1, 100, 90, false), kind("b", 1, 100, 30, true)}, false},
+		{"later routes hardly", checkLaterRoutes, []*routeCount{kind("a", 1, 100, 90, false), kind("b", 1, 100, 20, true)}, true},
+		{"too few of them", checkLaterRoutes, []*routeCount{kind("a", 1, 100, 90, false), kind("b", 1, 19, 0, true)}, false},
+		{"a kind starves", checkStarvedRoutes, []*routeCount{kind("a", 1, 100, 100, false), kind("b", 1, 20, 4, false)}, true},
+		{"no kind does", checkStarvedRoutes, []*routeCount{kind("a", 1, 100, 100, false), kind("b", 1, 20, 5, false)}, false},
+		{"the urgent one less often", checkUrgency, []*routeCount{kind("a", 0, 100, 80, false), kind("b", 2, 100, 86, false)}, true},
+		{"by less than the gap", checkUrgency, []*routeCount{kind("a", 0, 100, 80, false), kind("b", 2, 100, 84, false)}, false},
+		{"the urgent one more often", checkUrgency, []*routeCount{kind("a", 0, 100, 90, false), kind("b", 2, 100, 10, false)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			all := newCounts()
 			for _, k := range c.kinds {
-				all.kinds[k.route.Name] = k
+				all.routes[k.route.Name] = k
 			}
 			got := c.check(&all)
 			require.Equal(t, c.wrong, len(got) > 0, got)
@@ -264,7 +267,7 @@
 // TestStarvedSubjectsBite shows how many subjects may go unserved.
 func TestStarvedSubjectsBite(t *testing.T) {
 	all := newCounts()
-	all.kinds["a"] = &kindCount{asked: 400, served: 380}
+	all.routes["a"] = &routeCount{asked: 400, served: 380}
 	start := time.Now()
 	for i := range 50 {
 		s := &subjectCount{asked: 8, served: 8, first: start, last: start.Add(10 * time.Second)}
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -25,7 +25,7 @@
 				out = os.Stderr
 			}
 			synctest.Test(t, func(t *testing.T) {
-				require.NoError(t, RunFile(NewWorld(slog.New(slog.NewTextHandler(out, nil))), f))
+				require.NoError(t, RunFile(NewSimulation(slog.New(slog.NewTextHandler(out, nil))), f))
 			})
 		})
 	}
--- a/internal/simtest/serve_test.go
+++ b/internal/simtest/serve_test.go
@@ -14,15 +14,15 @@
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{9, 89, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := NewWorld(slog.New(slog.DiscardHandler))
-			s := &Script{w: w, bad: map[int]int{}}
-			require.NoError(b, s.line("fleet", []string{"houses=3", "gates=1"}))
+			sim := NewSimulation(slog.New(slog.DiscardHandler))
+			s := &Script{sim: sim, failed: map[int]int{}}
+			require.NoError(b, s.run("fleet", []string{"controllers=3", "routers=1"}))
 			for i := range n {
-				r := w.AddReplica(fmt.Sprintf("m%d", i), "lm", fmt.Sprintf("10.7.%d.%d", i/250, i%250+1), string("abc"[i%3]))
-				r.work, r.events = 0, 1
+				r := sim.AddReplica(fmt.Sprintf("m%d", i), "lm", fmt.Sprintf("10.7.%d.%d", i/250, i%250+1), string("abc"[i%3]))
+				r.workTime, r.events = 0, 1
 			}
 			time.Sleep(time.Second)
-			require.NoError(b, s.line("put", []string{"5", "base=0", "expect=200"}))
+			require.NoError(b, s.run("put", []string{"5", "base=0", "expect=200"}))
 			time.Sleep(2 * time.Second)
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -31,11 +31,11 @@
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
 					i := i.Add(1)
-					w.Ask("g1", "/s/x", fmt.Sprintf("aa:512,%x:4870,%x:64", i%400+1, 0xf0000+i), false, 2000)
+					sim.Request("router-1", "/s/x", fmt.Sprintf("aa:512,%x:4870,%x:64", i%400+1, 0xf0000+i), false, 2000)
 				}
 			})
 			b.StopTimer()
-			w.End()
+			sim.Close()
 		})
 	}
 }
