--- a/internal/simtest/command_configuration.go
+++ b/internal/simtest/command_configuration.go
@@ -13,14 +13,14 @@
 
 // orderCommands are the operator's.
 var orderCommands = map[string]command{
-	"put":            putConfiguration,
-	"patch":          patchConfiguration,
-	"repeat_last":    repeatOrder,
-	"stale_orders":   sendStaleOrders,
-	"evacuate":       evacuate,
-	"end_evacuation": endEvacuation,
-	"race":           race,
-	"read":           readBack,
+	"put":            {putConfiguration, "rev extra flaw base at within expect"},
+	"patch":          {patchConfiguration, "add remove base type timeout target_latency priority pool attempts at within expect"},
+	"repeat_last":    {repeatOrder, "at within expect"},
+	"stale_orders":   {sendStaleOrders, "at for"},
+	"evacuate":       {evacuate, "at within expect"},
+	"end_evacuation": {endEvacuation, "at within expect"},
+	"race":           {race, "base"},
+	"read":           {readBack, "at within"},
 }
 
 // putConfiguration is the command "put 5 base=0 expect=200 extra=x flaw=y at=controller-1".
--- a/internal/simtest/command_control.go
+++ b/internal/simtest/command_control.go
@@ -9,12 +9,12 @@
 
 // controlCommands are about orders and the machines that take them.
 var controlCommands = map[string]command{
-	"operators":     func(s *Script, a args) error { return s.startOperators(a) },
-	"flood_reads":   pressNode,
-	"operators_end": func(s *Script, a args) error { return s.endOperators(a) },
-	"changes":       func(s *Script, a args) error { return s.changeInTurn(numberOf(a.word(0)), a) },
-	"repeat_change": repeatNumbered,
-	"isolate":       isolateNode,
+	"operators":     {func(s *Script, a args) error { return s.startOperators(a) }, "n for seed from at pause"},
+	"flood_reads":   {pressNode, "for from"},
+	"operators_end": {func(s *Script, a args) error { return s.endOperators(a) }, "changes evacuations"},
+	"changes":       {func(s *Script, a args) error { return s.changeInTurn(numberOf(a.word(0)), a) }, "from"},
+	"repeat_change": {repeatNumbered, "base at within expect"},
+	"isolate":       {isolateNode, ""},
 }
 
 // pressNode is the command "flood_reads controller-1 for=2s": the operators also read at this node, and send it changes that must be rejected, fifty times a second
--- a/internal/simtest/command_expect.go
+++ b/internal/simtest/command_expect.go
@@ -12,16 +12,16 @@
 
 // expectCommands compare what is seen with what a scenario expects.
 var expectCommands = map[string]command{
-	"state_page":     expectOnPage,
-	"affinity_keys":  expectKeys,
-	"suspected":      expectSuspected,
-	"ready":          expectReady,
-	"fleet_size":     expectShares,
-	"served":         expectServed,
-	"executed":       expectGot,
-	"view":           expectView,
-	"primary":        expectPrimary,
-	"platform_calls": expectCalls,
+	"state_page":     {expectOnPage, "min max"},
+	"affinity_keys":  {expectKeys, ""},
+	"suspected":      {expectSuspected, "at within no"},
+	"ready":          {expectReady, "are within"},
+	"fleet_size":     {expectShares, "within"},
+	"served":         {expectServed, ""},
+	"executed":       {expectGot, "min max"},
+	"view":           {expectView, "replicas witnesses without within"},
+	"primary":        {expectPrimary, "not is within"},
+	"platform_calls": {expectCalls, "min max"},
 }
 
 // Pauses between two looks.
--- a/internal/simtest/command_fault.go
+++ b/internal/simtest/command_fault.go
@@ -7,18 +7,18 @@
 
 // faultCommands cause faults of machines and links.
 var faultCommands = map[string]command{
-	"partition":         partitionLinks,
-	"heal":              healLinks,
-	"kill":              killProcesses,
-	"power_off":         powerOff,
-	"wipe":              wipeProcesses,
-	"freeze":            freeze,
-	"thaw":              thaw,
-	"reset_connections": resetConnections,
-	"slow":              slowMachines,
-	"disk":              setDisk,
-	"zone_power_off":    loseZone,
-	"lose_answers":      loseAnswers,
+	"partition":         {partitionLinks, "oneway"},
+	"heal":              {healLinks, ""},
+	"kill":              {killProcesses, ""},
+	"power_off":         {powerOff, ""},
+	"wipe":              {wipeProcesses, ""},
+	"freeze":            {freeze, ""},
+	"thaw":              {thaw, ""},
+	"reset_connections": {resetConnections, ""},
+	"slow":              {slowMachines, "factor"},
+	"disk":              {setDisk, ""},
+	"zone_power_off":    {loseZone, ""},
+	"lose_answers":      {loseAnswers, "percent"},
 }
 
 // slowUsual is how many times slower a slowed machine runs.
--- a/internal/simtest/command_fleet.go
+++ b/internal/simtest/command_fleet.go
@@ -8,16 +8,16 @@
 
 // fleetCommands put machines up and take them down in order.
 var fleetCommands = map[string]command{
-	"fleet":          startFleet,
-	"long_work":      allowLongWork,
-	"start":          startProcesses,
-	"add":            addMachine,
-	"seeds":          setSeeds,
-	"shutdown":       shutdown,
-	"reload":         reload,
-	"wait":           wait,
-	"connected_only": judgeConnectedOnly,
-	"accept_price":   acceptPrices,
+	"fleet":          {startFleet, "controllers routers zones losses down"},
+	"long_work":      {allowLongWork, ""},
+	"start":          {startProcesses, ""},
+	"add":            {addMachine, "zone disk"},
+	"seeds":          {setSeeds, ""},
+	"shutdown":       {shutdown, ""},
+	"reload":         {reload, ""},
+	"wait":           {wait, ""},
+	"connected_only": {judgeConnectedOnly, ""},
+	"accept_price":   {acceptPrices, ""},
 }
 
 // startFleet is the command "fleet controllers=3 routers=2 zones=a,b,c losses=1 down=controller-4": controllers lie in the zones by turns, the first three are the seeds; the losses are those to be borne; some don't come up
--- a/internal/simtest/command_load.go
+++ b/internal/simtest/command_load.go
@@ -11,10 +11,10 @@
 
 // loadCommands are the clients'.
 var loadCommands = map[string]command{
-	"load":               startLoad,
-	"request":            sendRequests,
-	"idle":               requestAfterIdle,
-	"idle_in_background": requestAfterIdleInBackground,
+	"load":               {startLoad, "router rate for path once body keys prefix budget"},
+	"request":            {sendRequests, "router n within path once body keys prefix budget expect"},
+	"idle":               {requestAfterIdle, "router n for path once"},
+	"idle_in_background": {requestAfterIdleInBackground, "router n for path once"},
 }
 
 // usualRate is the requests a second of a load that names no other.
--- a/internal/simtest/command_replica.go
+++ b/internal/simtest/command_replica.go
@@ -8,17 +8,17 @@
 
 // replicaCommands put replicas and the platform up and change what they do.
 var replicaCommands = map[string]command{
-	"replica":           addReplica,
-	"state":             setReplicaState,
-	"reuse_address":     reuseAddress,
-	"behaviour":         setBehaviour,
-	"health":            setHealth,
-	"warmup":            setWarmup,
-	"flap":              flap,
-	"drop_idle":         dropIdleConnections,
-	"reset_some":        resetSome,
-	"replica_power_off": powerOffReplica,
-	"platform":          setPlatform,
+	"replica":           {addReplica, "pool zone warmup slots"},
+	"state":             {setReplicaState, ""},
+	"reuse_address":     {reuseAddress, ""},
+	"behaviour":         {setBehaviour, "work path percent from"},
+	"health":            {setHealth, ""},
+	"warmup":            {setWarmup, ""},
+	"flap":              {flap, "gap for"},
+	"drop_idle":         {dropIdleConnections, ""},
+	"reset_some":        {resetSome, "every"},
+	"replica_power_off": {powerOffReplica, ""},
+	"platform":          {setPlatform, ""},
 }
 
 // addReplica is the command "replica r1 pool=svc zone=a warmup=0 slots=8".
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"maps"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -65,8 +66,11 @@
 	return fmt.Errorf("%s: %d broken rules: %s", file, len(s.sim.violations), strings.Join(named, "; "))
 }
 
-// command carries out one kind of line.
-type command func(*Script, args) error
+// command is one kind of line.
+type command struct {
+	run     func(*Script, args) error
+	options string // the names that it takes as name=value
+}
 
 // commands are all kinds of lines by their first word.
 var commands = tableOf(controlCommands, fleetCommands, faultCommands, replicaCommands, orderCommands, loadCommands, expectCommands)
@@ -80,11 +84,17 @@
 }
 
 func (s *Script) run(cmd string, f []string) error {
-	run := commands[cmd]
-	if run == nil {
-		return fmt.Errorf("unknown line")
+	command, known := commands[cmd]
+	if !known {
+		return fmt.Errorf("unknown command")
+	}
+	a := parse(f)
+	for option := range a.options {
+		if !slices.Contains(strings.Fields(command.options), option) {
+			return fmt.Errorf("unknown option %s", option)
+		}
 	}
-	return run(s, parse(f))
+	return command.run(s, a)
 }
 
 // args are the words of a line after the first: plain ones in order, and those of the form key=value.
