--- a/internal/controller/orders.go
+++ b/internal/controller/changes.go
@@ -8,35 +8,39 @@
 	"shaletrestle/internal/state"
 )
 
-// answerMargin is what is left of an order's time for the answer's way when followers are no longer waited for.
-const answerMargin = 100 * time.Millisecond
+const (
+	// ackTimeout bounds the wait for the followers before a change is answered.
+	ackTimeout = 300 * time.Millisecond
+	// answerMargin is what is left of a change's time for the answer's way when followers are no longer waited for.
+	answerMargin = 100 * time.Millisecond
+)
 
-// Primary names who answers orders.
+// Primary names the control address that decides on changes.
 func (c *Controller) Primary() (address string, here bool) {
-	seat, known := c.replica.Primary()
+	primary, known := c.member.Primary()
 	if !known {
 		return "", false
 	}
-	return c.settings.ControlAddress(seat.Address), seat.ID == c.replica.Self().ID
+	return c.settings.ControlAddress(primary.Address), primary.ID == c.member.Self().ID
 }
 
-// Take makes one order. It returns once the order is in force for good and the connected followers have it, as
-// far as the order's time allows to wait for them.
-func (c *Controller) Commit(ctx context.Context, order *adminapi.ChangeRequest) error {
-	event := order.Event
+// Commit makes one change. It returns without an error once the change is committed, or was before, and the connected
+// followers have it, as far as the change's time allows to wait for them. Its errors carry the kind that [kindOf]
+// gives them.
+func (c *Controller) Commit(ctx context.Context, request *adminapi.ChangeRequest) error {
 	decide := func() ([]byte, error) {
-		if order.Expired(time.Now()) {
+		if request.Expired(time.Now()) {
 			return nil, ErrAbandoned
 		}
-		return decideOn(c.state.View(), event)
+		return decideOn(c.replicated.View(), request.Event)
 	}
-	if err := c.replica.Propose(order.Deadline, decide); err != nil {
+	if err := c.member.Propose(request.Deadline, decide); err != nil {
 		return withKind(err)
 	}
-	if superseded(c.state.View(), event) {
+	if superseded(c.replicated.View(), request.Event) {
 		return withKind(ErrSuperseded)
 	}
-	c.awaitFollowers(ctx, order.Deadline)
+	c.awaitFollowers(ctx, request.Deadline)
 	return nil
 }
 
@@ -94,14 +98,15 @@
 		return
 	}
 	left := time.Until(deadline) - answerMargin
-	c.feed.WaitAcked(ctx, number, max(0, min(ackWait, left)))
+	c.feed.WaitAcked(ctx, number, max(0, min(ackTimeout, left)))
 }
 
-// Read gives the view that the witnesses confirmed to be the newest after the call.
+// Read gives the newest view; a majority of the witnesses confirmed in this call that it is. Its errors carry a kind
+// as those of Commit do.
 func (c *Controller) Read(_ context.Context, deadline time.Time) (*state.View, error) {
 	var view *state.View
-	look := func() { view = c.state.View() }
-	if err := c.replica.Read(deadline, look); err != nil {
+	look := func() { view = c.replicated.View() }
+	if err := c.member.Read(deadline, look); err != nil {
 		return nil, withKind(err)
 	}
 	return view, nil
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -18,7 +18,6 @@
 	"shaletrestle/coord/replication/store"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/settings"
-	"shaletrestle/internal/state"
 )
 
 // foldersPath is where the data folders are that the code of an earlier version wrote.
@@ -62,8 +61,8 @@
 		{"whole", 3, 12}, {"torn", 3, 12}, {"interrupted", 3, 12}, {"witness", 7, 0}, {"joined", 5, 9}, {"fresh", 0, 0},
 	} {
 		c := openRecorded(t, x.folder)
-		recording.Same(x.folder, c.state.Snapshot())
-		require.Equal(t, x.index, core.Index(c.replica.State().Index), x.folder)
+		recording.Same(x.folder, c.replicated.Snapshot())
+		require.Equal(t, x.index, core.Index(c.member.State().Index), x.folder)
 		if x.view == 0 {
 			require.Nil(t, c.View(), x.folder)
 			continue
@@ -72,17 +71,17 @@
 	}
 }
 
-// TestController_RecordedBytes_ReadAndWrittenAsBefore holds the form of what a controller hears from nodes and tells them.
+// TestController_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages between a controller and nodes.
 func TestController_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/messages.txt")
 	c := openRecorded(t, "whole")
 	loads := []loadsum.Load{{Key: 0x8001, Tokens: 0x8002}, {Key: 0x8003, Tokens: 0x8004}}
-	sum := c.deckNote(loads)
+	sum := c.loadMessage(loads)
 	read, err := rpc.Decode(recording.Same("load-sum", sum.Encode()))
 	require.NoError(t, err)
 	require.Equal(t, sum, read)
 	require.Nil(t, c.handle(nil, read))
-	require.ElementsMatch(t, loads, c.deck.Total(time.Now()))
+	require.ElementsMatch(t, loads, c.loadSums.Total(time.Now()))
 
 	lend := &rpc.Message{Kind: rpc.Loan, Call: 0x8005, Text: "service-1", Number: 3}
 	read, err = rpc.Decode(recording.Same("lend", lend.Encode()))
@@ -91,9 +90,9 @@
 
 	reports, err := json.Marshal([]outlier.Report{{ReplicaID: "replica-1", Node: 0x8006, Successes: 0.5, Failures: 2}})
 	require.NoError(t, err)
-	c.hear(recording.Same("reports", reports))
-	require.Equal(t, reports, c.carry(), "a relay passes on what it heard")
-	require.Nil(t, c.carry())
+	c.handleReports(recording.Same("reports", reports))
+	require.Equal(t, reports, c.reports.take(), "a relay passes on what it heard")
+	require.Nil(t, c.reports.take())
 }
 
 // TestController_RecordedEntries_AreDecidedOnAsBefore applies the entries of a recorded log to its snapshot.
@@ -104,10 +103,10 @@
 	opened, err := store.Open(store.OSFiles{}, dir, false)
 	require.NoError(t, err)
 	defer opened.Close()
-	b := state.NewStore(state.Options{History: true})
-	require.NoError(t, b.Restore(opened.Load().Snapshot.Data))
+	replicated := newReplicatedStore()
+	require.NoError(t, replicated.Restore(opened.Load().Snapshot.Data))
 	for _, entry := range opened.Load().Entries {
-		require.NoError(t, b.Update(entry.Data))
+		require.NoError(t, replicated.Update(entry.Data))
 	}
-	recording.Same("whole", b.Snapshot())
+	recording.Same("whole", replicated.Snapshot())
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,21 +1,18 @@
-// Package controller is the control plane: it puts the parts together.
 package controller
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
+	"net"
 	"net/http"
 	"sync"
 	"time"
 
-	"shaletrestle/coord/failuredetector"
-
-	"shaletrestle/coord/wait"
-	"shaletrestle/internal/durations"
-
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/distribution"
+	"shaletrestle/coord/failuredetector"
 	"shaletrestle/coord/fairshare"
 	"shaletrestle/coord/lease"
 	"shaletrestle/coord/loadsum"
@@ -23,229 +20,191 @@
 	"shaletrestle/coord/replication"
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
+	"shaletrestle/coord/wait"
 	"shaletrestle/internal/adminapi"
 	"shaletrestle/internal/discovery"
-	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 )
 
-// Plan is what a controller is built from.
+// Options are what a controller is built from; all are needed.
 type Options struct {
 	Settings *settings.Settings
 	Net      rpc.Net
-	Store    replication.Store
+	Store    replication.Store // the member's disk, or replication.NewNoDisk
 }
 
-// Controller is one control process.
+// Controller is one control process. It is an [adminapi.ControlState] and a [settings.Daemon]. All its methods may be
+// called by many goroutines.
 type Controller struct {
-	ctx      context.Context
+	ctx      context.Context // ends the process's work; handlers and callbacks of the parts have no other
 	log      *slog.Logger
-	settings *settings.Settings
+	settings *settings.Settings // not changed after New
 	net      rpc.Net
-	lines    *rpc.Pool
-
-	state    *state.Store // the replicated state: configuration, evacuations, orders taken
-	news     *state.Store // what followers are told: that and the replica list, the fleet, the members
-	replica  replica
-	feed     *distribution.Feed
-	follower *distribution.Follower
-	source   atomic.Pointer[distribution.Source] // nil while this process is not primary
-	leaving  atomic.Bool
-
-	officeFrom atomic.Int64 // when this process became primary after it was not
-
-	grantor *lease.Grantor
-	duty    *lease.Holder // of reading the platform's list
-	reader  *discovery.Reader
-	differ  *discovery.Differ
-	polling sync.Mutex
-	polls   atomic.Int64
-	fails   atomic.Int64
-
-	lender *fairshare.Lender
-	jury   *outlier.Aggregator
-	deck   *loadsum.Sum
-
-	mu     sync.Mutex
-	judged time.Time            // when reports on replicas were last weighed
-	words  []outlier.Report     // followers' reports on their way to the primary
-	fleet  map[string]time.Time // routers, and when they were last reached
-	most   int                  // the largest fleet of late
-	mostAt time.Time
+	pool     *rpc.Pool    // channels to other members
+	api      http.Handler // of the operator
+
+	member       currentMember
+	replicated   *state.Store // configuration, evacuations, history; written by member alone
+	shuttingDown atomic.Bool
+
+	updates      *state.Store // what followers are told; written by feed alone
+	feed         *distribution.Feed
+	follower     *distribution.Follower              // of the primary, as a relay
+	source       atomic.Pointer[distribution.Source] // nil while this process is not primary; written by member's callbacks
+	primarySince atomic.Int64                        // Unix time in nanoseconds; written with source
+
+	grantor   *lease.Grantor
+	listLease *lease.Holder // its holder reads the platform's list and lends retries
+	list      *replicaList
+
+	fleet      *fleet
+	reports    outlierReports
+	aggregator *outlier.Aggregator // of the primary; emptied when it steps down
+	loadSums   *loadsum.Sum        // of the own followers
+	lender     *fairshare.Lender
 }
 
-// New builds a controller.
-func New(ctx context.Context, log *slog.Logger, p Options) (*Controller, error) {
+// New builds a controller and reads the member's state from its store. The context ends all its work, and must end
+// for Run to return. An error says that the stored state can't be read.
+func New(ctx context.Context, log *slog.Logger, options Options) (*Controller, error) {
+	env := options.Settings
 	c := &Controller{
-		ctx:      ctx,
-		log:      log,
-		settings: p.Settings,
-		net:      p.Net,
-		state:    state.NewStore(state.Options{History: true}),
-		news:     state.NewStore(state.Options{}),
-		grantor:  lease.NewGrantor(),
-		reader:   discovery.NewReader(p.Settings.Cloud.Address, p.Net.Dial),
-		differ:   discovery.NewDiffer(),
-		lender:   newLender(p.Settings),
-		jury:     outlier.NewAggregator(),
-		deck:     loadsum.NewSum(),
-		fleet:    map[string]time.Time{},
+		ctx:        ctx,
+		log:        log.With("part", "controller"),
+		settings:   env,
+		net:        options.Net,
+		replicated: state.NewStore(state.Options{History: true}),
+		updates:    state.NewStore(state.Options{}),
+		grantor:    lease.NewGrantor(),
+		list:       newReplicaList(log, discovery.NewReader(env.Cloud.Address, options.Net.Dial)),
+		fleet:      newFleet(),
+		aggregator: outlier.NewAggregator(),
+		loadSums:   loadsum.NewSum(),
+		lender:     newLender(env),
 	}
-	c.lines = rpc.NewPool(ctx, p.Net, c.handle)
-	c.feed = distribution.NewFeed(ctx, log, c.news, func(distribution.Position) {
+	c.api = adminapi.New(ctx, log, c)
+	c.pool = rpc.NewPool(ctx, options.Net, c.handle)
+	c.feed = distribution.NewFeed(ctx, log, c.updates, func(distribution.Position) {
 		if c.follower != nil {
 			c.follower.ReportProgress()
 		}
 	})
-	member, err := replication.New(ctx, log, c.replicationConfig(p.Store))
+	member, err := replication.New(ctx, log, c.replicationConfig(options.Store))
 	if err != nil {
 		return nil, err
 	}
-	c.replica = currentMember{member}
+	c.member = currentMember{member}
 	c.follower = distribution.NewFollower(distribution.FollowerOptions{
-		Net:          p.Net,
+		Net:          options.Net,
 		Sink:         c.feed,
 		Self:         member.Self(),
-		NextSource:   c.upstream,
+		NextSource:   c.primaryToFollow,
 		EndFollowers: c.feed.EndFollowers,
-		AckBody:      c.carry,
-		OnMessage:    c.spread,
+		AckBody:      c.reports.take,
+		OnMessage:    c.relayLoadSums,
 	})
-	c.duty = lease.NewHolder(lease.HolderOptions{
+	c.listLease = lease.NewHolder(lease.HolderOptions{
 		Duty:     "list",
 		Self:     member.Self(),
-		Caller:   c.lines,
-		Grantors: c.witnesses,
-		Wanted:   c.wantsDuty,
+		Caller:   c.pool,
+		Grantors: c.member.Witnesses,
+		Wanted:   c.wantsListLease,
 		Local:    c.grantor,
 	})
-	c.state.OnChange(c.committed)
+	c.replicated.OnChange(c.publishCommitted)
 	return c, nil
 }
 
-func newLender(env *settings.Settings) *fairshare.Lender {
-	pot := fairshare.BudgetMargin * fairshare.LentFraction * env.Bounds.BudgetSlack
-	window := durations.FromSeconds(env.Bounds.BudgetWindowS) + fairshare.LoanLifetime
-	return fairshare.NewLender(int64(pot), window)
-}
-
-// replicationConfig tells what the settings want to be borne.
-func (c *Controller) replicationConfig(store replication.Store) replication.Config {
-	env := c.settings
-	losses, ok := env.Losses()
-	if !ok {
-		c.log.With("part", "controller").Warn("the settings' losses can't all be borne in these zones", "zones", len(env.Zones), "borne", losses)
-	}
-	areas := env.Tolerance.Zones
-	area := func(zone string) string { return zone }
-	if env.Tolerance.Regions > 0 {
-		areas = env.Tolerance.Regions
-		area = func(zone string) string { return env.Zones[zone] }
-	}
-	return replication.Config{
-		Address:           env.Port(settings.ControlPort),
-		Zone:              env.Zone,
-		Seeds:             env.SeedMembers(),
-		MaxFailures:       losses,
-		MaxDomainFailures: areas,
-		FailureDomain:     area,
-		Relay:             !env.HasDisk(),
-		Store:             store,
-		StateMachine:      c.state,
-		Transport:         replication.NewLinks(c.lines),
-		OnBecomePrimary:   c.begin,
-		OnStepDown:        c.idle,
-	}
-}
-
-// Run serves until the context ends.
+// Run serves until the context ends. An error says that an address could not be listened at.
 func (c *Controller) Run() error {
-	members, err := c.net.Listen(c.settings.Port(settings.ControlPort))
+	members, err := c.listen("member port", c.settings.Port(settings.ControlPort))
 	if err != nil {
-		return errkind.Wrap(errkind.Internal, err, "member port")
+		return err
 	}
-	control, err := c.net.Listen(c.settings.Bind.Control)
+	control, err := c.listen("control address", c.settings.Bind.Control)
 	if err != nil {
-		return errkind.Wrap(errkind.Internal, err, "control address")
+		return err
 	}
-	pages, err := c.net.Listen(c.settings.Port(settings.ControlStatePort))
+	pages, err := c.listen("state page", c.settings.Port(settings.ControlStatePort))
 	if err != nil {
-		return errkind.Wrap(errkind.Internal, err, "state page")
+		return err
 	}
 	go rpc.Serve(c.ctx, members, c.handle)
-	api := httpServer(adminapi.New(c.ctx, c.log, c))
-	page := httpServer(http.HandlerFunc(c.page))
-	go func() { _ = api.Serve(control) }()
-	go func() { _ = page.Serve(pages) }()
-	c.startDuties()
-	c.log.Info("started", "part", "controller", "node", c.settings.NodeName)
+	api := httpServer(c.api)
+	page := httpServer(http.HandlerFunc(c.serveStatePage))
+	go c.member.Run()
+	go c.follower.Run(c.ctx)
+	go c.listLease.Run(c.ctx)
+
+	var work sync.WaitGroup                    // what ends at once with the context or with its listener
+	work.Go(func() { _ = api.Serve(control) }) // it ends with Close below
+	work.Go(func() { _ = page.Serve(pages) })
+	work.Go(c.readListWhileHeld)
+	work.Go(func() {
+		wait.Every(c.ctx, failuredetector.ReportInterval, func() bool { c.publishFleet(); return true })
+	})
+	work.Go(func() {
+		wait.Every(c.ctx, distribution.HeartbeatInterval, func() bool { c.publishSuspects(); return true })
+	})
+	work.Go(c.shareLoadSums)
+	c.log.Info("controller started", "node", c.settings.NodeName)
 	<-c.ctx.Done()
 	_ = api.Close()
 	_ = page.Close()
+	work.Wait()
 	return nil
 }
 
-func httpServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
+func (c *Controller) listen(purpose, address string) (net.Listener, error) {
+	listener, err := c.net.Listen(address)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", purpose, err)
+	}
+	return listener, nil
 }
 
-func (c *Controller) startDuties() {
-	go c.replica.Run()
-	go c.follower.Run(c.ctx)
-	go c.duty.Run(c.ctx)
-	go c.read()
-	go wait.Every(c.ctx, failuredetector.ReportInterval, func() bool { c.count(); return true })
-	go wait.Every(c.ctx, distribution.HeartbeatInterval, func() bool { c.judge(); return true })
-	go c.addUp()
+func httpServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
 }
 
-// Leave hands duty and primacy over; the program ends the context afterwards.
+// Shutdown gives back the list lease and hands this member's roles over, for at most the grace that the settings give.
+// The caller ends the context afterwards.
 func (c *Controller) Shutdown() {
-	c.leaving.Store(true)
-	c.duty.Renew() // it is not wanted any more: given back
+	c.shuttingDown.Store(true)
+	c.listLease.Renew() // it is not wanted any more: given back
 	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - settings.GraceMargin
-	if !c.replica.Leave(time.Now().Add(grace)) {
-		c.log.Warn("left with roles that nobody else has taken", "part", "controller")
+	if !c.member.Leave(time.Now().Add(grace)) {
+		c.log.Warn("shut down while still holding leases")
 	}
 }
 
-// handle takes the messages of other processes.
-func (c *Controller) handle(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
-	if c.replica.Handle(ch, n) {
+// handle takes the messages of other processes and gives the reply to those that want one, nil otherwise.
+func (c *Controller) handle(channel *rpc.Channel, message *rpc.Message) *rpc.Message {
+	if c.member.Handle(channel, message) {
 		return nil
 	}
-	switch n.Kind {
+	switch message.Kind {
 	case rpc.Lease:
-		return c.grantor.Handle(n)
+		return c.grantor.Handle(message)
 	case rpc.Subscribe:
-		c.feed.HandleSubscribe(ch, n)
+		c.feed.HandleSubscribe(channel, message)
 	case rpc.UpdateAck:
-		c.hear(n.Body)
-		c.feed.HandleAck(ch, n)
+		c.handleReports(message.Body)
+		c.feed.HandleAck(channel, message)
 	case rpc.Suspect:
-		c.suspect(n)
+		c.handleSuspect(message)
 	case rpc.Loan:
-		return c.lend(n)
+		return c.handleLoan(message)
 	case rpc.LoadSums:
-		c.deck.Put(n.From.ID, loadsum.Decode(n.Body), time.Now())
+		c.loadSums.Put(message.From.ID, loadsum.Decode(message.Body), time.Now())
 	}
 	return nil
 }
 
-func (c *Controller) witnesses() []rpc.Member { return c.replica.Witnesses() }
-
-// upstream is whom this process follows as a relay: the primary.
-func (c *Controller) upstream(string) string {
-	primary, known := c.replica.Primary()
-	if !known || primary.ID == c.replica.Self().ID {
-		return ""
-	}
-	return primary.Address
-}
-
-// Reload takes new settings: nothing that this process holds depends on those that may change while it runs.
+// Reload takes new settings: nothing that a controller holds depends on those that may change while it runs.
 func (c *Controller) Reload(*settings.Settings) {}
 
-// View is the newest view of the replication known here.
-func (c *Controller) View() *core.View { return c.replica.View() }
+// View is the newest view of the replication known here; nil if none is.
+func (c *Controller) View() *core.View { return c.member.View() }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -2,70 +2,99 @@
 
 import (
 	"slices"
-	"sort"
+	"sync"
 	"time"
 
 	"shaletrestle/coord/failuredetector"
-
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/state"
 )
 
-// count tells the fleet its size and where the control members are.
-func (c *Controller) count() {
-	if !c.IsActivePrimary() {
-		return
-	}
-	now := time.Now()
-	c.mu.Lock()
-	for _, s := range c.feed.EndFollowers() {
-		c.fleet[s.Address] = now
+// fleetTimeout is the time after which a router that is not reached any more leaves the fleet size.
+const fleetTimeout = 30 * time.Second
+
+// fleet holds the routers that share the budgets, as the primary reaches them. It is in memory only: a new primary
+// begins with none and publishes no list before it reaches the first.
+type fleet struct {
+	mu          sync.Mutex
+	lastContact map[string]time.Time // by address; guarded by mu, as are the following
+	peak        int                  // the largest size within the last fleetTimeout
+	peakAt      time.Time
+}
+
+func newFleet() *fleet { return &fleet{lastContact: map[string]time.Time{}} }
+
+// update notes who is reached now and gives the sorted addresses of those that count.
+func (f *fleet) update(reached []rpc.Member, now time.Time) []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, member := range reached {
+		f.lastContact[member.Address] = now
 	}
 	var nodes []string
-	for a, at := range c.fleet {
-		if now.Sub(at) > fleetForget {
-			delete(c.fleet, a)
+	for address, at := range f.lastContact {
+		if now.Sub(at) > fleetTimeout {
+			delete(f.lastContact, address)
 			continue
 		}
-		nodes = append(nodes, a)
+		nodes = append(nodes, address)
 	}
-	if len(nodes) >= c.most || now.Sub(c.mostAt) > fleetForget {
-		c.most, c.mostAt = len(nodes), now
+	if len(nodes) >= f.peak || now.Sub(f.peakAt) > fleetTimeout {
+		f.peak, f.peakAt = len(nodes), now
+	}
+	slices.Sort(nodes)
+	return nodes
+}
+
+// removeSuspect takes a router out, unless that left fewer than the allowed part of the largest fleet of late: one
+// that still runs keeps using its old share.
+func (f *fleet) removeSuspect(address string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	_, known := f.lastContact[address]
+	if !known || len(f.lastContact)-1 < f.peak-f.peak/failuredetector.SuspectDivisor {
+		return false
+	}
+	delete(f.lastContact, address)
+	return true
+}
+
+// publishFleet tells the followers the fleet's nodes and where the control members are, if that changed.
+func (c *Controller) publishFleet() {
+	if !c.IsActivePrimary() {
+		return
 	}
-	c.mu.Unlock()
-	sort.Strings(nodes)
-	v := c.news.View()
-	if !slices.Equal(nodes, v.Nodes) && len(nodes) > 0 {
-		c.publish(state.NewUpdateFleet(v.Nodes, nodes))
+	nodes := c.fleet.update(c.feed.EndFollowers(), time.Now())
+	view := c.updates.View()
+	if !slices.Equal(nodes, view.Nodes) && len(nodes) > 0 {
+		c.publish(state.NewUpdateFleet(view.Nodes, nodes))
 	}
-	var hs []state.Controller
-	for _, s := range c.replica.Members() {
-		hs = append(hs, state.Controller{Address: s.Address, Zone: s.Zone})
+	var controllers []state.Controller
+	for _, member := range c.member.Members() {
+		controllers = append(controllers, state.Controller{Address: member.Address, Zone: member.Zone})
 	}
-	if !slices.Equal(hs, v.Controllers) {
-		c.publish(state.UpdateControllers{Controllers: hs})
+	if !slices.Equal(controllers, view.Controllers) {
+		c.publish(state.UpdateControllers{Controllers: controllers})
 	}
 }
 
-// suspect hears from watchers that a router does not answer. The primary takes it out of the fleet size if it isn't reached any more, at most a part of the fleet at a time: one that still runs keeps using its old share.
-func (c *Controller) suspect(n *rpc.Message) {
+// handleSuspect takes a watcher's report that a router does not answer. The primary takes it out of the fleet if it
+// isn't reached any more; others pass the report on.
+func (c *Controller) handleSuspect(message *rpc.Message) {
 	if !c.IsActivePrimary() {
-		c.follower.Send(n)
+		c.follower.Send(message)
 		return
 	}
-	if n.OK {
+	if message.OK {
 		return
 	}
-	for _, s := range c.feed.EndFollowers() {
-		if s.Address == n.Text {
+	node := message.Text
+	for _, member := range c.feed.EndFollowers() {
+		if member.Address == node {
 			return
 		}
 	}
-	c.mu.Lock()
-	_, known := c.fleet[n.Text]
-	if known && len(c.fleet)-1 >= c.most-c.most/failuredetector.SuspectDivisor {
-		delete(c.fleet, n.Text)
-		c.log.Info("suspected node leaves the fleet size", "part", "failuredetector", "node", n.Text)
+	if c.fleet.removeSuspect(node) {
+		c.log.Info("suspected node removed from fleet", "node", node)
 	}
-	c.mu.Unlock()
 }
--- /dev/null
+++ b/internal/controller/member.go
@@ -0,0 +1,70 @@
+package controller
+
+import (
+	"time"
+
+	"shaletrestle/coord/replication"
+	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/settings"
+)
+
+// primaryTimeout is the silence after which nobody is sent to the primary any more: one heartbeat missed, another late.
+const primaryTimeout = 400 * time.Millisecond
+
+// currentMember is this process's member of the replicated state machine. It names a primary only if the newest view
+// does and it was heard from a moment ago.
+type currentMember struct{ *replication.Member }
+
+// Primary is the member that is primary by the newest view known here, if it was heard from within primaryTimeout; if
+// it is this one, it must be active too.
+func (m currentMember) Primary() (primary rpc.Member, known bool) {
+	primary, heard := m.Member.Primary()
+	view := m.View()
+	if !heard || view == nil || uint64(view.Primary.ID) != primary.ID {
+		return rpc.Member{}, false
+	}
+	if primary.ID == m.Self().ID {
+		_, active := m.PrimaryEpoch()
+		return primary, active
+	}
+	return primary, m.SincePrimaryContact() < primaryTimeout
+}
+
+// replicationConfig tells which failures the settings want to be tolerated, and connects the member to this controller.
+func (c *Controller) replicationConfig(store replication.Store) replication.Config {
+	env := c.settings
+	losses, tolerable := env.Losses()
+	if !tolerable {
+		c.log.Warn("fault tolerance of the settings is not reachable in these zones", "zones", len(env.Zones), "max_failures", losses)
+	}
+	domainFailures := env.Tolerance.Zones
+	failureDomain := func(zone string) string { return zone }
+	if env.Tolerance.Regions > 0 {
+		domainFailures = env.Tolerance.Regions
+		failureDomain = func(zone string) string { return env.Zones[zone] }
+	}
+	return replication.Config{
+		Address:           env.Port(settings.ControlPort),
+		Zone:              env.Zone,
+		Seeds:             env.SeedMembers(),
+		MaxFailures:       losses,
+		MaxDomainFailures: domainFailures,
+		FailureDomain:     failureDomain,
+		Relay:             !env.HasDisk(),
+		Store:             store,
+		StateMachine:      c.replicated,
+		Transport:         replication.NewLinks(c.pool),
+		OnBecomePrimary:   c.becomePrimary,
+		OnStepDown:        c.stepDown,
+	}
+}
+
+// primaryToFollow is the address of the process that this one follows as a relay: the primary; empty if it is this one
+// or not known.
+func (c *Controller) primaryToFollow(string) string {
+	primary, known := c.member.Primary()
+	if !known || primary.ID == c.member.Self().ID {
+		return ""
+	}
+	return primary.Address
+}
--- /dev/null
+++ b/internal/controller/metrics.go
@@ -0,0 +1,33 @@
+package controller
+
+import "shaletrestle/internal/metrics"
+
+// metrics are what the state page shows under [metrics.Path].
+func (c *Controller) metrics() []metrics.Sample {
+	position := c.feed.Position()
+	view, replicated := c.updates.View(), c.replicated.View()
+	gauge := func(name, help string, value float64) metrics.Sample {
+		return metrics.Sample{Name: "controller_" + name, Help: help, Value: value}
+	}
+	return []metrics.Sample{
+		{Name: "controller_discovery_reads_total", Help: "Readings of the platform's list of replicas.", IsCounter: true, Value: float64(c.list.reads.Load())},
+		{Name: "controller_discovery_failures_total", Help: "Readings that failed.", IsCounter: true, Value: float64(c.list.failures.Load())},
+		gauge("primary", "1 if this member is primary and publishes updates.", oneIf(c.IsActivePrimary())),
+		gauge("discovery_lease", "1 if this member holds the lease for reading the list.", oneIf(c.listLease.Held())),
+		gauge("members", "Control members known.", float64(len(c.member.Members()))),
+		gauge("update_epoch", "Epoch of the updates.", float64(position.Epoch)),
+		gauge("update_number", "Newest update of the epoch.", float64(position.Number)),
+		gauge("update_acked_number", "Newest update that every follower has acknowledged.", float64(c.feed.Acked())),
+		gauge("config_revision", "Revision of the configuration held.", float64(replicated.Config.Revision)),
+		gauge("evacuated_zones", "Evacuated zones.", float64(len(replicated.Evacuated))),
+		gauge("replicas", "Replicas on the list.", float64(len(view.Replicas))),
+		gauge("fleet_nodes", "Routers that share the budgets.", float64(view.FleetSize)),
+	}
+}
+
+func oneIf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/controller/outlier_reports.go
@@ -0,0 +1,90 @@
+package controller
+
+import (
+	"encoding/json"
+	"sync"
+	"time"
+
+	"shaletrestle/coord/distribution"
+	"shaletrestle/coord/outlier"
+	"shaletrestle/internal/state"
+)
+
+// reportsLimit bounds the reports on replicas that a relay holds until it passes them on; the oldest give way.
+const reportsLimit = 1024
+
+// outlierReports holds the followers' reports on replicas, on their way to the primary.
+type outlierReports struct {
+	mu          sync.Mutex
+	pending     []outlier.Report // guarded by mu
+	evaluatedAt time.Time        // when reports were last weighed here; guarded by mu
+}
+
+func (r *outlierReports) add(reports []outlier.Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.pending = append(r.pending, reports...)
+	r.pending = r.pending[max(0, len(r.pending)-reportsLimit):]
+}
+
+// take removes the pending reports and gives them encoded, nil if there are none.
+func (r *outlierReports) take() []byte {
+	r.mu.Lock()
+	reports := r.pending
+	r.pending = nil
+	r.mu.Unlock()
+	if len(reports) == 0 {
+		return nil
+	}
+	encoded, _ := json.Marshal(reports)
+	return encoded
+}
+
+// evaluationDue tells whether the last evaluation was a heartbeat ago or more, and notes that one is made now.
+func (r *outlierReports) evaluationDue(now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if now.Sub(r.evaluatedAt) < distribution.HeartbeatInterval {
+		return false
+	}
+	r.evaluatedAt = now
+	return true
+}
+
+// handleReports takes what followers report on replicas: the primary weighs it, others pass it on with their own next
+// acknowledgement.
+func (c *Controller) handleReports(encoded []byte) {
+	var reports []outlier.Report
+	if len(encoded) == 0 || json.Unmarshal(encoded, &reports) != nil {
+		return
+	}
+	if !c.IsActivePrimary() {
+		c.reports.add(reports)
+		return
+	}
+	replicas := c.updates.View().Replicas
+	serviceOf := func(id string) string {
+		if replica := replicas[id]; replica != nil {
+			return replica.Pool
+		}
+		return ""
+	}
+	c.aggregator.AddReports(reports, serviceOf, time.Now())
+	c.publishSuspects()
+}
+
+// publishSuspects tells the fleet which replicas its reports make suspect, when that changed or runs out, at most once
+// a heartbeat.
+func (c *Controller) publishSuspects() {
+	now := time.Now()
+	if !c.reports.evaluationDue(now) || !c.IsActivePrimary() {
+		return
+	}
+	size := map[string]int{} // replicas, by service
+	for _, replica := range c.updates.View().Replicas {
+		size[replica.Pool]++
+	}
+	if suspects, changed := c.aggregator.Evaluate(size, now); changed {
+		c.publish(state.UpdateSuspects{Replicas: suspects})
+	}
+}
--- /dev/null
+++ b/internal/controller/replica_list.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"go.uber.org/atomic"
+
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/discovery"
+	"shaletrestle/internal/state"
+)
+
+const (
+	// leaseRetryInterval is the pause while the list lease is wanted and not granted yet.
+	leaseRetryInterval = 50 * time.Millisecond
+	// failuresPerLog is how many failed readings make one line of the log.
+	failuresPerLog = 16
+)
+
+// replicaList reads the platform's list of replicas.
+type replicaList struct {
+	log      *slog.Logger
+	reader   *discovery.Reader
+	reads    atomic.Int64
+	failures atomic.Int64
+
+	mu     sync.Mutex // held while a reading is compared and published: readings don't overtake each other
+	differ *discovery.Differ
+}
+
+func newReplicaList(log *slog.Logger, reader *discovery.Reader) *replicaList {
+	return &replicaList{
+		log:    log.With("part", "discovery"),
+		reader: reader,
+		differ: discovery.NewDiffer(),
+	}
+}
+
+// readListWhileHeld reads the list at once when the lease comes, then each [discovery.ListInterval] while it is held.
+func (c *Controller) readListWhileHeld() {
+	for c.ctx.Err() == nil {
+		pause := leaseRetryInterval
+		if c.IsActivePrimary() && (c.listLease.Held() || c.listLease.Renew()) {
+			c.readList(false)
+			pause = discovery.ListInterval
+		}
+		if !wait.Sleep(c.ctx, pause) {
+			return
+		}
+	}
+}
+
+// readList reads the list and publishes its changes if the lease for it is held; the first time of an epoch needs none.
+func (c *Controller) readList(first bool) {
+	source := c.source.Load()
+	allowed := func() bool { return source != nil && c.source.Load() == source && (first || c.listLease.Held()) }
+	if !allowed() {
+		return
+	}
+	c.list.reads.Inc()
+	listed, err := c.list.reader.Read(c.ctx)
+	if err != nil {
+		if c.list.failures.Inc()%failuresPerLog == 1 {
+			c.list.log.Warn("cannot read replica list", "error", err.Error())
+		}
+		return
+	}
+	c.list.mu.Lock()
+	defer c.list.mu.Unlock()
+	c.publishIf(allowed, func() state.Event {
+		view := c.updates.View()
+		if changes := c.list.differ.Diff(view.Replicas, view.ReplicasKnown, listed); changes != nil {
+			return *changes
+		}
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/controller/retry_loans.go
@@ -0,0 +1,54 @@
+package controller
+
+import (
+	"time"
+
+	"shaletrestle/coord/fairshare"
+	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/durations"
+	"shaletrestle/internal/settings"
+)
+
+// newLender makes the lender of the part of the fleet's retry budget that no router has as its own.
+func newLender(env *settings.Settings) *fairshare.Lender {
+	lent := fairshare.BudgetMargin * fairshare.LentFraction * env.Bounds.BudgetSlack
+	window := durations.FromSeconds(env.Bounds.BudgetWindowS) + fairshare.LoanLifetime
+	return fairshare.NewLender(int64(lent), window)
+}
+
+// handleLoan lends retries out of the common part of a service's budget. Only the holder of the list lease lends, of
+// which there is one at a time; other members ask it once.
+func (c *Controller) handleLoan(message *rpc.Message) *rpc.Message {
+	if message.Call == 0 {
+		return nil
+	}
+	if !c.IsActivePrimary() {
+		return c.forwardLoan(message)
+	}
+	since, held := c.listLease.HeldSince()
+	if !held {
+		return message.Reply(false)
+	}
+	wanted := int64(min(message.Number, fairshare.LoanRetries))
+	lent := c.lender.Lend(message.Text, wanted, since, time.Now())
+	if !c.listLease.Held() { // this process may have stood still in between
+		return message.Reply(false)
+	}
+	reply := message.Reply(true)
+	reply.Number = uint64(lent)
+	return reply
+}
+
+// forwardLoan asks the primary. A request that was forwarded already (OK) is not forwarded again.
+func (c *Controller) forwardLoan(message *rpc.Message) *rpc.Message {
+	primary, known := c.member.Primary()
+	if !known || message.OK || primary.ID == c.member.Self().ID {
+		return message.Reply(false)
+	}
+	forwarded := &rpc.Message{Kind: rpc.Loan, OK: true, Text: message.Text, Number: message.Number}
+	reply, err := c.pool.Call(primary.Address, forwarded, fairshare.LoanTimeout)
+	if err != nil {
+		return message.Reply(false)
+	}
+	return reply
+}
--- /dev/null
+++ b/internal/controller/updates.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"time"
+
+	"shaletrestle/coord/lease"
+	"shaletrestle/internal/state"
+)
+
+// becomePrimary makes this process the source of the updates of an epoch. The member calls it before it does anything
+// else as primary.
+func (c *Controller) becomePrimary(epoch uint64) {
+	c.follower.Disconnect()
+	source := c.feed.Begin(epoch, c.firstSnapshot)
+	if c.source.Swap(source) == nil {
+		c.primarySince.Store(time.Now().UnixNano())
+	}
+	if source == nil {
+		c.log.Warn("updates not published: a newer epoch is known", "epoch", epoch)
+		return
+	}
+	// Once without the lease: that one decides who reads again and again, and is granted only later. The reading ends
+	// with the context.
+	go c.readList(true)
+}
+
+// firstSnapshot is the state that a source begins with: configuration and evacuations from the replicated state, the
+// rest as this process knows it as a relay.
+func (c *Controller) firstSnapshot() []byte {
+	view := *c.replicated.View()
+	relayed := c.updates.View()
+	view.History = nil // followers decide on no changes
+	view.Replicas = relayed.Replicas
+	view.ReplicasKnown = relayed.ReplicasKnown
+	view.FleetSize = relayed.FleetSize
+	view.Nodes = relayed.Nodes
+	view.Controllers = relayed.Controllers
+	return view.Encode()
+}
+
+// stepDown ends this process's being the source: it is no longer primary.
+func (c *Controller) stepDown() {
+	c.source.Store(nil)
+	c.feed.End()
+	c.aggregator.Reset()
+}
+
+// publishCommitted publishes what the replicated state has taken in.
+func (c *Controller) publishCommitted(_, _ *state.View, event state.Event) {
+	switch event := event.(type) {
+	case nil: // a snapshot was restored; followers get one of their own
+	case state.ConfigEvent:
+		c.publish(event.WithoutDigest())
+	default:
+		c.publish(event)
+	}
+}
+
+// publish pushes an event to the followers if this process is the source.
+func (c *Controller) publish(event state.Event) {
+	if source := c.source.Load(); source != nil {
+		source.Push(state.EncodeEvent(event))
+	}
+}
+
+// publishIf pushes the event that makeEvent gives, if it gives one and the condition still holds at the last moment.
+func (c *Controller) publishIf(holds func() bool, makeEvent func() state.Event) {
+	source := c.source.Load()
+	if source == nil || !holds() {
+		return
+	}
+	if event := makeEvent(); event != nil {
+		source.PushIf(holds, state.EncodeEvent(event))
+	}
+}
+
+// wantsListLease tells whether this process should hold the list lease. One that has just become primary waits for a
+// lease's span: its grantors may be others than those that granted the lease of the primary before it.
+func (c *Controller) wantsListLease() bool {
+	inOffice := time.Duration(time.Now().UnixNano() - c.primarySince.Load())
+	return c.IsActivePrimary() && !c.shuttingDown.Load() && inOffice >= lease.Duration
+}
+
+// IsActivePrimary tells whether this process is primary and the source of the updates.
+func (c *Controller) IsActivePrimary() bool { return c.source.Load() != nil }
