--- a/internal/prefixindex/sketch.go
+++ b/internal/prefixindex/sketch.go
@@ -2,6 +2,8 @@
 
 import (
 	"math"
+
+	"shaletrestle/internal/splitmix"
 )
 
 // Sketch counts sightings of keys in little memory. It is a count-min sketch
@@ -18,7 +20,7 @@
 		s.additions = 0
 		s.halve()
 	}
-	hash := mix(uint64(key))
+	hash := splitmix.Mix(uint64(key))
 	for row := range s.rows {
 		counter := s.counter(row, hash)
 		if *counter < math.MaxUint16 {
@@ -31,7 +33,7 @@
 // Count is how often a key was seen, or a little more.
 func (s *Sketch) Count(key Key) int {
 	count := math.MaxUint16
-	hash := mix(uint64(key))
+	hash := splitmix.Mix(uint64(key))
 	for row := range s.rows {
 		count = min(count, int(*s.counter(row, hash)))
 	}
@@ -53,12 +55,3 @@
 	column := (hash + uint64(row)*step) % sketchWidth
 	return &s.rows[row][column]
 }
-
-// mix spreads the bits of a key; it is the finalizer of SplitMix64.
-func mix(bits uint64) uint64 {
-	bits ^= bits >> 30
-	bits *= 0xbf58476d1ce4e5b9
-	bits ^= bits >> 27
-	bits *= 0x94d049bb133111eb
-	return bits ^ bits>>31
-}
