--- a/internal/placement/waiting_test.go
+++ b/internal/placement/fleetload_test.go
@@ -11,7 +11,7 @@
 	"shaletrestle/internal/prefixindex"
 )
 
-func TestAPromptPassesByAReplicaWhereOthersWait(t *testing.T) {
+func TestPlace_OtherNodesPromptsWaitAtHome_AnotherChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sum := loadsum.NewSum()
 		here, there := NewPlacer(prefixindex.NewIndex()), NewPlacer(prefixindex.NewIndex())
@@ -24,8 +24,7 @@
 		for range 40 { // another node's prompts, all for the same home
 			a := ask(chain(7, 6000))
 			a.CapacityTokens = 1 << 30
-			y := there.replicas[home.Replica.ID]
-			y.pendingTokens += float64(a.Chain.Tokens())
+			there.replicas[home.Replica.ID].sent.unreadTokens += float64(a.Chain.Tokens())
 		}
 		sum.Put(1, here.PendingPrefill(), time.Now())
 		sum.Put(2, there.PendingPrefill(), time.Now())
@@ -40,26 +39,26 @@
 		here.Release(&Attempt{ReplicaID: next.Replica.ID, Chain: short().Chain})
 		time.Sleep(fleetLoadLifetime)
 		again, _ := here.Place(short())
-		require.Equal(t, home.Replica.ID, again.Replica.ID, "what was heard has faded")
+		require.Equal(t, home.Replica.ID, again.Replica.ID, "the sum has faded")
 	})
 }
 
-func TestOwnPromptsAreNotCountedTwice(t *testing.T) {
+func TestUpdateFleetLoad_OwnPrompts_NotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := NewPlacer(prefixindex.NewIndex())
-		y.SetReplicas(fleet(9), nil, 0)
-		b := y.replicas["r3"]
-		b.pendingTokens = 50000
-		ps := y.PendingPrefill()
-		require.Equal(t, []loadsum.Load{{Key: loadsum.Key("r3"), Tokens: 50000}}, ps)
-		y.UpdateFleetLoad(ps)
+		placer := NewPlacer(prefixindex.NewIndex())
+		placer.SetReplicas(fleet(9), nil, 0)
+		b := placer.replicas["r3"]
+		b.sent.unreadTokens = 50000
+		loads := placer.PendingPrefill()
+		require.Equal(t, []loadsum.Load{{Key: loadsum.Key("r3"), Tokens: 50000}}, loads)
+		placer.UpdateFleetLoad(loads)
 		require.Zero(t, b.otherNodesTokens(time.Now()), "they are this process's own")
-		y.UpdateFleetLoad([]loadsum.Load{{Key: loadsum.Key("r4"), Tokens: 70000}, {Key: loadsum.Key("r3"), Tokens: 60000}, {Key: 12345, Tokens: 1}})
-		require.InDelta(t, 70000, y.replicas["r4"].otherNodesTokens(time.Now()), 1)
+		placer.UpdateFleetLoad([]loadsum.Load{{Key: loadsum.Key("r4"), Tokens: 70000}, {Key: loadsum.Key("r3"), Tokens: 60000}, {Key: 12345, Tokens: 1}})
+		require.InDelta(t, 70000, placer.replicas["r4"].otherNodesTokens(time.Now()), 1)
 		require.InDelta(t, 10000, b.otherNodesTokens(time.Now()), 1)
 		time.Sleep(fleetLoadLifetime / 2)
-		require.InDelta(t, 35000, y.replicas["r4"].otherNodesTokens(time.Now()), 1)
-		y.UpdateFleetLoad(nil)
-		require.Zero(t, y.replicas["r4"].otherNodesTokens(time.Now()))
+		require.InDelta(t, 35000, placer.replicas["r4"].otherNodesTokens(time.Now()), 1)
+		placer.UpdateFleetLoad(nil)
+		require.Zero(t, placer.replicas["r4"].otherNodesTokens(time.Now()))
 	})
 }
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -1,45 +1,102 @@
 package placement
 
 import (
+	"fmt"
 	"math"
 
 	"shaletrestle/internal/prefixindex"
+)
 
-	"shaletrestle/internal/errkind"
+// Defaults of the options, see there.
+const (
+	// defaultOverlapCredit is one block for each block held (source).
+	defaultOverlapCredit = 1.0
+	// defaultRereadWeight: reading a shared block where it is not held costs its time, and room and wavering besides.
+	defaultRereadWeight = 16.0
+	// defaultPrefillLoadScale: memory held hardly slows a step, reading does.
+	defaultPrefillLoadScale = 64.0
+	// defaultActiveWeight is about a block's reading, for a request's part of each step.
+	defaultActiveWeight = 64.0
+	// defaultCreditDecayBlocks is off: the queue itself already weighs against the credit.
+	defaultCreditDecayBlocks = 0.0
+	// defaultOtherZoneBlocks: the way to another zone and back takes about as long as reading so many blocks.
+	defaultOtherZoneBlocks = 16.0
+	// defaultFullMark is the occupancy above which a home is passed over (source).
+	defaultFullMark = 0.85
 )
 
-// Options of the placement policy. Loads are counted in blocks.
+// Options of the placement policy. Loads are counted in blocks of prompt tokens; a decode block is one that a running
+// request holds in memory, and the unit of the cost.
 type Options struct {
-	BlockTokens       int     `yaml:"block_tokens"`        // tokens a block
-	OverlapCredit     float64 `yaml:"overlap_credit"`      // blocks of credit for a block that the index names
-	RereadWeight      float64 `yaml:"reread_weight"`       // blocks that a shared block counts for where it must be read, and its credit where it need not
-	PrefillLoadScale  float64 `yaml:"prefill_load_scale"`  // decode blocks that weigh as much as one block to be read
-	CountActive       bool    `yaml:"count_active"`        // whether active requests count
-	ActiveWeight      float64 `yaml:"active_weight"`       // decode blocks that one of them counts for
-	CreditDecayBlocks float64 `yaml:"credit_decay_blocks"` // blocks in line at which credit is halved; 0: never
-	OtherZoneBlocks   float64 `yaml:"other_zone_blocks"`   // blocks to be read that another locality counts for
-	FullMark          float64 `yaml:"full_mark"`           // part of slots or memory beyond which requests wait or are read anew
+	// BlockTokens is the number of tokens in a block, at least 1. Default 16 (source: m02 and session caching 4.1).
+	BlockTokens int `yaml:"block_tokens"`
+	// OverlapCredit is the credit in blocks for each full block that a replica is believed to hold. Default 1
+	// (source: session caching 4.4).
+	OverlapCredit float64 `yaml:"overlap_credit"`
+	// RereadWeight is the number of blocks that a shared block counts for where it must be read, and in the credit
+	// where it need not; for a prompt with no time to spare it counts as 1. Default 16 (ours).
+	RereadWeight float64 `yaml:"reread_weight"`
+	// PrefillLoadScale is the number of decode blocks that weigh as much as one block to be read. Default 64 (the
+	// term is that of session caching 4.4, the value ours).
+	PrefillLoadScale float64 `yaml:"prefill_load_scale"`
+	// CountActive tells whether active requests count by their number. Default true (the term is that of session
+	// caching 4.4, where it is off).
+	CountActive bool `yaml:"count_active"`
+	// ActiveWeight is the number of decode blocks that one active request counts for. Default 64 (ours).
+	ActiveWeight float64 `yaml:"active_weight"`
+	// CreditDecayBlocks is the number of blocks waiting to be read at which the credit is halved; 0 means never.
+	// Default 0 (the decay is an option of session caching 4.4).
+	CreditDecayBlocks float64 `yaml:"credit_decay_blocks"`
+	// OtherZoneBlocks is the number of blocks to be read that a replica in another zone counts for. Default 16 (ours).
+	OtherZoneBlocks float64 `yaml:"other_zone_blocks"`
+	// FullMark is the part of slots or memory, 0 to 1, beyond which requests wait or are read anew. Default 0.85
+	// (source: m02).
+	FullMark float64 `yaml:"full_mark"`
 }
 
 // Defaults are the options of a settings file that names none.
 func Defaults() Options {
-	return Options{BlockTokens: prefixindex.BlockTokens, OverlapCredit: defaultOverlapCredit, RereadWeight: defaultRereadWeight, PrefillLoadScale: defaultPrefillLoadScale, CountActive: true,
-		ActiveWeight: defaultActiveWeight, CreditDecayBlocks: defaultCreditDecayBlocks, OtherZoneBlocks: defaultOtherZoneBlocks, FullMark: defaultFullMark}
+	return Options{
+		BlockTokens:       prefixindex.BlockTokens,
+		OverlapCredit:     defaultOverlapCredit,
+		RereadWeight:      defaultRereadWeight,
+		PrefillLoadScale:  defaultPrefillLoadScale,
+		CountActive:       true,
+		ActiveWeight:      defaultActiveWeight,
+		CreditDecayBlocks: defaultCreditDecayBlocks,
+		OtherZoneBlocks:   defaultOtherZoneBlocks,
+		FullMark:          defaultFullMark,
+	}
 }
 
-// Check tells what is wrong with the options.
+// An OptionError says which option is out of its range.
+type OptionError struct {
+	Option string // as the settings file names it
+	Want   string // what it must be
+}
+
+func (e *OptionError) Error() string { return fmt.Sprintf("placement.%s must be %s", e.Option, e.Want) }
+
+// Check gives an [OptionError] for the first option that is out of its range, nil if there is none.
 func (o *Options) Check() error {
-	for _, x := range []struct {
-		f string
-		v float64
-	}{{"overlap_credit", o.OverlapCredit}, {"reread_weight", o.RereadWeight}, {"prefill_load_scale", o.PrefillLoadScale}, {"active_weight", o.ActiveWeight},
-		{"credit_decay_blocks", o.CreditDecayBlocks}, {"other_zone_blocks", o.OtherZoneBlocks}, {"full_mark", o.FullMark}} {
-		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
-			return errkind.New(errkind.InvalidSettings, "settings: placement.%s must be a number of 0 or more", x.f)
+	for _, option := range []struct {
+		name  string
+		value float64
+	}{
+		{"overlap_credit", o.OverlapCredit},
+		{"reread_weight", o.RereadWeight},
+		{"prefill_load_scale", o.PrefillLoadScale},
+		{"active_weight", o.ActiveWeight},
+		{"credit_decay_blocks", o.CreditDecayBlocks},
+		{"other_zone_blocks", o.OtherZoneBlocks},
+		{"full_mark", o.FullMark},
+	} {
+		if option.value < 0 || math.IsNaN(option.value) || math.IsInf(option.value, 0) {
+			return &OptionError{Option: option.name, Want: "a number of 0 or more"}
 		}
 	}
 	if o.BlockTokens < 1 {
-		return errkind.New(errkind.InvalidSettings, "settings: placement.block_tokens must be 1 or more")
+		return &OptionError{Option: "block_tokens", Want: "1 or more"}
 	}
 	return nil
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/outlier"
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/state"
 )
@@ -30,13 +31,13 @@
 	return &Request{Pool: "p", Zone: "a", Chain: c, CapacityTokens: 100000, LatencyTarget: 800 * time.Millisecond, Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 2 }}
 }
 
-func TestNodesAgreeOnHomes(t *testing.T) {
+func TestPlace_SeveralNodes_AgreeOnHomes(t *testing.T) {
 	for doc := range uint64(20) {
 		var at string
 		for range 4 {
-			y := NewPlacer(prefixindex.NewIndex())
-			y.SetReplicas(fleet(9), nil, 0)
-			c, ok := y.Place(ask(chain(doc+10, 50)))
+			placer := NewPlacer(prefixindex.NewIndex())
+			placer.SetReplicas(fleet(9), nil, 0)
+			c, ok := placer.Place(ask(chain(doc+10, 50)))
 			require.True(t, ok)
 			if at == "" {
 				at = c.Replica.ID
@@ -46,80 +47,80 @@
 	}
 }
 
-func TestAFullHomeIsPassedOver(t *testing.T) {
-	y := NewPlacer(prefixindex.NewIndex())
-	y.SetReplicas(fleet(9), nil, 0)
+func TestPlace_HomeFull_AnotherChosen(t *testing.T) {
+	placer := NewPlacer(prefixindex.NewIndex())
+	placer.SetReplicas(fleet(9), nil, 0)
 	a := ask(chain(7, 50))
-	home, _ := y.Place(a)
-	y.UpdateLoad(home.Replica.ID, 8, 0, 8)
-	next, _ := y.Place(a)
+	home, _ := placer.Place(a)
+	placer.UpdateLoad(home.Replica.ID, LoadReport{Running: 8, Slots: 8})
+	next, _ := placer.Place(a)
 	require.NotEqual(t, home.Replica.ID, next.Replica.ID)
-	y.UpdateLoad(home.Replica.ID, 1, 0, 8)
-	again, _ := y.Place(a)
+	placer.UpdateLoad(home.Replica.ID, LoadReport{Running: 1, Slots: 8})
+	again, _ := placer.Place(a)
 	require.Equal(t, home.Replica.ID, again.Replica.ID)
 }
 
-func TestAWarmerReplicaWinsOnlyIfItSavesMoreThanTheWait(t *testing.T) {
-	x := prefixindex.NewIndex()
-	y := NewPlacer(x)
-	y.SetReplicas(fleet(9), nil, 0)
+func TestPlace_WarmerReplica_WinsIfItSavesMoreThanTheWait(t *testing.T) {
+	index := prefixindex.NewIndex()
+	placer := NewPlacer(index)
+	placer.SetReplicas(fleet(9), nil, 0)
 	c := chain(7, 4000)
-	home, _ := y.Place(ask(c))
-	y.Release(&Attempt{ReplicaID: home.Replica.ID, Chain: c, MatchedTokens: home.MatchedTokens})
+	home, _ := placer.Place(ask(c))
+	placer.Release(&Attempt{ReplicaID: home.Replica.ID, Chain: c, MatchedTokens: home.MatchedTokens})
 	other := "r0"
 	if home.Replica.ID == other {
 		other = "r1"
 	}
 	for range 2 {
-		x.RecordSent(other, 100000, c, "p") // it keeps the own part too
+		index.RecordSent(other, 100000, c, "p") // it holds the own part too
 	}
-	got, _ := y.Place(ask(c))
+	got, _ := placer.Place(ask(c))
 	require.Equal(t, other, got.Replica.ID)
 	require.True(t, got.Warmer)
-	y.mu.Lock()
-	y.replicas[other].pendingTokens = 1e5 // a long line there
-	y.mu.Unlock()
-	got, _ = y.Place(ask(c))
+	placer.mu.Lock()
+	placer.replicas[other].sent.unreadTokens = 1e5 // a long queue there
+	placer.mu.Unlock()
+	got, _ = placer.Place(ask(c))
 	require.Equal(t, home.Replica.ID, got.Replica.ID)
 }
 
-func TestClosedReplicasGetNothing(t *testing.T) {
+func TestPlace_DrainingEvacuatedOrMisaddressed_GetNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := NewPlacer(prefixindex.NewIndex())
-		rs := fleet(4)
-		rs["r0"].State = "draining"
-		y.SetReplicas(rs, map[string]bool{"b": true}, 0)
-		y.MarkMisaddressed("r2")
+		placer := NewPlacer(prefixindex.NewIndex())
+		replicas := fleet(4)
+		replicas["r0"].State = "draining"
+		placer.SetReplicas(replicas, map[string]bool{"b": true}, 0)
+		placer.MarkMisaddressed("r2")
 		for range 20 {
-			c, ok := y.Place(&Request{Pool: "p", Zone: "a", Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 0 }})
+			c, ok := placer.Place(&Request{Pool: "p", Zone: "a", Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 0 }})
 			require.True(t, ok)
 			require.Equal(t, "r3", c.Replica.ID)
-			require.True(t, y.Allowed("r3"))
-			require.False(t, y.Allowed("r0") || y.Allowed("r1") || y.Allowed("r2"))
+			require.True(t, placer.Allowed("r3"))
+			require.False(t, placer.Allowed("r0") || placer.Allowed("r1") || placer.Allowed("r2"))
 		}
-		y.Health().RecordFailure("r3", outlier.Timeout, time.Now())
-		_, ok := y.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
+		placer.Health().RecordFailure("r3", outlier.Timeout, time.Now())
+		_, ok := placer.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
 		require.False(t, ok)
 		time.Sleep(outlier.FirstEjectionTime)
-		_, ok = y.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
+		_, ok = placer.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
 		require.True(t, ok, "after the ejection one trial, whatever else is still out there")
-		_, ok = y.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
+		_, ok = placer.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
 		require.False(t, ok, "and only one")
-		y.FirstToken(&Attempt{ReplicaID: "r3"}, 0, 0)
-		_, ok = y.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
+		placer.FirstToken(&Attempt{ReplicaID: "r3"}, 0, 0)
+		_, ok = placer.Place(&Request{Pool: "p", WarmupRate: func(string) float64 { return 0 }})
 		require.True(t, ok)
 	})
 }
 
-func TestColdReplicasGetTheirRateOnly(t *testing.T) {
+func TestPlace_WarmingUp_GetsItsRateOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := NewPlacer(prefixindex.NewIndex())
-		rs := fleet(1)
-		rs["r0"].WarmupLeftMs = 3000
-		y.SetReplicas(rs, nil, 0)
+		placer := NewPlacer(prefixindex.NewIndex())
+		replicas := fleet(1)
+		replicas["r0"].WarmupLeftMs = 3000
+		placer.SetReplicas(replicas, nil, 0)
 		n := 0
 		for range 100 {
-			if c, ok := y.Place(ask(chain(3, 10))); ok {
+			if c, ok := placer.Place(ask(chain(3, 10))); ok {
 				require.True(t, c.WarmingUp)
 				n++
 			}
@@ -129,61 +130,85 @@
 	})
 }
 
-func TestALocalityThatComesBackIsColdForAWhile(t *testing.T) {
+func TestPlace_ZoneBackFromEvacuation_WarmsUpForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := NewPlacer(prefixindex.NewIndex())
-		y.SetReplicas(fleet(1), map[string]bool{"a": true}, time.Second)
-		y.SetReplicas(fleet(1), nil, time.Second)
-		c, ok := y.Place(ask(chain(3, 10)))
+		placer := NewPlacer(prefixindex.NewIndex())
+		placer.SetReplicas(fleet(1), map[string]bool{"a": true}, time.Second)
+		placer.SetReplicas(fleet(1), nil, time.Second)
+		c, ok := placer.Place(ask(chain(3, 10)))
 		require.True(t, ok)
 		require.True(t, c.WarmingUp)
 		time.Sleep(time.Second)
-		c, _ = y.Place(ask(chain(3, 10)))
+		c, _ = placer.Place(ask(chain(3, 10)))
 		require.False(t, c.WarmingUp)
 	})
 }
 
-func TestTheOwnLocalityIsPreferredWhileItIsNotBusier(t *testing.T) {
-	y := NewPlacer(prefixindex.NewIndex())
-	y.SetReplicas(fleet(3), nil, 0)
+func TestPlace_SameZone_PreferredWhileNotMoreLoaded(t *testing.T) {
+	placer := NewPlacer(prefixindex.NewIndex())
+	placer.SetReplicas(fleet(3), nil, 0)
 	for range 50 {
-		c, _ := y.Place(&Request{Pool: "p", Zone: "a"})
+		c, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
 		require.Equal(t, "r0", c.Replica.ID)
-		y.Release(&Attempt{ReplicaID: c.Replica.ID})
+		placer.Release(&Attempt{ReplicaID: c.Replica.ID})
 	}
-	y.UpdateLoad("r0", 8, 3, 8)
+	placer.UpdateLoad("r0", LoadReport{Running: 8, Waiting: 3, Slots: 8})
 	away := 0
 	for range 50 {
-		c, _ := y.Place(&Request{Pool: "p", Zone: "a"})
+		c, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
 		if c.Replica.ID != "r0" {
 			away++
 		}
-		y.Release(&Attempt{ReplicaID: c.Replica.ID})
+		placer.Release(&Attempt{ReplicaID: c.Replica.ID})
 	}
 	require.Greater(t, away, 10)
 }
 
-func TestTheTimePerTokenIsLearnedDownQuicklyAndUpSlowly(t *testing.T) {
-	r := 100.0
-	for range 20 {
-		learn(&r, 10)
-	}
-	require.Less(t, r, 12.0)
-	for range 5 {
-		learn(&r, 100)
-	}
-	require.Less(t, r, 25.0)
-}
-
-func TestAReplicasWordOfItsQueueAges(t *testing.T) {
+func TestIsQueued_ReportAges_False(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := NewPlacer(prefixindex.NewIndex())
-		y.SetReplicas(fleet(2), nil, 0)
-		y.UpdateLoad("r0", 8, 3, 8)
-		y.UpdateLoad("r1", 8, 0, 8)
-		require.True(t, y.IsQueued("r0"))
-		require.False(t, y.IsQueued("r1") || y.IsQueued("nobody"))
+		placer := NewPlacer(prefixindex.NewIndex())
+		placer.SetReplicas(fleet(2), nil, 0)
+		placer.UpdateLoad("r0", LoadReport{Running: 8, Waiting: 3, Slots: 8})
+		placer.UpdateLoad("r1", LoadReport{Running: 8, Slots: 8})
+		require.True(t, placer.IsQueued("r0"))
+		require.False(t, placer.IsQueued("r1") || placer.IsQueued("nobody"))
 		time.Sleep(queuedReportLifetime)
-		require.False(t, y.IsQueued("r0"))
+		require.False(t, placer.IsQueued("r0"))
 	})
 }
+
+func TestPlace_FirstHome_ExpectedPartInPrediction(t *testing.T) {
+	index := prefixindex.NewIndex()
+	placer := NewPlacer(index)
+	placer.SetReplicas(fleet(9), nil, 0)
+	c := chain(7, 50)
+	got, ok := placer.Place(ask(c))
+	require.True(t, ok)
+	require.Equal(t, 2096, got.MatchedTokens)
+	require.Equal(t, baseTTFT+durations.FromSeconds(float64(c.Tokens()-2096)*InitialPrefillPerToken.Seconds()), got.UnloadedTTFT)
+	b := placer.replicas[got.Replica.ID]
+	require.Equal(t, float64(c.Tokens()-2096), b.sent.unreadTokens)
+	placer.Release(&Attempt{ReplicaID: got.Replica.ID, Chain: c, MatchedTokens: got.MatchedTokens})
+	require.Zero(t, b.sent.unreadTokens)
+}
+
+func TestFirstToken_OnlyExpectedPartLate_HintStays(t *testing.T) {
+	index := prefixindex.NewIndex()
+	placer := NewPlacer(index)
+	placer.SetReplicas(fleet(9), nil, 0)
+	c := chain(7, 50)
+	home, _ := placer.Place(ask(c))
+	first := prefixindex.NewChain(prefixindex.RootKey("m", 1), c.Parts[:1])
+	for range prefixindex.MinSightings {
+		index.RecordSent(home.Replica.ID, 100000, first, "p") // the preamble only
+	}
+	slow := func(c *prefixindex.Chain, matched int) {
+		for range prefixindex.MaxContradictions {
+			placer.FirstToken(&Attempt{ReplicaID: home.Replica.ID, Chain: c, MatchedTokens: matched}, time.Minute, 0)
+		}
+	}
+	slow(c, home.MatchedTokens)
+	require.Equal(t, 96, index.Matched(home.Replica.ID, first))
+	slow(c, 96)
+	require.Zero(t, index.Matched(home.Replica.ID, first), "one that the index gave is contradicted")
+}
--- /dev/null
+++ b/internal/placement/stats.go
@@ -0,0 +1,53 @@
+package placement
+
+import (
+	"time"
+
+	"shaletrestle/coord/outlier"
+)
+
+// Stats is what the state page shows of a Placer. Counts are since the start of the process.
+type Stats struct {
+	Placed                int64                           `json:"placed"`
+	Spills                int64                           `json:"spills"` // see [Choice].Spilled
+	Warmer                int64                           `json:"warmer"` // see [Choice].Warmer
+	PrefillMicrosPerToken float64                         `json:"prefill_us_per_token"`
+	Replicas              map[string]ReplicaStats         `json:"replicas"` // by id
+	Health                map[string]outlier.ReplicaStats `json:"health"`   // by id; only those with something against them
+}
+
+// ReplicaStats is one replica on the state page.
+type ReplicaStats struct {
+	Pool         string `json:"service"`
+	Zone         string `json:"locality"`
+	State        string `json:"state"`    // by the list
+	Inflight     int    `json:"inflight"` // requests of this process
+	WarmingUp    bool   `json:"cold"`
+	Misaddressed bool   `json:"address_reused"`
+}
+
+// Stats gives the state of the moment.
+func (p *Placer) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	stats := Stats{
+		Placed:                p.counts.placed,
+		Spills:                p.counts.spilled,
+		Warmer:                p.counts.warmer,
+		PrefillMicrosPerToken: p.rates.prefillPerToken * 1e6,
+		Replicas:              make(map[string]ReplicaStats, len(p.replicas)),
+		Health:                p.health.Stats(now),
+	}
+	for id, replica := range p.replicas {
+		stats.Replicas[id] = ReplicaStats{
+			Pool:         replica.replica.Pool,
+			Zone:         replica.replica.Zone,
+			State:        replica.replica.State,
+			Inflight:     replica.sent.requests,
+			WarmingUp:    replica.isWarmingUp(now),
+			Misaddressed: replica.misaddressed,
+		}
+	}
+	return stats
+}
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -9,6 +9,7 @@
 	"shaletrestle/coord/outlier"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/httpreply"
+	"shaletrestle/internal/placement"
 	"shaletrestle/internal/upstream"
 )
 
@@ -44,7 +45,7 @@
 
 func (req *request) recordLoad(id, load string) {
 	if v, ok := parseLoad(load); ok {
-		req.router.placer.UpdateLoad(id, v[0], v[1], v[2])
+		req.router.placer.UpdateLoad(id, placement.LoadReport{Running: v[0], Waiting: v[1], Slots: v[2]})
 		req.router.longWork.recordLoad(req.wanted.Pool, id, v)
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -25,7 +25,7 @@
 		func() error { return e.checkControl(need) },
 		func() error { return e.checkAddresses(need) },
 		e.checkBounds,
-		e.Placement.Check,
+		e.checkPlacement,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -35,6 +35,11 @@
 	return nil
 }
 
+// checkPlacement checks the options of placement, whose ranges stand with them.
+func (e *Settings) checkPlacement() error {
+	return errkind.Wrap(errkind.InvalidSettings, e.Placement.Check(), "settings")
+}
+
 // field is a text field of the settings with its name.
 type field struct {
 	name  string
