--- /dev/null
+++ b/internal/adminapi/primary.go
@@ -0,0 +1,92 @@
+package adminapi
+
+import (
+	"sync"
+	"time"
+
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/httpreply"
+)
+
+const (
+	takeoverPollInterval = 20 * time.Millisecond // between two looks for a new primary
+	// takeoverTimeout is how long after the loss of a primary was noticed a takeover that succeeds has ended.
+	takeoverTimeout = 1500 * time.Millisecond
+	// takeoverReserve is what a call needs of its time once there is a primary again.
+	takeoverReserve = 200 * time.Millisecond
+)
+
+// primaryLoss remembers since when calls find no primary.
+type primaryLoss struct {
+	mu    sync.Mutex
+	since time.Time // zero while there is a primary; guarded by mu
+}
+
+func (l *primaryLoss) clear() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.since = time.Time{}
+}
+
+// lasted tells for how long no primary is known; a loss that is new begins now.
+func (l *primaryLoss) lasted(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.since.IsZero() {
+		l.since = now
+	}
+	return now.Sub(l.since)
+}
+
+// onPrimary answers a call here if this process is primary, points to the primary if another is, and says so if none
+// is known. While a takeover may be under way it waits a little for its end.
+func (s *Server) onPrimary(c *call, answer func(*call)) {
+	for {
+		address, here := s.control.Primary()
+		if here || address != "" {
+			s.primaryLoss.clear()
+		}
+		if here {
+			answer(c)
+			return
+		}
+		if address != "" {
+			redirect(c, address)
+			return
+		}
+		if !s.mayAwaitTakeover(c) || !wait.Sleep(s.ctx, takeoverPollInterval) {
+			httpreply.Error(c.writer, errNoPrimary)
+			return
+		}
+	}
+}
+
+// mayAwaitTakeover tells whether the primary was lost so lately that a takeover may be under way, and whether the
+// caller can wait for it. A member that is cut off answers at once: another one may know more.
+func (s *Server) mayAwaitTakeover(c *call) bool {
+	now := time.Now()
+	lost := s.primaryLoss.lasted(now)
+	callerGone := c.request.Context().Err() != nil
+	left := c.deadline.Sub(now)
+	return !callerGone && lost < takeoverTimeout && left > takeoverReserve
+}
+
+func redirect(c *call, address string) {
+	c.writer.Header().Set("Location", "http://"+address+c.request.URL.RequestURI())
+	httpreply.JSON(c.writer, errkind.NotPrimary.Status(), map[string]string{"error": errkind.NotPrimary.Text()})
+}
+
+// replyError answers an error. A member that is no longer primary points to the new one, if it knows it.
+func (s *Server) replyError(c *call, err error) {
+	if errkind.KindOf(err) != errkind.NotPrimary {
+		httpreply.Error(c.writer, err)
+		return
+	}
+	address, here := s.control.Primary()
+	if here || address == "" { // nobody is to be sent round in a circle
+		httpreply.Error(c.writer, errNoPrimary)
+		return
+	}
+	redirect(c, address)
+}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,4 +1,7 @@
-// Package adminapi answers the operator over HTTP.
+// Package adminapi answers the operator's HTTP calls at the control address: reading and changing the configuration,
+// evacuating zones and readmitting them. It parses a call, bounds its time, and gives it to the [ControlState], which
+// decides; it holds no state but since when no primary is known. Errors become a status and a text here (package
+// errkind has the table).
 package adminapi
 
 import (
@@ -9,11 +12,8 @@
 	"net/url"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"github.com/labstack/echo/v4"
 
 	"shaletrestle/internal/errkind"
@@ -21,14 +21,34 @@
 	"shaletrestle/internal/state"
 )
 
-// Server serves the control address.
-type Server struct {
-	ctx    context.Context
-	log    *slog.Logger
-	orders ControlState
+// MaxConfigurationBytes is the size of the largest configuration accepted.
+const MaxConfigurationBytes = 16 << 20
+
+const (
+	// callTimeout is the time from a call's arrival to its answer: callers move on after a second of silence.
+	callTimeout = 850 * time.Millisecond
+	// largeBodyBytes is the size of a body beyond which callers wait longer for the answer.
+	largeBodyBytes = 256 << 10
+	// largeBodyTimeout is the time that a call with a large body has from its end, at least.
+	largeBodyTimeout = 500 * time.Millisecond
+)
 
-	mu          sync.Mutex
-	noPrimaryAt time.Time // since when calls found no primary; zero while there is one
+// Answers to calls that reach no decision.
+var (
+	errNoPrimary       = errkind.New(errkind.Unavailable, "no primary is known")
+	errNoSuchCall      = errkind.New(errkind.NoRoute, "no such call")
+	errNoConfiguration = errkind.New(errkind.NoRoute, "no configuration yet")
+	errBodyIncomplete  = errkind.New(errkind.InvalidInput, "body can't be read whole")
+	errNoBaseRevision  = errkind.New(errkind.InvalidInput, "If-Match must name the version built on")
+	errNoZone          = errkind.New(errkind.InvalidInput, "no zone")
+)
+
+// Server serves the control address. It may be used by many goroutines.
+type Server struct {
+	ctx         context.Context // ends waits for a primary
+	log         *slog.Logger
+	control     ControlState
+	primaryLoss primaryLoss
 }
 
 // call is one call of the operator.
@@ -38,171 +58,111 @@
 	deadline time.Time
 }
 
-// New makes the operator's handler.
-func New(ctx context.Context, log *slog.Logger, orders ControlState) http.Handler {
-	s := &Server{ctx: ctx, log: log.With("part", "adminapi"), orders: orders}
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
+// New makes the operator's handler. The context ends the waits of calls for a primary.
+func New(ctx context.Context, log *slog.Logger, control ControlState) http.Handler {
+	s := &Server{ctx: ctx, log: log.With("part", "adminapi"), control: control}
+	router := echo.New()
+	router.HideBanner, router.HidePort = true, true
 	serve := func(c echo.Context) error {
 		s.dispatch(c.Response().Writer, c.Request())
 		return nil
 	}
-	e.Any("/*", serve)
-	e.RouteNotFound("/*", serve)
-	return e
+	router.Any("/*", serve)
+	router.RouteNotFound("/*", serve)
+	return router
 }
 
 func (s *Server) dispatch(w http.ResponseWriter, r *http.Request) {
-	c := &call{writer: w, request: r, deadline: time.Now().Add(orderWait)}
+	c := &call{writer: w, request: r, deadline: time.Now().Add(callTimeout)}
 	path := strings.Split(strings.Trim(r.URL.EscapedPath(), "/"), "/")
 	name := r.Method + " " + strings.Join(path[:min(2, len(path))], "/")
 	switch {
 	case len(path) == 2 && name == "GET v1/config":
-		s.route(c, s.read)
+		s.onPrimary(c, s.readConfig)
 	case len(path) == 2 && name == "PUT v1/config":
-		s.route(c, func(c *call) { s.config(c, putConfig) })
+		s.onPrimary(c, func(c *call) {
+			s.changeConfig(c, func(base int64, body []byte) state.Event { return state.NewPutConfig(base, body) })
+		})
 	case len(path) == 2 && name == "PATCH v1/config":
-		s.route(c, func(c *call) { s.config(c, patchConfig) })
+		s.onPrimary(c, func(c *call) {
+			s.changeConfig(c, func(base int64, body []byte) state.Event { return state.NewPatchConfig(base, body) })
+		})
 	case len(path) == 3 && name == "POST v1/evacuation":
-		s.route(c, func(c *call) { s.evacuate(c, path[2], evacuateZone) })
+		s.onPrimary(c, func(c *call) {
+			s.changeZone(c, path[2], func(zone string) state.Event { return state.EvacuateZone{Zone: zone} })
+		})
 	case len(path) == 3 && name == "DELETE v1/evacuation":
-		s.route(c, func(c *call) { s.evacuate(c, path[2], readmitZone) })
+		s.onPrimary(c, func(c *call) {
+			s.changeZone(c, path[2], func(zone string) state.Event { return state.ReadmitZone{Zone: zone} })
+		})
 	default:
-		httpreply.Error(w, errkind.New(errkind.NoRoute, "no such call"))
+		httpreply.Error(w, errNoSuchCall)
 	}
 }
 
-// route answers here, points to the primary, or says that none is known. While a takeover may be under way it
-// waits a little for its end.
-func (s *Server) route(c *call, here func(*call)) {
-	for {
-		address, mine := s.orders.Primary()
-		if mine || address != "" {
-			s.primaryFound()
-		}
-		if mine {
-			here(c)
-			return
-		}
-		if address != "" {
-			redirect(c, address)
-			return
-		}
-		if !s.worthWaiting(c) || !wait.Sleep(s.ctx, takeoverLook) {
-			httpreply.Error(c.writer, errkind.New(errkind.Unavailable, "no primary is known"))
-			return
-		}
-	}
-}
-
-func (s *Server) primaryFound() {
-	s.mu.Lock()
-	s.noPrimaryAt = time.Time{}
-	s.mu.Unlock()
-}
-
-// worthWaiting tells whether the primary was lost so lately that a takeover may be under way, and whether the
-// caller can wait for it. A member that is cut off answers at once: another one may know more.
-func (s *Server) worthWaiting(c *call) bool {
-	now := time.Now()
-	s.mu.Lock()
-	if s.noPrimaryAt.IsZero() {
-		s.noPrimaryAt = now
-	}
-	lost := now.Sub(s.noPrimaryAt)
-	s.mu.Unlock()
-	gone := c.request.Context().Err() != nil
-	left := c.deadline.Sub(now)
-	return !gone && lost < takeoverWait && left > takeoverLeaves
-}
-
-func redirect(c *call, address string) {
-	c.writer.Header().Set("Location", "http://"+address+c.request.URL.RequestURI())
-	httpreply.JSON(c.writer, errkind.NotPrimary.Status(), map[string]string{"error": errkind.NotPrimary.Text()})
-}
-
-// fault answers an error. A member that is no longer primary points to the new one, if it knows it.
-func (s *Server) fault(c *call, err error) {
-	if errkind.KindOf(err) != errkind.NotPrimary {
-		httpreply.Error(c.writer, err)
-		return
-	}
-	address, mine := s.orders.Primary()
-	if mine || address == "" {
-		httpreply.Error(c.writer, errkind.New(errkind.Unavailable, "no primary is known"))
-		return
-	}
-	redirect(c, address)
-}
-
-func (s *Server) read(c *call) {
-	v, err := s.orders.Read(s.ctx, c.deadline)
+func (s *Server) readConfig(c *call) {
+	view, err := s.control.Read(s.ctx, c.deadline)
 	switch {
 	case err != nil:
-		s.fault(c, err)
-	case v.Config.Revision == 0:
-		httpreply.Error(c.writer, errkind.New(errkind.NoRoute, "no configuration yet"))
+		s.replyError(c, err)
+	case view.Config.Revision == 0:
+		httpreply.Error(c.writer, errNoConfiguration)
 	default:
-		c.writer.Header().Set("ETag", strconv.Quote(strconv.FormatInt(v.Config.Revision, 10)))
-		httpreply.Bytes(c.writer, http.StatusOK, v.Config.JSON())
+		c.writer.Header().Set("ETag", strconv.Quote(strconv.FormatInt(view.Config.Revision, 10)))
+		httpreply.Bytes(c.writer, http.StatusOK, view.Config.JSON())
 	}
 }
 
-func (s *Server) config(c *call, event func(base int64, body []byte) state.Event) {
+func (s *Server) changeConfig(c *call, newEvent func(base int64, body []byte) state.Event) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, MaxConfigurationBytes))
 	if err != nil {
-		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "body can't be read whole"))
+		httpreply.Error(c.writer, errBodyIncomplete)
 		return
 	}
-	if after := time.Now().Add(afterLargeBody); len(body) > largeBody && c.deadline.Before(after) {
+	if after := time.Now().Add(largeBodyTimeout); len(body) > largeBodyBytes && c.deadline.Before(after) {
 		c.deadline = after
 	}
-	base, err := builtOn(c.request.Header.Get("If-Match"))
+	base, err := baseRevision(c.request.Header.Get("If-Match"))
 	if err != nil {
 		httpreply.Error(c.writer, err)
 		return
 	}
-	s.take(c, event(base, body))
+	s.commit(c, newEvent(base, body))
 }
 
-// builtOn reads the version that a change builds on.
-func builtOn(ifMatch string) (int64, error) {
+// baseRevision reads the revision that a change builds on: a number, quoted or not, weak or not.
+func baseRevision(ifMatch string) (int64, error) {
 	tag := strings.TrimPrefix(strings.TrimSpace(ifMatch), "W/")
 	base, err := strconv.ParseInt(strings.Trim(tag, `"`), 10, 64)
 	if err != nil || base < 0 {
-		return 0, errkind.New(errkind.InvalidInput, "If-Match must name the version built on")
+		return 0, errNoBaseRevision
 	}
 	return base, nil
 }
 
-func (s *Server) evacuate(c *call, segment string, event func(zone string) state.Event) {
+func (s *Server) changeZone(c *call, segment string, newEvent func(zone string) state.Event) {
 	zone, err := url.PathUnescape(segment)
 	if err != nil || zone == "" {
-		httpreply.Error(c.writer, errkind.New(errkind.InvalidInput, "no zone"))
+		httpreply.Error(c.writer, errNoZone)
 		return
 	}
-	s.take(c, event(zone))
+	s.commit(c, newEvent(zone))
 }
 
-func (s *Server) take(c *call, event state.Event) {
+func (s *Server) commit(c *call, event state.Event) {
 	request := &ChangeRequest{Event: event, Deadline: c.deadline, CallerGone: c.request.Context().Done()}
-	if err := s.orders.Commit(s.ctx, request); err != nil {
+	if err := s.control.Commit(s.ctx, request); err != nil {
 		s.logRejected(event, err)
-		s.fault(c, err)
+		s.replyError(c, err)
 		return
 	}
 	httpreply.JSON(c.writer, http.StatusOK, map[string]bool{"ok": true})
 }
 
 func (s *Server) logRejected(event state.Event, err error) {
-	attributes := []any{"kind", event.Kind(), "error", err.Error()}
+	base := int64(0)
 	if change, ok := event.(state.ConfigEvent); ok {
-		attributes = append(attributes, "base", change.BaseRevision())
+		base = change.BaseRevision()
 	}
-	s.log.Info("config change rejected", attributes...)
+	s.log.Info("config change rejected", "kind", string(event.Kind()), "base", base, "error", err.Error())
 }
-
-func putConfig(base int64, body []byte) state.Event   { return state.NewPutConfig(base, body) }
-func patchConfig(base int64, body []byte) state.Event { return state.NewPatchConfig(base, body) }
-func evacuateZone(zone string) state.Event            { return state.EvacuateZone{Zone: zone} }
-func readmitZone(zone string) state.Event             { return state.ReadmitZone{Zone: zone} }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -17,144 +17,171 @@
 	"shaletrestle/internal/state"
 )
 
-// desk is a control state that notes what it is asked.
-type desk struct {
-	mu      sync.Mutex
-	after   func() // called when an order has been asked
-	primary string
-	here    bool
-	fail    error
-	got     []state.Event
+// fakeControl is a control state that notes what it is asked.
+type fakeControl struct {
+	mu          sync.Mutex
+	primary     string
+	here        bool
+	fail        error
+	afterCommit func() // called when a change has been asked; may be nil
+	got         []state.Event
 }
 
-func (d *desk) set(primary string, here bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.primary, d.here = primary, here
+func (f *fakeControl) set(primary string, here bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.primary, f.here = primary, here
 }
 
-func (d *desk) Primary() (string, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.primary, d.here
+func (f *fakeControl) Primary() (string, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.primary, f.here
 }
 
-func (d *desk) Commit(_ context.Context, o *ChangeRequest) error {
-	d.got = append(d.got, o.Event)
-	if d.after != nil {
-		d.after()
+func (f *fakeControl) Commit(_ context.Context, request *ChangeRequest) error {
+	f.got = append(f.got, request.Event)
+	if f.afterCommit != nil {
+		f.afterCommit()
 	}
-	return d.fail
+	return f.fail
 }
-func (d *desk) Read(context.Context, time.Time) (*state.View, error) {
-	return state.EmptyView(), d.fail
+
+func (f *fakeControl) Read(context.Context, time.Time) (*state.View, error) {
+	return state.EmptyView(), f.fail
 }
 
-func ask(d *desk, method, target, match, body string) *httptest.ResponseRecorder {
-	r := httptest.NewRequest(method, target, strings.NewReader(body))
-	if match != "" {
-		r.Header.Set("If-Match", match)
+// ask makes one call; ifMatch may be empty.
+func ask(control *fakeControl, method, target, ifMatch, body string) *httptest.ResponseRecorder {
+	request := httptest.NewRequest(method, target, strings.NewReader(body))
+	if ifMatch != "" {
+		request.Header.Set("If-Match", ifMatch)
 	}
-	w := httptest.NewRecorder()
-	New(context.Background(), slog.New(slog.DiscardHandler), d).ServeHTTP(w, r)
-	return w
+	recorder := httptest.NewRecorder()
+	New(context.Background(), slog.New(slog.DiscardHandler), control).ServeHTTP(recorder, request)
+	return recorder
 }
 
-func TestCallsGoToTheirOrders(t *testing.T) {
-	d := &desk{here: true}
-	require.Equal(t, 200, ask(d, "PUT", "/v1/config", `"5"`, "{}").Code)
-	require.Equal(t, 200, ask(d, "PATCH", "/v1/config", "7", "{}").Code)
-	require.Equal(t, 200, ask(d, "POST", "/v1/evacuation/north%20hall", "", "").Code)
-	require.Equal(t, 200, ask(d, "DELETE", "/v1/evacuation/north", "", "").Code)
-	require.Equal(t, []state.Event{
-		state.NewPutConfig(5, []byte("{}")),
-		state.NewPatchConfig(7, []byte("{}")),
-		state.EvacuateZone{Zone: "north hall"},
-		state.ReadmitZone{Zone: "north"},
-	}, d.got)
-	for _, x := range [][2]string{{"POST", "/v1/config"}, {"GET", "/v1/evacuation/x"}, {"POST", "/v1/evacuation"}, {"POST", "/v1/evacuation/a/b"}, {"GET", "/"}, {"BREW", "/v1/config"}} {
-		require.Equal(t, 404, ask(d, x[0], x[1], "", "").Code, x)
+func TestServer_Calls_BecomeTheirEvents(t *testing.T) {
+	control := &fakeControl{here: true}
+	for _, x := range []struct {
+		method, target, ifMatch string
+		want                    state.Event
+	}{
+		{"PUT", "/v1/config", `"5"`, state.NewPutConfig(5, []byte("{}"))},
+		{"PATCH", "/v1/config", "7", state.NewPatchConfig(7, []byte("{}"))},
+		{"POST", "/v1/evacuation/north%20hall", "", state.EvacuateZone{Zone: "north hall"}},
+		{"DELETE", "/v1/evacuation/north", "", state.ReadmitZone{Zone: "north"}},
+	} {
+		control.got = nil
+		response := ask(control, x.method, x.target, x.ifMatch, "{}")
+		require.Equal(t, 200, response.Code, x.target)
+		require.JSONEq(t, `{"ok":true}`, response.Body.String(), x.target)
+		require.Equal(t, []state.Event{x.want}, control.got, x.target)
 	}
-	for _, m := range []string{"", "five", "-1", "1.5"} {
-		require.Equal(t, 400, ask(d, "PUT", "/v1/config", m, "{}").Code, m)
+}
+
+func TestServer_WrongCalls_AreRejectedBeforeTheControlState(t *testing.T) {
+	control := &fakeControl{here: true}
+	for _, x := range []struct {
+		method, target, ifMatch string
+		want                    int // HTTP status
+	}{
+		{"POST", "/v1/config", "", 404},
+		{"GET", "/v1/evacuation/x", "", 404},
+		{"POST", "/v1/evacuation", "", 404},
+		{"POST", "/v1/evacuation/a/b", "", 404},
+		{"GET", "/", "", 404},
+		{"BREW", "/v1/config", "", 404},
+		{"PUT", "/v1/config", "", 400},
+		{"PUT", "/v1/config", "five", 400},
+		{"PUT", "/v1/config", "-1", 400},
+		{"PUT", "/v1/config", "1.5", 400},
+	} {
+		got := ask(control, x.method, x.target, x.ifMatch, "{}").Code
+		require.Equal(t, x.want, got, "%s %s If-Match %q", x.method, x.target, x.ifMatch)
 	}
-	require.Len(t, d.got, 4)
+	require.Empty(t, control.got)
 }
 
-func TestOthersPointToThePrimary(t *testing.T) {
-	w := ask(&desk{primary: "10.0.0.4:80"}, "GET", "/v1/config?x=1", "", "")
-	require.Equal(t, http.StatusTemporaryRedirect, w.Code)
-	require.Equal(t, "http://10.0.0.4:80/v1/config?x=1", w.Header().Get("Location"))
+func TestServer_NotPrimary_PointsToThePrimary(t *testing.T) {
+	response := ask(&fakeControl{primary: "10.0.0.4:80"}, "GET", "/v1/config?x=1", "", "")
+	require.Equal(t, http.StatusTemporaryRedirect, response.Code)
+	require.Equal(t, "http://10.0.0.4:80/v1/config?x=1", response.Header().Get("Location"))
 	synctest.Test(t, func(t *testing.T) {
-		require.Equal(t, 503, ask(&desk{}, "GET", "/v1/config", "", "").Code)
+		require.Equal(t, 503, ask(&fakeControl{}, "GET", "/v1/config", "", "").Code)
 	})
 }
 
-func TestFaultsHaveTheirAnswers(t *testing.T) {
-	for k, want := range map[errkind.Kind]int{errkind.VersionConflict: 412, errkind.InvalidInput: 400, errkind.Unavailable: 503} {
-		require.Equal(t, want, ask(&desk{here: true, fail: errkind.New(k, "x")}, "PUT", "/v1/config", "1", "{}").Code)
+func TestServer_Errors_HaveTheirStatus(t *testing.T) {
+	for kind, want := range map[errkind.Kind]int{errkind.VersionConflict: 412, errkind.InvalidInput: 400, errkind.Unavailable: 503} {
+		response := ask(&fakeControl{here: true, fail: errkind.New(kind, "x")}, "PUT", "/v1/config", "1", "{}")
+		require.Equal(t, want, response.Code)
+		require.JSONEq(t, `{"error":"x"}`, response.Body.String())
 	}
-	require.Equal(t, 404, ask(&desk{here: true}, "GET", "/v1/config", "", "").Code, "before the first configuration")
+	require.Equal(t, 404, ask(&fakeControl{here: true}, "GET", "/v1/config", "", "").Code, "before the first configuration")
 }
 
-func TestAMemberThatIsNoLongerPrimaryPointsToTheNewOneOrSaysNothing(t *testing.T) {
-	d := &desk{here: true, fail: errkind.New(errkind.NotPrimary, "deposed")}
-	d.after = func() { d.here, d.primary = false, "10.0.0.5:80" }
-	w := ask(d, "PUT", "/v1/config", "1", "{}")
-	require.Equal(t, http.StatusTemporaryRedirect, w.Code)
-	require.Equal(t, "http://10.0.0.5:80/v1/config", w.Header().Get("Location"))
-
-	for _, after := range []func(*desk){
-		func(d *desk) { d.here, d.primary = false, "" },
-		func(d *desk) { d.primary = "10.0.0.4:80" }, // itself: nobody is to be sent round
+func TestServer_DeposedDuringACall_PointsToTheNewPrimaryOrSaysNothing(t *testing.T) {
+	for _, x := range []struct {
+		name         string
+		after        func(*fakeControl)
+		wantStatus   int
+		wantLocation string
+	}{
+		{"another is primary", func(f *fakeControl) { f.here, f.primary = false, "10.0.0.5:80" }, http.StatusTemporaryRedirect, "http://10.0.0.5:80/v1/config"},
+		{"none is known", func(f *fakeControl) { f.here, f.primary = false, "" }, 503, ""},
+		{"itself, as it says", func(f *fakeControl) { f.primary = "10.0.0.4:80" }, 503, ""}, // a 307 must name somebody else
 	} {
-		d := &desk{here: true, fail: errkind.New(errkind.NotPrimary, "deposed")}
-		d.after = func() { after(d) }
-		w := ask(d, "PUT", "/v1/config", "1", "{}")
-		require.Equal(t, 503, w.Code, "a 307 must name somebody else")
-		require.Empty(t, w.Header().Get("Location"))
+		t.Run(x.name, func(t *testing.T) {
+			control := &fakeControl{here: true, fail: errkind.New(errkind.NotPrimary, "deposed")}
+			control.afterCommit = func() { x.after(control) }
+			response := ask(control, "PUT", "/v1/config", "1", "{}")
+			require.Equal(t, x.wantStatus, response.Code)
+			require.Equal(t, x.wantLocation, response.Header().Get("Location"))
+		})
 	}
 }
 
-func TestACallWaitsForATakeoverThatMayBeUnderWayAndNotForOneThatIsNot(t *testing.T) {
+func TestServer_NoPrimary_WaitsForATakeoverOnlyWhileOneMayBeUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &desk{}
-		handler := New(context.Background(), slog.New(slog.DiscardHandler), d)
+		control := &fakeControl{}
+		handler := New(context.Background(), slog.New(slog.DiscardHandler), control)
 		timed := func() (int, time.Duration) {
 			start := time.Now()
-			w := httptest.NewRecorder()
-			handler.ServeHTTP(w, httptest.NewRequest("POST", "/v1/evacuation/a", nil))
-			return w.Code, time.Since(start)
+			recorder := httptest.NewRecorder()
+			handler.ServeHTTP(recorder, httptest.NewRequest("POST", "/v1/evacuation/a", nil))
+			return recorder.Code, time.Since(start)
 		}
-		time.AfterFunc(300*time.Millisecond, func() { d.set("", true) })
-		code, took := timed()
-		require.Equal(t, 200, code)
+		time.AfterFunc(300*time.Millisecond, func() { control.set("", true) })
+		status, took := timed()
+		require.Equal(t, 200, status)
 		require.Less(t, took, 350*time.Millisecond)
 
-		d.set("", false)
+		control.set("", false)
 		for range 2 {
-			code, took = timed()
-			require.Equal(t, 503, code)
-			require.Less(t, took, orderWait)
+			status, took = timed()
+			require.Equal(t, 503, status)
+			require.Less(t, took, callTimeout)
 		}
-		time.Sleep(takeoverWait)
-		code, took = timed()
-		require.Equal(t, 503, code)
+		time.Sleep(takeoverTimeout)
+		status, took = timed()
+		require.Equal(t, 503, status)
 		require.Zero(t, took, "nobody took over: another member may know more")
 
-		d.set("10.0.0.4:80", false)
-		code, took = timed()
-		require.Equal(t, 307, code)
+		control.set("10.0.0.4:80", false)
+		status, took = timed()
+		require.Equal(t, 307, status)
 		require.Zero(t, took)
 	})
 }
 
-func TestAnOrderIsOverWithItsTimeOrItsCaller(t *testing.T) {
+func TestChangeRequest_Expired_WithItsDeadlineOrItsCaller(t *testing.T) {
 	now := time.Now()
 	gone := make(chan struct{})
-	o := &ChangeRequest{Deadline: now, CallerGone: gone}
-	require.False(t, o.Expired(now.Add(-1)))
-	require.True(t, o.Expired(now))
+	request := &ChangeRequest{Deadline: now, CallerGone: gone}
+	require.False(t, request.Expired(now.Add(-1)))
+	require.True(t, request.Expired(now))
 	close(gone)
-	require.True(t, o.Expired(now.Add(-1)))
+	require.True(t, request.Expired(now.Add(-1)))
 }
