--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -59,7 +59,7 @@
 		f := newFleet(settingsCount, 0, "a", "b", "c")
 		defer f.end()
 		limits := core.DefaultLimits()
-		var most usage
+		var peak usage
 		for f.lastChange < 10_000 {
 			f.makeChanges(t, 125)
 			for i := range f.members {
@@ -67,11 +67,11 @@
 					continue
 				}
 				k := f.usageOf(i)
-				most.recentBytes = max(most.recentBytes, k.recentBytes)
-				most.tailBytes = max(most.tailBytes, k.tailBytes)
-				most.logBytes = max(most.logBytes, k.logBytes)
-				most.calls = max(most.calls, k.calls)
-				most.jobs = max(most.jobs, k.jobs)
+				peak.recentBytes = max(peak.recentBytes, k.recentBytes)
+				peak.tailBytes = max(peak.tailBytes, k.tailBytes)
+				peak.logBytes = max(peak.logBytes, k.logBytes)
+				peak.calls = max(peak.calls, k.calls)
+				peak.jobs = max(peak.jobs, k.jobs)
 			}
 			if f.lastChange%1000 == 0 {
 				_, backup, _ := f.roles(t)
@@ -81,12 +81,12 @@
 				f.makeChanges(t, 100)
 			}
 		}
-		t.Logf("most that was kept: %+v; longest answer %v", most, f.longest)
-		require.LessOrEqual(t, most.recentBytes, limits.EntryCacheBytes)
-		require.LessOrEqual(t, most.logBytes, limits.LogBytes+2*changeBytes)
-		require.LessOrEqual(t, most.tailBytes, limits.LogBytes+2*changeBytes)
-		require.Zero(t, most.calls)
-		require.LessOrEqual(t, most.jobs, 1)
+		t.Logf("peak usage: %+v; longest answer %v", peak, f.longest)
+		require.LessOrEqual(t, peak.recentBytes, limits.EntryCacheBytes)
+		require.LessOrEqual(t, peak.logBytes, limits.LogBytes+2*changeBytes)
+		require.LessOrEqual(t, peak.tailBytes, limits.LogBytes+2*changeBytes)
+		require.Zero(t, peak.calls)
+		require.LessOrEqual(t, peak.jobs, 1)
 		require.Less(t, f.longest, maxTakeover)
 		f.requireReplicasAgree(t)
 	})
--- a/coord/replication/fleet_test.go
+++ b/coord/replication/fleet_test.go
@@ -56,20 +56,20 @@
 	return out
 }
 
-func (s *settings) Restore(checkpoint []byte) error {
+func (s *settings) Restore(snapshot []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = 0
 	s.values = make([][]byte, len(s.values))
-	if len(checkpoint) == 0 {
+	if len(snapshot) == 0 {
 		return nil
 	}
-	s.last = binary.LittleEndian.Uint64(checkpoint)
-	rest := checkpoint[8:]
+	s.last = binary.LittleEndian.Uint64(snapshot)
+	remaining := snapshot[8:]
 	for i := range s.values {
-		size := binary.LittleEndian.Uint32(rest)
-		s.values[i] = rest[4 : 4+size]
-		rest = rest[4+size:]
+		size := binary.LittleEndian.Uint32(remaining)
+		s.values[i] = remaining[4 : 4+size]
+		remaining = remaining[4+size:]
 	}
 	return nil
 }
@@ -129,10 +129,10 @@
 // watch sees each message as it is sent, by the goroutine that sends it. It loses none.
 func (f *fleet) watch(address string, message core.Message) bool {
 	f.mu.Lock()
-	gate := f.paused[message.Route().From.Address]
+	resumed := f.paused[message.Route().From.Address]
 	f.mu.Unlock()
-	if gate != nil {
-		<-gate
+	if resumed != nil {
+		<-resumed
 	}
 	f.mu.Lock()
 	onPart := f.onChunk
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -25,7 +25,7 @@
 	silent  *rpc.Channel // the one before, to be closed
 	dialing bool
 	pending []core.Message // that wait for the dial
-	sentAt  time.Time      // first message since anything was heard on the channel
+	sentAt  time.Time      // first message since anything was received on the channel
 	sent    int            // bytes since then
 }
 
@@ -114,8 +114,8 @@
 		return false
 	}
 	now := time.Now()
-	heardAt := now.Add(-l.channel.IdleTime())
-	if l.sentAt.IsZero() || !heardAt.Before(l.sentAt) {
+	lastReceived := now.Add(-l.channel.IdleTime())
+	if l.sentAt.IsZero() || !lastReceived.Before(l.sentAt) {
 		l.sentAt = now
 		l.sent = 0
 		return true
@@ -130,8 +130,8 @@
 }
 
 func (l *link) send(message core.Message) {
-	note := &rpc.Message{Kind: rpc.Replication, Body: encodeMessage(message)}
-	frame := note.Encode()
+	frameMessage := &rpc.Message{Kind: rpc.Replication, Body: encodeMessage(message)}
+	frame := frameMessage.Encode()
 	l.sent += len(frame)
 	l.channel.SendRaw(frame)
 }
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -42,8 +42,8 @@
 func newLinkedPair(ctx context.Context, answer func(channel *rpc.Channel)) (*Links, *pipeNetwork, chan core.Message) {
 	arrived := make(chan core.Message, 100)
 	p := &pipeNetwork{ctx: ctx}
-	p.handler = func(channel *rpc.Channel, note *rpc.Message) *rpc.Message {
-		message, err := decodeMessage(note.Body)
+	p.handler = func(channel *rpc.Channel, frame *rpc.Message) *rpc.Message {
+		message, err := decodeMessage(frame.Body)
 		if err == nil {
 			arrived <- message
 		}
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestLinks_AnsweredChannel_Kept(t *testing.T) {
+func TestLinks_AnsweredChannel_Reused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -131,16 +131,16 @@
 		defer cancel()
 		links, network, _ := newLinkedPair(ctx, nil)
 		near, far := net.Pipe()
-		heard := make(chan *rpc.Message, 1)
-		rpc.Open(ctx, far, func(_ *rpc.Channel, note *rpc.Message) *rpc.Message {
-			heard <- note
+		received := make(chan *rpc.Message, 1)
+		rpc.Open(ctx, far, func(_ *rpc.Channel, frame *rpc.Message) *rpc.Message {
+			received <- frame
 			return nil
 		})
 		accepted := rpc.Open(ctx, near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
 		links.SetChannel("b", accepted)
 		links.Send("b", confirmRound(7))
 		synctest.Wait()
-		require.Len(t, heard, 1)
+		require.Len(t, received, 1)
 		require.Zero(t, network.dials)
 		accepted.Close()
 		links.Send("b", confirmRound(8))
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -28,7 +28,7 @@
 }
 
 func (f furtherLoss) String() string {
-	disk := "kept"
+	disk := "intact"
 	if f.wiped {
 		disk = "wiped"
 	}
@@ -92,8 +92,8 @@
 			r.mu.Lock()
 			if primary := r.cluster.primary(); primary >= 0 {
 				r.proposed++
-				name, m, life := fmt.Sprint(r.proposed), r.cluster.members[primary], r.cluster.incarnations[primary]
-				r.busy.Go(func() { r.propose(name, m, life) })
+				name, m, own := fmt.Sprint(r.proposed), r.cluster.members[primary], r.cluster.incarnations[primary]
+				r.busy.Go(func() { r.propose(name, m, own) })
 			}
 			r.mu.Unlock()
 		case <-r.ended:
@@ -102,11 +102,11 @@
 	}
 }
 
-func (r *lossRun) propose(name string, m *Member, life *incarnation) {
+func (r *lossRun) propose(name string, m *Member, own *incarnation) {
 	err := m.Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return []byte(name), nil })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err == nil && !life.stopped.Load() {
+	if err == nil && !own.stopped.Load() {
 		r.acknowledged = append(r.acknowledged, acknowledgedCommand{name, time.Now()})
 	}
 }
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -42,7 +42,7 @@
 type status struct {
 	epoch     core.Epoch
 	isPrimary bool
-	primary   core.Member // that was heard last, at heardAt
+	primary   core.Member // in contact last, at contactAt
 	contactAt time.Duration
 	view      *core.View // never changed once it is here
 }
@@ -201,11 +201,11 @@
 }
 
 // Handle takes the notes that belong to this package; others give false.
-func (m *Member) Handle(channel *rpc.Channel, note *rpc.Message) bool {
-	if note.Kind != rpc.Replication {
+func (m *Member) Handle(channel *rpc.Channel, envelope *rpc.Message) bool {
+	if envelope.Kind != rpc.Replication {
 		return false
 	}
-	message, err := decodeMessage(note.Body)
+	message, err := decodeMessage(envelope.Body)
 	if err != nil {
 		m.log.Warn("message not read", "err", err.Error())
 		return true
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -152,7 +152,7 @@
 		require.Equal(t, core.Granted, c.sendAppend(t, c.members[b], question).Rejection)
 		c.stop(b)
 		c.start(b)
-		require.Equal(t, core.NotJoined, c.sendAppend(t, c.members[b], question).Rejection, "the same disk, but another life")
+		require.Equal(t, core.NotJoined, c.sendAppend(t, c.members[b], question).Rejection, "the same disk, but another incarnation")
 		question.To = 99
 		require.Equal(t, core.WrongDisk, c.sendAppend(t, c.members[b], question).Rejection, "meant for a disk that is gone")
 	})
@@ -301,11 +301,11 @@
 			}
 		}
 		for i := range c.members {
-			most := 1
+			limit := 1
 			if i == primary {
-				most = 41
+				limit = 41
 			}
-			require.LessOrEqual(t, len(ticks[i]), most, "member %d", i)
+			require.LessOrEqual(t, len(ticks[i]), limit, "member %d", i)
 		}
 	})
 }
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -60,8 +60,8 @@
 	s.steps = append(s.steps, scheduleStep{at, do})
 }
 
-func (s *scheduleRun) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(s.random.Int63n(int64(most)))
+func (s *scheduleRun) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int63n(int64(limit)))
 }
 
 // play plans a round and plays it.
@@ -148,8 +148,8 @@
 		s.plan(at, func() { s.propose(name) })
 		s.plan(at, func() {
 			for i := range s.cluster.members {
-				m, l, f := s.cluster.members[i], s.cluster.machines[i], s.cluster.incarnations[i]
-				s.busy.Go(func() { s.checkRead(m, l, f) })
+				m, machine, own := s.cluster.members[i], s.cluster.machines[i], s.cluster.incarnations[i]
+				s.busy.Go(func() { s.checkRead(m, machine, own) })
 			}
 		})
 	}
@@ -157,13 +157,13 @@
 
 func (s *scheduleRun) propose(name string) {
 	for i, m := range s.cluster.members {
-		f := s.cluster.incarnations[i]
-		if _, on := m.PrimaryEpoch(); !on || f.stopped.Load() {
+		own := s.cluster.incarnations[i]
+		if _, on := m.PrimaryEpoch(); !on || own.stopped.Load() {
 			continue
 		}
 		s.busy.Go(func() {
 			err := m.Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return []byte(name), nil })
-			if err != nil || f.stopped.Load() {
+			if err != nil || own.stopped.Load() {
 				return
 			}
 			s.mu.Lock()
@@ -174,15 +174,15 @@
 }
 
 // judge reads a member. If it is confirmed to be current, all that was acknowledged before must be in its text.
-func (s *scheduleRun) checkRead(m *Member, l *textMachine, f *incarnation) (current bool) {
+func (s *scheduleRun) checkRead(m *Member, machine *textMachine, own *incarnation) (current bool) {
 	s.mu.Lock()
 	n := len(s.acknowledged)
 	s.mu.Unlock()
-	if f.stopped.Load() {
+	if own.stopped.Load() {
 		return false
 	}
 	var text string
-	if m.Read(time.Now().Add(callTimeout), func() { text = string(l.Snapshot()) }) != nil {
+	if m.Read(time.Now().Add(callTimeout), func() { text = string(machine.Snapshot()) }) != nil {
 		return false
 	}
 	require.Empty(s.t, s.missing(text, n), "acknowledged, and not read")
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -46,26 +46,26 @@
 	dir := t.TempDir()
 	id, _ := openFilled(t, dir).Identity()
 	segment := requireOneFile(t, dir, "log-*/*")
-	whole, err := os.ReadFile(segment)
+	complete, err := os.ReadFile(segment)
 	require.NoError(t, err)
 	ends := recordEnds(id, startEntries)
-	require.Equal(t, len(whole), ends[len(ends)-1])
-	for size := range len(whole) {
-		require.NoError(t, os.WriteFile(segment, whole[:size], 0o600))
+	require.Equal(t, len(complete), ends[len(ends)-1])
+	for size := range len(complete) {
+		require.NoError(t, os.WriteFile(segment, complete[:size], 0o600))
 		s := openDir(t, dir)
 		require.Empty(t, s.Damage())
-		kept, end := 0, 0
+		remaining, end := 0, 0
 		for _, recordEnd := range ends {
 			if size >= recordEnd {
-				kept++
+				remaining++
 				end = recordEnd
 			}
 		}
-		require.Len(t, s.Load().Entries, kept, "cut at byte %d", size)
+		require.Len(t, s.Load().Entries, remaining, "cut at byte %d", size)
 		require.Equal(t, size-end, s.TruncatedBytes())
 		require.True(t, s.Load().Appendable)
-		require.NoError(t, s.Append(startEntries[kept]), "the log goes on after the last whole entry")
-		require.Len(t, openDir(t, dir).Load().Entries, kept+1)
+		require.NoError(t, s.Append(startEntries[remaining]), "the log goes on after the last complete entry")
+		require.Len(t, openDir(t, dir).Load().Entries, remaining+1)
 	}
 }
 
@@ -74,10 +74,10 @@
 	dir := t.TempDir()
 	id, _ := openFilled(t, dir).Identity()
 	segment := requireOneFile(t, dir, "log-*/*")
-	whole, err := os.ReadFile(segment)
+	complete, err := os.ReadFile(segment)
 	require.NoError(t, err)
-	for at := recordEnds(id, startEntries)[2]; at < len(whole); at++ {
-		content := append([]byte{}, whole...)
+	for at := recordEnds(id, startEntries)[2]; at < len(complete); at++ {
+		content := append([]byte{}, complete...)
 		content[at] ^= 1
 		require.NoError(t, os.WriteFile(segment, content, 0o600))
 		s := openDir(t, dir)
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -13,24 +13,24 @@
 const fuzzOwner = 7
 
 func FuzzSegment(f *testing.F) {
-	whole := store.EncodeSegment(fuzzOwner, startEntries)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-3])
-	f.Add(append(append([]byte{}, whole[:20]...), whole[30:]...))
+	complete := store.EncodeSegment(fuzzOwner, startEntries)
+	f.Add(complete)
+	f.Add(complete[:len(complete)-3])
+	f.Add(append(append([]byte{}, complete[:20]...), complete[30:]...))
 	f.Fuzz(func(t *testing.T, segment []byte) {
-		entries, whole, err := store.ReadSegment(fuzzOwner, startSnapshot.Position, segment)
+		entries, complete, err := store.ReadSegment(fuzzOwner, startSnapshot.Position, segment)
 		if err != nil {
 			return
 		}
-		require.LessOrEqual(t, whole, len(segment))
+		require.LessOrEqual(t, complete, len(segment))
 		end := startSnapshot.Position
 		for _, entry := range entries {
 			require.True(t, entry.Follows(end))
 			end = entry.Position()
 		}
-		again, size, err := store.ReadSegment(fuzzOwner, startSnapshot.Position, segment[:whole])
-		require.NoError(t, err, "a segment whose torn end was cut is whole")
-		require.Equal(t, whole, size)
+		again, size, err := store.ReadSegment(fuzzOwner, startSnapshot.Position, segment[:complete])
+		require.NoError(t, err, "a segment whose torn end was truncated is complete")
+		require.Equal(t, complete, size)
 		require.Equal(t, entries, again)
 	})
 }
--- a/coord/replication/store/power_test.go
+++ b/coord/replication/store/power_test.go
@@ -16,8 +16,8 @@
 
 var (
 	outcomeLimit   = flag.Int("power.outcomes", 3000, "outcomes of a loss of power tried exhaustively; above it, so many random ones")
-	recoveryLimit  = flag.Int("power.recovery", 3000, "the same for a loss of power in the life after one")
-	secondSnapshot = flag.Bool("power.snapshot", false, "save a snapshot too in the life after a loss of power")
+	recoveryLimit  = flag.Int("power.recovery", 3000, "the same for a loss of power in the incarnation after one")
+	secondSnapshot = flag.Bool("power.snapshot", false, "save a snapshot too in the incarnation after a loss of power")
 )
 
 // script is an incarnation of a store with each kind of write, also onto what other writes left.
@@ -138,7 +138,7 @@
 			return broken == nil
 		})
 		if broken != nil {
-			return errors.Wrapf(broken, "and cut again at step %d of the next life", step)
+			return errors.Wrapf(broken, "and cut again at step %d of the next incarnation", step)
 		}
 		if !complete {
 			p.recoveryIncomplete++
@@ -159,14 +159,14 @@
 	if err := h.saveRegister(s, core.Register{Promised: 100}); err != nil {
 		return err
 	}
-	if err := h.append(s, "in the second life"); err != nil {
+	if err := h.append(s, "in the second incarnation"); err != nil {
 		return err
 	}
 	if !*secondSnapshot {
 		return nil
 	}
 	snapshot := h.snapshotNow(100)
-	return h.saveSnapshot(s, snapshot, entriesAfter(snapshot.Position, "tail in the second life"))
+	return h.saveSnapshot(s, snapshot, entriesAfter(snapshot.Position, "tail in the second incarnation"))
 }
 
 // restored gives a copy of a disk with the same mutation as a new one.
@@ -195,7 +195,7 @@
 }
 
 func (p *powerSearch) log() {
-	p.t.Logf("%d cuts, %d different disks after them, %d of the cuts sampled; %d cuts of the lives after them, %d disks, %d of these cuts sampled",
+	p.t.Logf("%d cuts, %d different disks after them, %d of the cuts sampled; %d cuts of the incarnations after them, %d disks, %d of these cuts sampled",
 		p.cuts, p.disks, p.incomplete, p.recoveryCuts, p.recoveryDisks, p.recoveryIncomplete)
 }
 
--- a/coord/replication/store/random_faults_test.go
+++ b/coord/replication/store/random_faults_test.go
@@ -14,7 +14,7 @@
 	"shaletrestle/coord/replication/store/storetest"
 )
 
-var faultDisks = flag.Int("faults.disks", 1500, "random disks played, each with some lives")
+var faultDisks = flag.Int("faults.disks", 1500, "random disks played, each with some incarnations")
 
 const (
 	incarnationsPerDisk = 6
@@ -40,9 +40,9 @@
 			disk:    storetest.NewDisk(),
 			history: newHistory(),
 		}
-		for life := range incarnationsPerDisk {
+		for number := range incarnationsPerDisk {
 			if err := run.incarnation(); err != nil {
-				return errors.Wrapf(err, "seed %d, life %d", seed, life)
+				return errors.Wrapf(err, "seed %d, incarnation %d", seed, number)
 			}
 		}
 	}
@@ -135,5 +135,5 @@
 func TestStore_RandomFaults_KeepsItsPromises(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
 	require.NoError(t, searchFaults(*faultDisks))
-	t.Logf("%d disks with %d lives each", *faultDisks, incarnationsPerDisk)
+	t.Logf("%d disks with %d incarnations each", *faultDisks, incarnationsPerDisk)
 }
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -176,23 +176,23 @@
 // possibilities gives what may be left of a change: nothing, parts, all. Of a torn write a part at its start is there, and the rest is missing or reads as zeros.
 func (c fileChange) possibilities() [][]fileChange {
 	missing := []fileChange{}
-	whole := []fileChange{c}
+	complete := []fileChange{c}
 	if c.truncation {
-		return [][]fileChange{missing, whole}
+		return [][]fileChange{missing, complete}
 	}
 	size := len(c.content)
 	possible := [][]fileChange{missing}
-	for _, kept := range []int{1, size / 2, size - 1} {
-		if kept > 0 && kept < size {
-			possible = append(possible, []fileChange{{offset: c.offset, content: c.content[:kept]}})
+	for _, present := range []int{1, size / 2, size - 1} {
+		if present > 0 && present < size {
+			possible = append(possible, []fileChange{{offset: c.offset, content: c.content[:present]}})
 		}
 	}
-	for _, kept := range []int{0, size / 2} {
+	for _, present := range []int{0, size / 2} {
 		zeroed := make([]byte, size)
-		copy(zeroed, c.content[:kept])
+		copy(zeroed, c.content[:present])
 		possible = append(possible, []fileChange{{offset: c.offset, content: zeroed}})
 	}
-	return append(possible, whole)
+	return append(possible, complete)
 }
 
 // odometer is a chooser that goes through all sequences of picks.
--- a/coord/replication/wire_test.go
+++ b/coord/replication/wire_test.go
@@ -70,10 +70,10 @@
 func TestDecodeMessage_Damaged_FailsWithoutPanic(t *testing.T) {
 	r := rand.New(rand.NewSource(2))
 	for _, like := range everyMessage {
-		whole := encodeMessage(randomMessage(t, like, r))
-		for n := 0; n < len(whole); n += 1 + len(whole)/100 {
-			decodesOrFails(t, whole[:n])
-			changed := append([]byte{}, whole...)
+		encoded := encodeMessage(randomMessage(t, like, r))
+		for n := 0; n < len(encoded); n += 1 + len(encoded)/100 {
+			decodesOrFails(t, encoded[:n])
+			changed := append([]byte{}, encoded...)
 			changed[n] ^= byte(1 + r.Intn(255))
 			decodesOrFails(t, changed)
 		}
