--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -1,11 +1,11 @@
 package replication
 
 import (
+	"fmt"
 	"sync"
 	"time"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/errkind"
 )
 
 // call is a command or a read that waits for its answer.
@@ -56,7 +56,7 @@
 
 // Propose makes one change. decide runs with nothing else in between, on the state as all earlier commands left it, and gives the entry, nil if nothing is to be done, or the error of a refusal; it must not wait.
 //
-// No error means that the change is synced on all replicas or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. NotHere means that this member is not the primary and that nothing was begun; Unready that the change may be made or not.
+// No error means that the change is synced on all replicas or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. ErrNotPrimary and ErrNotStarted mean that nothing was begun; ErrNotDecided and ErrStopped that the change may be made or not.
 func (m *Member) Propose(deadline time.Time, decide func() ([]byte, error)) error {
 	token, waiting := m.calls.add(nil)
 	order := core.Command{Token: token, Deadline: deadline.Sub(m.startedAt), Decide: decide}
@@ -82,17 +82,17 @@
 	select {
 	case m.events <- event:
 	case <-timer.C:
-		return errkind.New(errkind.Unavailable, "not begun in time")
+		return ErrNotStarted
 	case <-m.ctx.Done():
-		return errkind.New(errkind.Unavailable, "ending")
+		return ErrStopped
 	}
 	select {
 	case answer := <-waiting.result:
 		return outcomeError(answer)
 	case <-timer.C:
-		return errkind.New(errkind.Unavailable, "not decided in time")
+		return fmt.Errorf("%w in time", ErrNotDecided)
 	case <-m.ctx.Done():
-		return errkind.New(errkind.Unavailable, "ending")
+		return ErrStopped
 	}
 }
 
@@ -104,12 +104,12 @@
 	case core.Rejected:
 		return answer.Err
 	case core.Deposed:
-		return errkind.New(errkind.NotPrimary, "not the primary")
+		return ErrNotPrimary
 	}
 	if answer.Err != nil {
-		return errkind.Wrap(errkind.Unavailable, answer.Err, "not decided")
+		return fmt.Errorf("%w: %w", ErrNotDecided, answer.Err)
 	}
-	return errkind.New(errkind.Unavailable, "not decided")
+	return ErrNotDecided
 }
 
 // Leave gives up the roles of this member: by agreement, once a view is chosen in which others have them, or not complete as the deadline comes near. The member goes on until its scope ends.
--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
 )
 
 // incarnation fences what a stopped member still tries to do.
@@ -23,7 +23,10 @@
 	stopped atomic.Bool
 }
 
-var errStopped = errkind.New(errkind.Unavailable, "this incarnation has ended")
+var (
+	errStopped  = errors.New("this incarnation has ended")
+	errDiskFull = errors.New("the disk is full")
+)
 
 func (i *incarnation) write(f func() error) error {
 	i.waitForStall()
@@ -31,7 +34,7 @@
 		return errStopped
 	}
 	if i.full.Load() {
-		return errkind.New(errkind.Unavailable, "the disk is full")
+		return errDiskFull
 	}
 	return f()
 }
--- a/coord/replication/decode.go
+++ b/coord/replication/decode.go
@@ -1,11 +1,11 @@
 package replication
 
 import (
+	"github.com/cockroachdb/errors"
 	flatbuffers "github.com/google/flatbuffers/go"
 
 	"shaletrestle/coord/replication/core"
 	fb "shaletrestle/coord/replication/replicationfb"
-	"shaletrestle/internal/errkind"
 )
 
 // Bounds on what is read: damaged bytes must not make a process allocate more than a few times their size.
@@ -20,16 +20,16 @@
 	defer func() {
 		if r := recover(); r != nil {
 			message = nil
-			err = errkind.New(errkind.InvalidInput, "replication message: %v", r)
+			err = errors.Wrapf(ErrInvalidMessage, "%v", r)
 		}
 	}()
 	if len(data) < minMessageBytes {
-		return nil, errkind.New(errkind.InvalidInput, "replication message of %d bytes", len(data))
+		return nil, errors.Wrapf(ErrInvalidMessage, "%d bytes", len(data))
 	}
 	table := fb.GetRootAsMessage(data, 0)
 	var body flatbuffers.Table
 	if !table.Body(&body) {
-		return nil, errkind.New(errkind.InvalidInput, "replication message without a body")
+		return nil, errors.Wrap(ErrInvalidMessage, "no body")
 	}
 	var d decoder
 	envelope := core.Envelope{
@@ -42,7 +42,7 @@
 		message = d.reply(table.BodyType(), body, envelope)
 	}
 	if message == nil || d.invalid {
-		return nil, errkind.New(errkind.InvalidInput, "replication message of type %d can't be read", table.BodyType())
+		return nil, errors.Wrapf(ErrInvalidMessage, "body of type %d", table.BodyType())
 	}
 	return message, nil
 }
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -6,8 +6,9 @@
 	"sync"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/errkind"
 )
 
 // diskWorker carries disk jobs out, one after the other, in a goroutine of its own: a disk that stalls holds nothing else up.
@@ -93,5 +94,5 @@
 	case core.SaveSnapshot:
 		return w.store.SaveSnapshot(job.Snapshot, job.Tail)
 	}
-	return errkind.New(errkind.Internal, "unknown disk job %T", job)
+	return errors.AssertionFailedf("unknown disk job %T", job)
 }
--- a/coord/replication/fleet_test.go
+++ b/coord/replication/fleet_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/errkind"
 )
 
 const (
@@ -106,6 +106,9 @@
 	longest    time.Duration
 }
 
+// errChangeLost says that an acknowledged change is not in the state.
+var errChangeLost = errors.New("an acknowledged change is lost")
+
 // newFleet starts a fleet that tolerates one loss over links of a rate and waits until it serves.
 func newFleet(count, rate int, zones ...string) *fleet {
 	f := makeFleet(count, rate, zones...)
@@ -202,6 +205,20 @@
 	return found
 }
 
+// requireUnclear requires that a call was made, or ended without a clear answer.
+func requireUnclear(t *testing.T, err error) {
+	t.Helper()
+	if err == nil {
+		return
+	}
+	for _, unclear := range []error{ErrNotPrimary, ErrNotStarted, ErrNotDecided, ErrStopped} {
+		if errors.Is(err, unclear) {
+			return
+		}
+	}
+	require.NoError(t, err)
+}
+
 // makeChange makes the next change, as a caller who sends it again until it is taken.
 func (f *fleet) makeChange(t *testing.T) {
 	t.Helper()
@@ -220,11 +237,11 @@
 			case last >= number:
 				return nil, nil
 			case last+1 < number:
-				return nil, errkind.New(errkind.Internal, "change %d was taken and is lost: %d is the last", number-1, last)
+				return nil, errors.Wrapf(errChangeLost, "change %d was taken and is lost: %d is the last", number-1, last)
 			}
 			return change(number), nil
 		})
-		require.NotEqual(t, errkind.Internal, errkind.KindOf(err), "%v", err)
+		requireUnclear(t, err)
 		if err == nil {
 			break
 		}
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -8,11 +8,11 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
 )
 
 // pipeNetwork is a network of pipes to one listener; a mute one takes bytes and gives no answer.
@@ -29,7 +29,7 @@
 	defer p.mu.Unlock()
 	p.dials++
 	if p.unreachable {
-		return nil, errkind.New(errkind.Unavailable, "nobody is there")
+		return nil, errors.New("nobody is there")
 	}
 	near, far := net.Pipe()
 	rpc.Open(p.ctx, far, p.handler)
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -2,15 +2,15 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
 )
 
 const (
@@ -64,7 +64,7 @@
 		err = m.resetDisk(err)
 	}
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Internal, err, "stored state")
+		return nil, errors.Wrap(err, "stored state")
 	}
 	m.status.Store(&status{view: m.core.View()})
 	return m, nil
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/errkind"
 )
 
 // TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
@@ -87,6 +87,9 @@
 	})
 }
 
+// errVersionConflict is what a decide function of the tests rejects a change with.
+var errVersionConflict = errors.New("version 1 is current")
+
 // TestPrimary_Disconnected_GivesNoClearRejection asks a primary all the time while it is disconnected and followed, and after it is back: a refusal or an "in force already" of its own comes only while nobody else is primary.
 func TestPrimary_Disconnected_GivesNoClearRejection(t *testing.T) {
 	for _, gone := range []time.Duration{1050, 1100, 1150, 1200, 1300, 2000} {
@@ -102,13 +105,13 @@
 					c.network.setDisconnected(fmt.Sprint("m", primary), false)
 				}
 				time.Sleep(5 * time.Millisecond)
-				for _, decision := range []error{nil, errkind.New(errkind.VersionConflict, "version 1 is current")} {
+				for _, decision := range []error{nil, errVersionConflict} {
 					go func() {
 						other := c.otherPrimary(primary)
 						err := c.members[primary].Propose(time.Now().Add(callTimeout), func() ([]byte, error) { return nil, decision })
 						if other {
 							followed.Add(1)
-							require.NotEqual(t, errkind.VersionConflict, errkind.KindOf(err))
+							require.NotErrorIs(t, err, errVersionConflict)
 							require.Error(t, err)
 						}
 					}()
@@ -180,7 +183,7 @@
 				time.Sleep(2 * time.Second)
 				_, on := c.members[primary].PrimaryEpoch()
 				require.False(t, on)
-				require.Equal(t, errkind.Unavailable, errkind.KindOf(<-answered), "it may have been done")
+				require.ErrorIs(t, <-answered, ErrNotDecided, "it may have been done")
 			})
 		})
 	}
@@ -254,7 +257,7 @@
 		for i := range c.members {
 			if i != primary {
 				err := c.members[i].Read(time.Now().Add(callTimeout), func() { t.Error("a backup's state is looked at") })
-				require.Equal(t, errkind.NotPrimary, errkind.KindOf(err))
+				require.ErrorIs(t, err, ErrNotPrimary)
 			}
 		}
 	})
@@ -274,7 +277,7 @@
 			t.Error("it began too late")
 			return nil, nil
 		})
-		require.Equal(t, errkind.Unavailable, errkind.KindOf(err))
+		require.ErrorIs(t, err, ErrNotDecided)
 		time.Sleep(50 * time.Millisecond)
 		resume()
 		require.NoError(t, <-first)
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 
 	"shaletrestle/coord/replication/core"
-	"shaletrestle/internal/errkind"
 )
 
 // NoDisk is the store of a member without a disk: an identity for this incarnation, and nothing else.
@@ -28,12 +27,10 @@
 func (s *NoDisk) Load() core.Stored { return core.Stored{} }
 
 // SaveRegister keeps nothing and says so.
-func (s *NoDisk) SaveRegister(core.Register) error { return errNoDisk() }
+func (s *NoDisk) SaveRegister(core.Register) error { return ErrNoDisk }
 
 // SaveSnapshot keeps nothing and says so.
-func (s *NoDisk) SaveSnapshot(core.Snapshot, []core.Entry) error { return errNoDisk() }
+func (s *NoDisk) SaveSnapshot(core.Snapshot, []core.Entry) error { return ErrNoDisk }
 
 // Append keeps nothing and says so.
-func (s *NoDisk) Append(core.Entry) error { return errNoDisk() }
-
-func errNoDisk() error { return errkind.New(errkind.Unavailable, "no disk is here") }
+func (s *NoDisk) Append(core.Entry) error { return ErrNoDisk }
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 
+	"shaletrestle/coord/replication"
 	"shaletrestle/internal/config"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
@@ -37,7 +38,10 @@
 		invalid        *config.InvalidError
 	)
 	switch {
-	case errors.Is(err, ErrAbandoned), errors.Is(err, ErrSuperseded), errors.As(err, &outcomeUnknown):
+	case errors.Is(err, replication.ErrNotPrimary):
+		return errkind.NotPrimary
+	case errors.Is(err, replication.ErrNotStarted), errors.Is(err, replication.ErrNotDecided), errors.Is(err, replication.ErrStopped),
+		errors.Is(err, ErrAbandoned), errors.Is(err, ErrSuperseded), errors.As(err, &outcomeUnknown):
 		return errkind.Unavailable
 	case errors.As(err, &conflict):
 		return errkind.VersionConflict
--- a/internal/controller/errors_test.go
+++ b/internal/controller/errors_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"shaletrestle/coord/replication"
+	"shaletrestle/coord/replication/core"
 	"shaletrestle/internal/config"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
@@ -17,6 +19,11 @@
 		err  error
 		want int // HTTP status
 	}{
+		{replication.ErrNotPrimary, 307},
+		{replication.ErrNotStarted, 503},
+		{replication.ErrNotDecided, 503},
+		{fmt.Errorf("%w: %w", replication.ErrNotDecided, core.ErrTooManyPending), 503},
+		{replication.ErrStopped, 503},
 		{ErrAbandoned, 503},
 		{ErrSuperseded, 503},
 		{&OutcomeUnknownError{Base: 3}, 503},
