--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -20,37 +20,37 @@
 	"shaletrestle/coord/rpc"
 )
 
-// link is a network to one feed whose bytes from the feed share one rate.
-type link struct {
-	ctx   context.Context
-	feed  *Feed
-	rate  int // bytes a second
-	mu    sync.Mutex
-	free  time.Time // when the link has carried what was given to it
-	dials int
+// slowNetwork is a network to one feed whose bytes from the feed share one rate.
+type slowNetwork struct {
+	ctx            context.Context
+	feed           *Feed
+	bytesPerSecond int // bytes a second
+	mu             sync.Mutex
+	freeAt         time.Time // when it has carried what was given to it
+	dials          int
 }
 
 type slowConn struct {
 	net.Conn
-	l *link
+	network *slowNetwork
 }
 
 func (c slowConn) Write(b []byte) (int, error) {
-	c.l.mu.Lock()
+	c.network.mu.Lock()
 	now := time.Now()
-	if c.l.free.Before(now) {
-		c.l.free = now
+	if c.network.freeAt.Before(now) {
+		c.network.freeAt = now
 	}
-	c.l.free = c.l.free.Add(time.Duration(len(b)) * time.Second / time.Duration(c.l.rate))
-	wait := c.l.free.Sub(now)
-	c.l.mu.Unlock()
+	c.network.freeAt = c.network.freeAt.Add(time.Duration(len(b)) * time.Second / time.Duration(c.network.bytesPerSecond))
+	wait := c.network.freeAt.Sub(now)
+	c.network.mu.Unlock()
 	time.Sleep(wait)
 	return c.Conn.Write(b)
 }
 
-func (l *link) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (l *slowNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (l *link) Dial(string, time.Duration) (net.Conn, error) {
+func (l *slowNetwork) Dial(string, time.Duration) (net.Conn, error) {
 	l.mu.Lock()
 	l.dials++
 	l.mu.Unlock()
@@ -67,42 +67,42 @@
 	return a, nil
 }
 
-// hashed is a board that keeps a digest of all changes in their order, beside 100 KB of weight.
-type hashed struct {
-	mu  sync.Mutex
-	sum uint64
+// digestState is a digest of all changes in their order; its snapshots have 100 KB.
+type digestState struct {
+	mu     sync.Mutex
+	digest uint64
 }
 
-func (h *hashed) Restore(b []byte) error {
+func (h *digestState) Restore(b []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sum = binary.LittleEndian.Uint64(b)
+	h.digest = binary.LittleEndian.Uint64(b)
 	return nil
 }
 
-func (h *hashed) Update(b []byte) error {
+func (h *digestState) Update(b []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sum = xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, h.sum), b...))
+	h.digest = xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, h.digest), b...))
 	return nil
 }
 
-func (h *hashed) Snapshot() []byte {
+func (h *digestState) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append(binary.LittleEndian.AppendUint64(nil, h.sum), make([]byte, 100<<10)...)
+	return append(binary.LittleEndian.AppendUint64(nil, h.digest), make([]byte, 100<<10)...)
 }
 
-func TestAFollowerThatWasAwayForManyChangesCatchesUpWhileTheyGoOn(t *testing.T) {
+func TestFollower_MissedManyChanges_CatchesUpUnderLoad(t *testing.T) {
 	for _, missed := range []int{10, 100, 400, 1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(time.Second) }()
-			b := &hashed{}
+			b := &digestState{}
 			f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
-			push := begin(f, 1)
-			l := &link{ctx: ctx, feed: f, rate: 1 << 20}
-			got := &hashed{}
+			push := beginSource(f, 1)
+			l := &slowNetwork{ctx: ctx, feed: f, bytesPerSecond: 1 << 20}
+			got := &digestState{}
 			c := NewCursor(got)
 			require.NoError(t, c.Restore(Position{1, 0}, b.Snapshot(), true))
 			for i := range missed {
@@ -136,25 +136,25 @@
 			time.Sleep(5 * time.Second)
 			require.Equal(t, string(b.Snapshot()), string(got.Snapshot()))
 			require.Equal(t, 1, l.dials, "one connection did it all")
-			require.LessOrEqual(t, len(f.kept), keepChanges, "what is kept is bounded")
+			require.LessOrEqual(t, len(f.changes), changeHistory, "what is kept is bounded")
 		})
 	}
 }
 
-func TestManyFollowersThatComeAtOnceGetOneSnapshotAFewAtATime(t *testing.T) {
+func TestFeed_ManySubscribersAtOnce_ShareOneSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		b := &counted{words: words{s: strings.Repeat("s", 300<<10)}}
+		b := &countingState{textState: textState{text: strings.Repeat("s", 300<<10)}}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
-		push := begin(f, 1)
-		b.made = 0
-		l := &link{ctx: ctx, feed: f, rate: rpc.LinkBytesPerSecond}
+		push := beginSource(f, 1)
+		b.snapshots = 0
+		l := &slowNetwork{ctx: ctx, feed: f, bytesPerSecond: rpc.LinkBytesPerSecond}
 		const many = 390
 		cursors := make([]*Cursor, many)
 		start := time.Now()
 		for i := range cursors {
-			cursors[i] = NewCursor(&words{})
+			cursors[i] = NewCursor(&textState{})
 			go NewFollower(FollowerOptions{
 				Net:        l,
 				Sink:       cursors[i],
@@ -162,11 +162,11 @@
 				NextSource: func(string) string { return "x" },
 			}).Run(ctx)
 		}
-		most := 0
+		maxInFlight := 0
 		for f.Acked() == 0 && time.Since(start) < time.Minute {
 			f.mu.Lock()
-			most = max(most, f.underWay)
-			if n, _ := f.source.feed.progress.at, f.source; n.Number == 0 && len(f.queue) == many/2 {
+			maxInFlight = max(maxInFlight, f.inFlight)
+			if f.progress.at.Number == 0 && len(f.queue) == many/2 {
 				f.mu.Unlock()
 				push("+") // what is new comes while half of them still wait
 				continue
@@ -175,9 +175,9 @@
 			time.Sleep(time.Millisecond)
 		}
 		t.Logf("%d followers after %v", many, time.Since(start))
-		require.LessOrEqual(t, most, snapshotsAtOnce)
+		require.LessOrEqual(t, maxInFlight, snapshotsAtOnce)
 		require.Less(t, time.Since(start), 20*time.Second, "the link needs %d s for the bytes alone", many*300<<10/rpc.LinkBytesPerSecond)
-		require.LessOrEqual(t, b.made, 2, "encoded once a state, for all")
+		require.LessOrEqual(t, b.snapshots, 2, "encoded once a state, for all")
 		require.Equal(t, many, l.dials, "nobody gave up")
 		for _, c := range cursors {
 			at := c.Position().Number
--- a/coord/distribution/compatibility_test.go
+++ b/coord/distribution/compatibility_test.go
@@ -62,7 +62,7 @@
 		message, err := rpc.Decode(recording.Same(x.name, x.message.Encode()))
 		require.NoError(t, err, x.name)
 		require.Equal(t, x.taken, follower.apply(message), x.name)
-		require.Equal(t, x.state, cursor.board.(*recordedState).text, x.name)
+		require.Equal(t, x.state, cursor.state.(*recordedState).text, x.name)
 	}
 	require.Equal(t, next, cursor.ResumeFrom())
 }
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-// Cursor is the sink of an end follower: a board and how far it has come.
+// Cursor is the sink of an end follower: a state and how far it has come.
 type Cursor struct {
-	mu       sync.Mutex
-	board    State
-	progress progress
-	heard    time.Time
+	mu          sync.Mutex // guards what follows
+	state       State
+	progress    progress
+	lastContact time.Time // when a source in touch with the primary was last heard; zero: never
 }
 
-// NewCursor makes a cursor over a board.
-func NewCursor(b State) *Cursor { return &Cursor{board: b} }
+// NewCursor makes a cursor over a state that has taken no update.
+func NewCursor(state State) *Cursor { return &Cursor{state: state} }
 
-// Restore takes a snapshot from a source that says whether it is current; one that is older than what is held is refused.
-func (c *Cursor) Restore(at Position, body []byte, current bool) error {
+// Restore is part of Sink. Besides ErrStale it returns the error of the state's Restore.
+func (c *Cursor) Restore(at Position, snapshot []byte, current bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.progress.mayRestore(at); err != nil {
+	if err := c.progress.checkRestore(at); err != nil {
 		return err
 	}
-	if err := c.board.Restore(body); err != nil {
+	if err := c.state.Restore(snapshot); err != nil {
 		return err
 	}
 	c.progress = progress{at: at}
 	if current {
-		c.heard = time.Now()
+		c.lastContact = time.Now()
 	}
 	return nil
 }
 
-// Apply folds the next change; false means that a snapshot or what is missing must come first.
-func (c *Cursor) Apply(at Position, body []byte) bool {
+// Apply is part of Sink.
+func (c *Cursor) Apply(at Position, change []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.progress.judge(at) {
 	case stepGap:
 		return false
 	case stepNext:
-		if c.board.Update(body) != nil {
+		if c.state.Update(change) != nil {
 			c.progress.damaged = true
 			return false
 		}
 		c.progress.at = at
 	}
-	c.heard = time.Now()
+	c.lastContact = time.Now()
 	return true
 }
 
-// MarkContact marks that the source is in touch with the primary.
+// MarkContact is part of Sink.
 func (c *Cursor) MarkContact() {
 	c.mu.Lock()
-	c.heard = time.Now()
+	c.lastContact = time.Now()
 	c.mu.Unlock()
 }
 
-// Position is that of the newest update taken, the zero Position if none was.
+// Position is part of Sink.
 func (c *Cursor) Position() Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.progress.at
 }
 
-// ResumeFrom is the position to ask a source for.
+// ResumeFrom is part of Sink.
 func (c *Cursor) ResumeFrom() Position {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.progress.resumeFrom()
 }
 
-// SinceContact is how long ago a source in touch with the primary was last heard.
+// SinceContact is how long ago a source in touch with the primary was last heard; very long if none ever was.
 func (c *Cursor) SinceContact() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.heard)
+	return time.Since(c.lastContact)
 }
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -18,19 +18,29 @@
 	"shaletrestle/coord/rpc"
 )
 
-// words is a board that joins its changes.
-type words struct {
-	mu sync.Mutex
-	s  string
+// textState is a text; changes are added to its end.
+type textState struct {
+	mu   sync.Mutex
+	text string
 }
 
-func (w *words) Restore(b []byte) error { w.mu.Lock(); w.s = string(b); w.mu.Unlock(); return nil }
-func (w *words) Update(b []byte) error  { w.mu.Lock(); w.s += string(b); w.mu.Unlock(); return nil }
-func (w *words) Snapshot() []byte       { w.mu.Lock(); defer w.mu.Unlock(); return []byte(w.s) }
+func (w *textState) Restore(b []byte) error {
+	w.mu.Lock()
+	w.text = string(b)
+	w.mu.Unlock()
+	return nil
+}
+func (w *textState) Update(b []byte) error {
+	w.mu.Lock()
+	w.text += string(b)
+	w.mu.Unlock()
+	return nil
+}
+func (w *textState) Snapshot() []byte { w.mu.Lock(); defer w.mu.Unlock(); return []byte(w.text) }
 
 // begin makes a feed the source of an epoch over the state that it has, and gives how to push changes.
-func begin(f *Feed, epoch uint64) func(string) uint64 {
-	source := f.Begin(epoch, f.board.Snapshot)
+func beginSource(f *Feed, epoch uint64) func(string) uint64 {
+	source := f.Begin(epoch, f.state.Snapshot)
 	return func(change string) uint64 {
 		n, ok := source.Push([]byte(change))
 		if !ok {
@@ -41,31 +51,31 @@
 }
 
 // pipes is a network of in-memory connections to one feed.
-type pipes struct {
-	ctx  context.Context
-	feed *Feed
-	mu   sync.Mutex
-	last net.Conn
-	off  bool
+type pipeNetwork struct {
+	ctx         context.Context
+	feed        *Feed
+	mu          sync.Mutex
+	lastConn    net.Conn
+	unreachable bool
 
-	heard, seats atomic.Int64 // acknowledgements, and the seats in them
+	acks, membersListed atomic.Int64 // acknowledgements, and the members listed in them
 }
 
-func (p *pipes) Dial(string, time.Duration) (net.Conn, error) {
+func (p *pipeNetwork) Dial(string, time.Duration) (net.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.off {
+	if p.unreachable {
 		return nil, net.ErrClosed
 	}
 	a, b := net.Pipe()
-	p.last = b
+	p.lastConn = b
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
 		case rpc.Subscribe:
 			p.feed.HandleSubscribe(ch, n)
 		case rpc.UpdateAck:
-			p.heard.Add(1)
-			p.seats.Add(int64(len(n.Members)))
+			p.acks.Add(1)
+			p.membersListed.Add(int64(len(n.Members)))
 			p.feed.HandleAck(ch, n)
 		}
 		return nil
@@ -73,16 +83,16 @@
 	return a, nil
 }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func TestAFollowerGetsCheckpointThenDeltasThenWhatItMissed(t *testing.T) {
+func TestFollower_Reconnects_GetsSnapshotThenMissedChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		src := &words{s: "old"}
+		src := &textState{text: "old"}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), src, nil)
-		p := &pipes{ctx: ctx, feed: f}
-		got := &words{}
+		p := &pipeNetwork{ctx: ctx, feed: f}
+		got := &textState{}
 		c := NewCursor(got)
 		go NewFollower(FollowerOptions{
 			Net:        p,
@@ -90,7 +100,7 @@
 			Self:       rpc.Member{ID: 1, Address: "n1"},
 			NextSource: func(string) string { return "x" },
 		}).Run(ctx)
-		push := begin(f, 1)
+		push := beginSource(f, 1)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, "old", string(got.Snapshot()))
 		n := push("+a")
@@ -99,22 +109,22 @@
 		require.Equal(t, 1, of)
 		require.Equal(t, "old+a", string(got.Snapshot()))
 		p.mu.Lock()
-		_ = p.last.Close()
-		p.off = true
+		_ = p.lastConn.Close()
+		p.unreachable = true
 		p.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
 		push("+b")
 		push("+c")
 		p.mu.Lock()
-		p.off = false
+		p.unreachable = false
 		p.mu.Unlock()
 		time.Sleep(time.Second)
 		require.Equal(t, "old+a+b+c", string(got.Snapshot()))
-		push = begin(f, 2)
+		push = beginSource(f, 2)
 		push("+d")
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, Position{Epoch: 2, Number: 1}, c.Position())
-		require.Error(t, c.Restore(Position{1, 9}, []byte("stale"), true), "an older life is refused")
+		require.ErrorIs(t, c.Restore(Position{1, 9}, []byte("stale"), true), ErrStale, "an older epoch is rejected")
 		require.False(t, c.Apply(Position{2, 7}, []byte("gap")))
 		require.True(t, c.Apply(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
 		require.Equal(t, "old+a+b+c+d", string(got.Snapshot()))
@@ -122,21 +132,22 @@
 	})
 }
 
-// tree is a source, relays under it and ends under the relays, over in-memory connections that count what goes up.
-type tree struct {
-	ctx   context.Context
-	mu    sync.Mutex
-	feeds map[string]*Feed
-	held  []net.Conn
-	up    int // acknowledgements that reached the source
-	lists int // those that listed seats
+// treeNetwork is a source, relays under it and end followers under the relays, over in-memory connections. It counts
+// what arrives at the source.
+type treeNetwork struct {
+	ctx              context.Context
+	mu               sync.Mutex
+	feeds            map[string]*Feed
+	conns            []net.Conn
+	acksAtSource     int // acknowledgements that reached the source
+	listingsAtSource int // those that listed members
 }
 
-func (p *tree) Dial(at string, _ time.Duration) (net.Conn, error) {
+func (p *treeNetwork) Dial(at string, _ time.Duration) (net.Conn, error) {
 	a, b := net.Pipe()
 	p.mu.Lock()
 	f := p.feeds[at]
-	p.held = append(p.held, b)
+	p.conns = append(p.conns, b)
 	p.mu.Unlock()
 	rpc.Open(p.ctx, b, func(ch *rpc.Channel, n *rpc.Message) *rpc.Message {
 		switch n.Kind {
@@ -145,9 +156,9 @@
 		case rpc.UpdateAck:
 			if at == "source" {
 				p.mu.Lock()
-				p.up++
+				p.acksAtSource++
 				if len(n.Members) > 0 {
-					p.lists++
+					p.listingsAtSource++
 				}
 				p.mu.Unlock()
 			}
@@ -158,17 +169,17 @@
 	return a, nil
 }
 
-func (p *tree) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (p *treeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// grow puts relays and ends under a source; lives ends each end's follower.
-func (p *tree) grow(relays, ends int) (src *Feed, push func(string) uint64, lives map[uint64]context.CancelFunc) {
-	src = NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, nil)
+// grow puts relays and end followers under a source; stops ends each end follower, by its id.
+func (p *treeNetwork) grow(relays, ends int) (src *Feed, push func(string) uint64, stops map[uint64]context.CancelFunc) {
+	src = NewFeed(p.ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.feeds = map[string]*Feed{"source": src}
 	for i := range relays {
 		var fo *Follower
-		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &words{}, func(Position) { fo.ReportProgress() })
+		f := NewFeed(p.ctx, slog.New(slog.DiscardHandler), &textState{}, func(Position) { fo.ReportProgress() })
 		p.feeds[fmt.Sprint("relay", i)] = f
 		fo = NewFollower(FollowerOptions{
 			Net:          p,
@@ -179,49 +190,49 @@
 		})
 		go fo.Run(p.ctx)
 	}
-	push = begin(src, 1)
-	lives = map[uint64]context.CancelFunc{}
+	push = beginSource(src, 1)
+	stops = map[uint64]context.CancelFunc{}
 	for i := range ends {
-		p.end(lives, uint64(i+1), fmt.Sprint("relay", i%relays))
+		p.startEndFollower(stops, uint64(i+1), fmt.Sprint("relay", i%relays))
 	}
-	return
+	return src, push, stops
 }
 
-func (p *tree) end(lives map[uint64]context.CancelFunc, id uint64, at string) {
+func (p *treeNetwork) startEndFollower(stops map[uint64]context.CancelFunc, id uint64, at string) {
 	ctx, cancel := context.WithCancel(p.ctx)
-	lives[id] = cancel
+	stops[id] = cancel
 	go NewFollower(FollowerOptions{
 		Net:        p,
-		Sink:       NewCursor(&words{}),
+		Sink:       NewCursor(&textState{}),
 		Self:       rpc.Member{ID: id, Address: fmt.Sprint("n", id)},
 		NextSource: func(string) string { return at },
 	}).Run(ctx)
 }
 
-func TestReachedStaysRightThroughLosses(t *testing.T) {
+func TestFeedEndFollowers_RandomLosses_MatchLiveFollowers(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 3))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(time.Second) }()
-			p := &tree{ctx: ctx}
-			src, push, lives := p.grow(3, 12)
+			p := &treeNetwork{ctx: ctx}
+			src, push, stops := p.grow(3, 12)
 			time.Sleep(HeartbeatInterval)
 			for range 15 {
 				for range r.IntN(6) {
 					switch r.IntN(4) {
 					case 0: // a connection breaks
 						p.mu.Lock()
-						_ = p.held[r.IntN(len(p.held))].Close()
+						_ = p.conns[r.IntN(len(p.conns))].Close()
 						p.mu.Unlock()
 					case 1: // an end goes for good
-						for id, l := range lives {
+						for id, l := range stops {
 							l()
-							delete(lives, id)
+							delete(stops, id)
 							break
 						}
 					case 2: // a new one comes
-						p.end(lives, 100+r.Uint64N(1<<30), fmt.Sprint("relay", r.IntN(3)))
+						p.startEndFollower(stops, 100+r.Uint64N(1<<30), fmt.Sprint("relay", r.IntN(3)))
 					case 3:
 						push("x")
 					}
@@ -233,8 +244,8 @@
 					require.False(t, got[s.ID], "%d is listed twice", s.ID)
 					got[s.ID] = true
 				}
-				require.Len(t, got, len(lives))
-				for id := range lives {
+				require.Len(t, got, len(stops))
+				for id := range stops {
 					require.True(t, got[id])
 				}
 				require.Equal(t, src.Acked(), push("y")-1, "all had acknowledged")
@@ -243,79 +254,79 @@
 	}
 }
 
-func TestARelayTellsOnceOfAChangeAndListsSeatsOnlyWhenTheyChange(t *testing.T) {
+func TestRelay_Change_AckedOnceAndMembersListedOnlyWhenChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		p := &tree{ctx: ctx}
+		p := &treeNetwork{ctx: ctx}
 		src, push, _ := p.grow(2, 60)
-		time.Sleep(3*HeartbeatInterval + HeartbeatInterval/2) // between two beats
+		time.Sleep(3*HeartbeatInterval + HeartbeatInterval/2) // between two heartbeats
 		p.mu.Lock()
-		p.up, p.lists = 0, 0
+		p.acksAtSource, p.listingsAtSource = 0, 0
 		p.mu.Unlock()
 		n := push("x")
 		have, of := src.WaitAcked(ctx, n, time.Second)
 		require.Equal(t, [2]int{2, 2}, [2]int{have, of})
 		synctest.Wait()
 		p.mu.Lock()
-		up := p.up
+		up := p.acksAtSource
 		p.mu.Unlock()
 		require.LessOrEqual(t, up, 4, "of each of two relays one when it took the change, one when all its followers had")
 		time.Sleep(10 * HeartbeatInterval)
 		synctest.Wait()
 		p.mu.Lock()
-		lists := p.lists
+		lists := p.listingsAtSource
 		p.mu.Unlock()
 		require.Zero(t, lists)
 		require.Len(t, src.EndFollowers(), 60)
 	})
 }
 
-func TestACheckpointIsMadeOnceForAllThatNeedIt(t *testing.T) {
+func TestFeed_ManyNeedSnapshot_EncodedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		p := &tree{ctx: ctx, feeds: map[string]*Feed{}}
-		b := &counted{}
+		p := &treeNetwork{ctx: ctx, feeds: map[string]*Feed{}}
+		b := &countingState{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		p.feeds["x"] = f
-		push := begin(f, 1)
-		b.made = 0 // the helper made one for the first state
+		push := beginSource(f, 1)
+		b.snapshots = 0 // the helper made one for the first state
 		push("a")
-		lives := map[uint64]context.CancelFunc{}
+		stops := map[uint64]context.CancelFunc{}
 		for i := range uint64(20) {
-			p.end(lives, i+1, "x")
+			p.startEndFollower(stops, i+1, "x")
 		}
 		time.Sleep(HeartbeatInterval)
 		synctest.Wait()
-		require.Equal(t, 1, b.made)
+		require.Equal(t, 1, b.snapshots)
 		push("b")
-		p.end(lives, 99, "x")
+		p.startEndFollower(stops, 99, "x")
 		time.Sleep(HeartbeatInterval)
 		synctest.Wait()
-		require.Equal(t, 2, b.made)
-		require.Equal(t, f.Acked(), uint64(2))
+		require.Equal(t, 2, b.snapshots)
+		require.Equal(t, uint64(2), f.Acked())
 	})
 }
 
-type counted struct {
-	words
-	made int
+type countingState struct {
+	textState
+	snapshots int
 }
 
-func (c *counted) Snapshot() []byte { c.made++; return c.words.Snapshot() }
+func (c *countingState) Snapshot() []byte { c.snapshots++; return c.textState.Snapshot() }
 
-func TestASilentSourceIsLeft(t *testing.T) {
+func TestFollower_SilentSource_LeftForTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
-		begin(f, 1)
-		p := &pipes{ctx: ctx, feed: f}
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
+		beginSource(f, 1)
+		p := &pipeNetwork{ctx: ctx, feed: f}
 		var tried []string
 		fo := NewFollower(FollowerOptions{
 			Net:        p,
-			Sink:       NewCursor(&words{}),
+			Sink:       NewCursor(&textState{}),
 			Self:       rpc.Member{ID: 1},
 			NextSource: func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) },
 		})
@@ -324,42 +335,43 @@
 		synctest.Wait()
 		require.Len(t, tried, 1)
 		f.End() // a relay that hears nothing says so after a while
-		time.Sleep(relayStale + updateTimeout)
+		time.Sleep(relayStaleAfter + updateTimeout)
 		synctest.Wait()
 		require.Greater(t, len(tried), 1)
 		require.True(t, strings.HasPrefix(tried[1], "at1"))
 	})
 }
 
-func TestARelayTakesNoGapAndNoOlderLife(t *testing.T) {
+func TestFeedApply_GapOrOtherEpoch_Rejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		b := &words{}
+		b := &textState{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("s"), true))
 		require.False(t, f.Apply(Position{3, 7}, []byte("gap")))
-		require.False(t, f.Apply(Position{4, 6}, []byte("another life")))
+		require.False(t, f.Apply(Position{4, 6}, []byte("another epoch")))
 		require.True(t, f.Apply(Position{3, 6}, []byte("+")))
 		require.True(t, f.Apply(Position{3, 6}, []byte("again")))
 		require.Equal(t, "s+", string(b.Snapshot()))
-		require.Error(t, f.Restore(Position{2, 9}, []byte("old"), true))
-		begin(f, 4)
+		require.ErrorIs(t, f.Restore(Position{2, 9}, []byte("old"), true), ErrStale)
+		beginSource(f, 4)
 		require.False(t, f.Apply(Position{4, 1}, []byte("x")), "a source takes nothing from others")
-		require.Error(t, f.Restore(Position{4, 9}, []byte("y"), true))
+		require.ErrorIs(t, f.Restore(Position{4, 9}, []byte("y"), true), ErrStale)
 	})
 }
 
-// TestARelaysWordDoesNotGrowWithTheSquareOfItsFollowers: each beat of each follower once made the relay pass the whole list of its seats on.
-func TestARelaysWordDoesNotGrowWithTheSquareOfItsFollowers(t *testing.T) {
+// TestRelay_ManyFollowers_AcksDoNotGrowWithTheSquare: each heartbeat of each follower once made the relay pass its whole
+// list of members on.
+func TestRelay_ManyFollowers_AcksDoNotGrowWithTheSquare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		src := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
-		push := begin(src, 1)
-		up := &pipes{ctx: ctx, feed: src}
+		src := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
+		push := beginSource(src, 1)
+		up := &pipeNetwork{ctx: ctx, feed: src}
 		var relay *Follower
-		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, func(Position) { relay.ReportProgress() })
+		mid := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, func(Position) { relay.ReportProgress() })
 		relay = NewFollower(FollowerOptions{
 			Net:          up,
 			Sink:         mid,
@@ -371,56 +383,56 @@
 		time.Sleep(time.Second)
 		const many = 30
 		for i := range many {
-			p := &pipes{ctx: ctx, feed: mid}
+			p := &pipeNetwork{ctx: ctx, feed: mid}
 			go NewFollower(FollowerOptions{
 				Net:        p,
-				Sink:       NewCursor(&words{}),
+				Sink:       NewCursor(&textState{}),
 				Self:       rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)},
 				NextSource: func(string) string { return "mid" },
 			}).Run(ctx)
 		}
 		time.Sleep(5 * time.Second)
 		require.Len(t, src.EndFollowers(), many)
-		notes, seats := up.heard.Load(), up.seats.Load()
-		const beats = 50
-		time.Sleep(beats * HeartbeatInterval)
-		require.LessOrEqual(t, up.heard.Load()-notes, int64(beats+2))
-		require.Equal(t, seats, up.seats.Load(), "the same seats are not told again")
-		time.Sleep(HeartbeatInterval / 3) // between two beats
+		acks, listed := up.acks.Load(), up.membersListed.Load()
+		const heartbeats = 50
+		time.Sleep(heartbeats * HeartbeatInterval)
+		require.LessOrEqual(t, up.acks.Load()-acks, int64(heartbeats+2))
+		require.Equal(t, listed, up.membersListed.Load(), "the same members are not listed again")
+		time.Sleep(HeartbeatInterval / 3) // between two heartbeats
 		at := time.Now()
 		n := push("+")
 		have, of := src.WaitAcked(ctx, n, time.Second)
 		require.Equal(t, []int{1, 1}, []int{have, of})
-		require.Zero(t, time.Since(at), "a change that was taken waits for no beat")
+		require.Zero(t, time.Since(at), "an acknowledgement waits for no heartbeat")
 		require.Equal(t, n, mid.Acked())
-		require.Len(t, src.EndFollowers(), many, "seats as before are kept")
+		require.Len(t, src.EndFollowers(), many, "the members listed before are kept")
 	})
 }
 
 func ExampleFeed() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	board := &words{}
-	f := NewFeed(ctx, slog.New(slog.DiscardHandler), board, nil)
-	push := begin(f, 1)
+	state := &textState{}
+	f := NewFeed(ctx, slog.New(slog.DiscardHandler), state, nil)
+	push := beginSource(f, 1)
 	push("sal ")
-	fmt.Println(push("pine"), string(board.Snapshot()))
+	fmt.Println(push("pine"), string(state.Snapshot()))
 	// Output: 2 sal pine
 }
 
-func TestASpreadNoteReachesAllAndChangesNoNews(t *testing.T) {
+func TestFeedBroadcast_Message_ReachesAllAndMovesNoPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		p := &tree{ctx: ctx}
-		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
+		p := &treeNetwork{ctx: ctx}
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
 		p.feeds = map[string]*Feed{"x": f}
-		push := begin(f, 1)
+		push := beginSource(f, 1)
 		n := push("a")
 		var got atomic.Int64
 		cs := make([]*Cursor, 5)
 		for i := range cs {
-			cs[i] = NewCursor(&words{})
+			cs[i] = NewCursor(&textState{})
 			fo := NewFollower(FollowerOptions{
 				Net:        p,
 				Sink:       cs[i],
@@ -444,3 +456,11 @@
 		}
 	})
 }
+
+func TestFollower_NotRunning_NoSource(t *testing.T) {
+	follower := NewFollower(FollowerOptions{Sink: NewCursor(&textState{})})
+	_, err := follower.Call(&rpc.Message{Kind: rpc.Loan}, time.Second)
+	require.ErrorIs(t, err, ErrNoSource)
+	require.False(t, follower.Send(&rpc.Message{Kind: rpc.Suspect}))
+	require.Empty(t, follower.SourceAddress())
+}
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -1,4 +1,3 @@
-// Package distribution pushes numbered changes down held connections, from the primary through relays to the followers, and counts who has taken them.
 package distribution
 
 import (
@@ -13,11 +12,14 @@
 	"shaletrestle/coord/wait"
 )
 
-// State is the view that changes are folded into. Its methods are never called at the same time.
+// State is what updates change. Its methods are called one at a time, with the lock of the feed or cursor held, and
+// must not call that.
 type State interface {
+	// Restore replaces the state by a snapshot, or returns an error and leaves it as it is.
 	Restore(snapshot []byte) error
 	// Update applies a change. It returns an error, and leaves the state as it is, if the change does not apply.
 	Update(change []byte) error
+	// Snapshot encodes the whole state.
 	Snapshot() []byte
 }
 
@@ -27,123 +29,59 @@
 	encoded []byte
 }
 
-// Feed holds a board and pushes what changes it to the followers of this process.
+// Feed is a state and the followers of this process, to whom it passes on whatever changes the state: as the source,
+// or as a relay, whose own Follower puts updates into it.
 type Feed struct {
-	ctx         context.Context
-	log         *slog.Logger
-	mu          sync.Mutex
-	board       State
-	progress    progress
-	fresh       time.Time // a relay: when its own source was last heard to be in touch with the primary
-	source      *Source   // nil: this process is a relay
-	kept        []change  // the newest changes, without a gap, the last is at progress.at
-	snapshot    []byte    // the encoded snapshot message at progress.at, once somebody needed it
-	subscribers map[*rpc.Channel]*subscriber
-	queue       []*subscriber // those that wait for a snapshot, in order
-	underWay    int           // snapshots sent and not acknowledged yet
-	wake        chan struct{}
-	onAck       func(all Position)
-}
+	log   *slog.Logger
+	onAck func(all Position)
 
-// NewFeed makes a feed over a board. onAck, which may be nil, is told the number that all followers have taken.
-func NewFeed(ctx context.Context, log *slog.Logger, b State, onAck func(all Position)) *Feed {
+	mu          sync.Mutex // guards what follows
+	state       State
+	progress    progress
+	source      *Source                      // nil: this process is a relay
+	lastContact time.Time                    // of a relay: when its own source was last heard to be in touch with the primary
+	changes     []change                     // the newest ones, without a gap; the last is at progress.at
+	snapshot    []byte                       // the encoded snapshot message at progress.at; nil: not needed yet
+	subscribers map[*rpc.Channel]*subscriber // the followers of this process
+	queue       []*subscriber                // those that wait for a snapshot, in order
+	inFlight    int                          // snapshots sent and not acknowledged yet
+	moved       chan struct{}                // closed and replaced when positions or acknowledgements changed
+}
+
+// NewFeed makes a feed over a state, a relay for the time being. It sends heartbeats to its followers and closes the
+// silent ones until the context ends. onAck is called after each acknowledgement, without a lock, with the position
+// that all followers have taken; nil: nobody is told.
+func NewFeed(ctx context.Context, log *slog.Logger, state State, onAck func(all Position)) *Feed {
 	f := &Feed{
-		ctx:         ctx,
 		log:         log.With("part", "distribution"),
-		board:       b,
-		fresh:       time.Now(),
-		subscribers: map[*rpc.Channel]*subscriber{},
-		wake:        make(chan struct{}),
 		onAck:       onAck,
+		state:       state,
+		lastContact: time.Now(),
+		subscribers: map[*rpc.Channel]*subscriber{},
+		moved:       make(chan struct{}),
 	}
-	go wait.Every(f.ctx, HeartbeatInterval, func() bool { f.beat(); return true })
+	go wait.Every(ctx, HeartbeatInterval, func() bool { f.heartbeat(); return true })
 	return f
 }
 
-// Source is the right to push changes in one epoch. It ends with End, or when a newer source is heard of.
-type Source struct {
-	feed  *Feed
-	epoch uint64
-}
-
-// Begin makes this process the source of an epoch. first gives the board's first state in it and is called while
-// nothing else changes the board. It gives nil if a newer source has been heard of already.
-func (f *Feed) Begin(epoch uint64, first func() []byte) *Source {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if epoch < f.progress.at.Epoch {
-		return nil
-	}
-	if err := f.board.Restore(first()); err != nil {
-		f.log.Error("first state can't be read", "err", err.Error())
-		return nil
-	}
-	start := Position{Epoch: epoch}
-	if epoch == f.progress.at.Epoch { // the same view's primary again: its numbers go on
-		start.Number = f.progress.at.Number + 1
-	}
-	f.source = &Source{feed: f, epoch: epoch}
-	f.moveTo(start)
-	return f.source
-}
-
-// Push folds one change, sends it on and gives its number; false if the source has ended.
-func (s *Source) Push(body []byte) (uint64, bool) {
-	return s.PushIf(nil, body)
-}
-
-// PushIf is Push if the condition, when there is one, holds at the last moment before.
-func (s *Source) PushIf(holds func() bool, body []byte) (uint64, bool) {
-	f := s.feed
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.source != s || holds != nil && !holds() {
-		return 0, false
-	}
-	at := Position{s.epoch, f.progress.at.Number + 1}
-	if err := f.push(at, body); err != nil {
-		f.log.Error("change can't be folded", "err", err.Error())
-		return 0, false
-	}
-	return at.Number, true
-}
-
-// Number is the newest number pushed; false if the source has ended.
-func (s *Source) Number() (uint64, bool) {
-	s.feed.mu.Lock()
-	defer s.feed.mu.Unlock()
-	return s.feed.progress.at.Number, s.feed.source == s
-}
-
-// End says that this process is a source no longer, and tells the followers at once.
-func (f *Feed) End() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.source == nil {
-		return
-	}
-	f.source = nil
-	f.fresh = time.Time{}
-	f.sendBeats()
-}
-
-// Restore takes a snapshot from this process's own source, which says whether it is current; one that is older than what is held is refused.
-func (f *Feed) Restore(at Position, body []byte, current bool) error {
+// Restore is part of Sink. All followers are sent a snapshot. The error is ErrStale also if this process is the source
+// of the snapshot's epoch or a later one; else it is that of the state's Restore.
+func (f *Feed) Restore(at Position, snapshot []byte, current bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.source != nil && at.Epoch <= f.source.epoch {
 		return errors.Wrapf(ErrStale, "this process is the source of epoch %d", f.source.epoch)
 	}
-	if err := f.progress.mayRestore(at); err != nil {
+	if err := f.progress.checkRestore(at); err != nil {
 		return err
 	}
-	if err := f.board.Restore(body); err != nil {
+	if err := f.state.Restore(snapshot); err != nil {
 		return err
 	}
 	f.source = nil
-	f.fresh = time.Time{}
+	f.lastContact = time.Time{}
 	if current {
-		f.fresh = time.Now()
+		f.lastContact = time.Now()
 	}
 	f.moveTo(at)
 	return nil
@@ -152,13 +90,13 @@
 // moveTo starts anew at a position that changes don't lead to: all followers need a snapshot.
 func (f *Feed) moveTo(at Position) {
 	f.progress = progress{at: at}
-	f.kept = nil
+	f.changes = nil
 	f.snapshot = nil
-	f.needSnapshots()
+	f.queueAll()
 	f.signal()
 }
 
-// Apply folds a change of this process's own source; false means that a snapshot or what is missing must come first.
+// Apply is part of Sink. The change is passed on to all followers. A source applies nothing from others.
 func (f *Feed) Apply(at Position, body []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,19 +112,20 @@
 			return false
 		}
 	}
-	f.fresh = time.Now()
+	f.lastContact = time.Now()
 	return true
 }
 
+// push applies the next change and sends it on.
 func (f *Feed) push(at Position, body []byte) error {
-	if err := f.board.Update(body); err != nil {
+	if err := f.state.Update(body); err != nil {
 		return err
 	}
 	f.progress.at = at
 	f.snapshot = nil
-	f.kept = append(f.kept, change{at.Number, changeMessage(at, body).Encode()})
-	if len(f.kept) > keepChanges {
-		f.kept = append([]change{}, f.kept[len(f.kept)/2:]...)
+	f.changes = append(f.changes, change{at.Number, changeMessage(at, body).Encode()})
+	if len(f.changes) > changeHistory {
+		f.changes = append([]change{}, f.changes[len(f.changes)/2:]...)
 	}
 	for _, s := range f.subscribers {
 		f.advance(s)
@@ -195,91 +134,106 @@
 	return nil
 }
 
+// signal wakes whoever waits for acknowledgements.
 func (f *Feed) signal() {
-	close(f.wake)
-	f.wake = make(chan struct{})
+	close(f.moved)
+	f.moved = make(chan struct{})
 }
 
-// MarkContact marks that this process's own source is in touch with the primary.
+// MarkContact is part of Sink.
 func (f *Feed) MarkContact() {
 	f.mu.Lock()
-	f.fresh = time.Now()
+	f.lastContact = time.Now()
 	f.mu.Unlock()
 }
 
-// current tells whether what is held may be called current: this is the source, or a source was heard lately.
-func (f *Feed) current() bool {
-	return f.source != nil || time.Since(f.fresh) < relayStale
+// isCurrent tells whether what is here may be called current: this is the source, or a source was heard lately.
+func (f *Feed) isCurrent() bool {
+	return f.source != nil || time.Since(f.lastContact) < relayStaleAfter
 }
 
-// WaitAcked waits until all connected followers have taken a number, at most d. It tells how many have and how many there are.
-func (f *Feed) WaitAcked(ctx context.Context, number uint64, d time.Duration) (have, of int) {
-	end := time.After(d)
+// WaitAcked waits until all connected followers have taken a number of this epoch, for a relay with all below it. It
+// gives up after the timeout or when the context ends, and tells how many have and how many there are.
+func (f *Feed) WaitAcked(ctx context.Context, number uint64, timeout time.Duration) (acked, followers int) {
+	end := time.After(timeout)
 	for {
-		f.mu.Lock()
-		have, of = 0, len(f.subscribers)
-		for _, s := range f.subscribers {
-			if s.acked >= number {
-				have++
-			}
-		}
-		w := f.wake
-		f.mu.Unlock()
-		if have == of {
-			return
+		acked, followers, moved := f.countAcked(number)
+		if acked == followers {
+			return acked, followers
 		}
 		select {
-		case <-w:
+		case <-moved:
 		case <-end:
-			return
+			return acked, followers
 		case <-ctx.Done():
-			return
+			return acked, followers
 		}
 	}
 }
 
-// Broadcast sends a note that is no news to all followers: it has no number and may be lost.
-func (f *Feed) Broadcast(n *rpc.Message) {
-	b := n.Encode()
+// countAcked counts the followers that have taken a number; the channel is closed when that may have changed.
+func (f *Feed) countAcked(number uint64) (acked, followers int, moved <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.subscribers {
-		s.ch.SendRaw(b)
+		if s.acked >= number {
+			acked++
+		}
 	}
+	return acked, len(f.subscribers), f.moved
 }
 
-// EndFollowers lists the end followers: those connected here and those that relays told of.
+// Broadcast sends a message that is no update to all followers of this process: it has no number and may be lost.
+func (f *Feed) Broadcast(message *rpc.Message) {
+	encoded := message.Encode()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, s := range f.subscribers {
+		s.channel.SendRaw(encoded)
+	}
+}
+
+// EndFollowers lists the end followers, in no order: those connected here and those that relays have listed.
 func (f *Feed) EndFollowers() []rpc.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []rpc.Member
+	var members []rpc.Member
 	for _, s := range f.subscribers {
 		if s.relay {
-			out = append(out, s.below...)
+			members = append(members, s.endFollowers...)
 		} else {
-			out = append(out, s.seat)
+			members = append(members, s.member)
 		}
 	}
-	return out
+	return members
 }
 
-// Position is that of the newest update here, the zero Position if none has come.
+// Position is part of Sink.
 func (f *Feed) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.progress.at
 }
 
-// ResumeFrom is the position to ask this process's own source for.
+// ResumeFrom is part of Sink.
 func (f *Feed) ResumeFrom() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.progress.resumeFrom()
 }
 
-// Acked is the number that every follower has taken.
+// Acked is the number, in the epoch of Position, that every follower has taken, for a relay with all below it. Without
+// followers it is Position's.
 func (f *Feed) Acked() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.low()
+	return f.lowestAcked()
+}
+
+func (f *Feed) lowestAcked() uint64 {
+	lowest := f.progress.at.Number
+	for _, s := range f.subscribers {
+		lowest = min(lowest, s.acked)
+	}
+	return lowest
 }
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -7,31 +7,37 @@
 	"sync"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"github.com/cockroachdb/errors"
 	"go.uber.org/atomic"
 
 	"shaletrestle/coord/rpc"
+	"shaletrestle/coord/wait"
 )
 
-// Sink is where a follower puts what it is told.
+// Sink is where a follower puts updates: a *Cursor or a *Feed.
 type Sink interface {
-	Restore(at Position, body []byte, current bool) error
-	Apply(at Position, body []byte) bool
+	// Restore takes a snapshot from a source that says whether it is current. The error is ErrStale for one that is
+	// older than what is here; the sink is left as it was then.
+	Restore(at Position, snapshot []byte, current bool) error
+	// Apply applies the next change; one that was applied before is passed over. False means that a snapshot, or what
+	// is missing, must come first.
+	Apply(at Position, change []byte) bool
+	// MarkContact notes that the source is in touch with the primary now.
 	MarkContact()
+	// Position is that of the newest update taken, the zero Position if none was.
 	Position() Position
+	// ResumeFrom is the position to ask a source for changes after; the zero Position if a snapshot is needed.
 	ResumeFrom() Position
 }
 
-// Follower keeps a sink up to date from one source at a time.
+// Follower keeps a sink up to date from one source at a time. It acknowledges each update and heartbeat.
 type Follower struct {
 	options FollowerOptions
 	source  atomic.String               // address followed now; empty: none
 	channel atomic.Pointer[rpc.Channel] // the newest, perhaps closed; nil: none yet
 
 	mu           sync.Mutex
-	acknowledged acknowledgement // guarded by mu: what was sent last
+	acknowledged acknowledgement // guarded by mu: what was acknowledged last
 }
 
 // FollowerOptions configure a follower.
@@ -64,7 +70,7 @@
 // SourceAddress is the address followed now, empty if none.
 func (f *Follower) SourceAddress() string { return f.source.Load() }
 
-// Disconnect ends the connection held now; the next address is picked.
+// Disconnect closes the channel to the source followed now, if there is one; Run then follows the next.
 func (f *Follower) Disconnect() {
 	if channel := f.channel.Load(); channel != nil {
 		channel.Close()
@@ -81,9 +87,9 @@
 			f.source.Store("")
 		}
 		failed = address
-		pause := stepPause
+		pause := reconnectDelay
 		if address == "" {
-			pause = lookAgain
+			pause = noSourceDelay
 		}
 		if !wait.Sleep(ctx, pause) {
 			return
@@ -160,7 +166,8 @@
 	return channel.Call(message, timeout)
 }
 
-// ReportProgress sends the acknowledgement again if this relay's own followers have moved on or are others.
+// ReportProgress acknowledges again if that says something new: a relay's followers have moved on or are others, or
+// there is an AckBody. It does nothing while no source is followed.
 func (f *Follower) ReportProgress() {
 	if channel := f.channel.Load(); channel != nil {
 		f.ack(channel, true)
@@ -213,7 +220,7 @@
 	return members
 }
 
-// apply puts one message of the source into the sink; false means that the source can't be followed on.
+// apply puts one update into the sink; false means that the source can't be followed on.
 func (f *Follower) apply(message *rpc.Message) bool {
 	sink := f.options.Sink
 	at := positionOf(message)
--- /dev/null
+++ b/coord/distribution/heartbeat.go
@@ -0,0 +1,50 @@
+package distribution
+
+import (
+	"time"
+
+	"shaletrestle/coord/rpc"
+)
+
+// heartbeat tells quiet subscribers that this process lives and closes those that are silent.
+func (f *Feed) heartbeat() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, s := range f.subscribers {
+		if s.channel.IdleTime() > s.timeout() {
+			go s.channel.Close() // what it does at its end needs the lock held here
+		}
+	}
+	f.sendHeartbeats()
+}
+
+// timeout is how long a subscriber may be silent: longer while a snapshot is on its way to it, beside others on the
+// same link.
+func (s *subscriber) timeout() time.Duration {
+	if s.need != needInFlight {
+		return updateTimeout
+	}
+	bytes := s.snapshotBytes * snapshotsAtOnce
+	return updateTimeout + time.Duration((float64(bytes)/rpc.LinkBytesPerSecond)*float64(time.Second))
+}
+
+// sendHeartbeats sends to all subscribers or, while this process is current, to those that were sent nothing lately.
+// Equal messages are encoded once.
+func (f *Feed) sendHeartbeats() {
+	current := f.isCurrent()
+	encoded := map[Position][]byte{}
+	for _, s := range f.subscribers {
+		if current && time.Since(s.lastSent) < HeartbeatInterval/2 {
+			continue
+		}
+		if s.need != needChanges {
+			s.send(stateMessage(formWait, f.progress.at, current).Encode())
+			continue
+		}
+		at := Position{f.progress.at.Epoch, s.sent}
+		if encoded[at] == nil {
+			encoded[at] = stateMessage(formHeartbeat, at, current).Encode()
+		}
+		s.send(encoded[at])
+	}
+}
--- a/coord/distribution/messages.go
+++ b/coord/distribution/messages.go
@@ -2,7 +2,7 @@
 
 import "shaletrestle/coord/rpc"
 
-// form tells apart the messages that a source sends.
+// form tells apart the messages that a source sends. The words stand on the wire.
 type form string
 
 const (
@@ -12,7 +12,7 @@
 	formWait      form = "wait"  // a snapshot will come when it is this follower's turn
 )
 
-// role tells apart those that follow.
+// role tells apart those that follow. The words stand on the wire.
 type role string
 
 const (
@@ -20,25 +20,26 @@
 	roleEnd   role = "end"
 )
 
-// followersListed marks an acknowledgement that lists all of a relay's end followers; the others say nothing of them.
+// followersListed marks, on the wire, an acknowledgement that lists all of a relay's end followers; the others say
+// nothing of them.
 const followersListed = "seats"
 
-func changeMessage(at Position, body []byte) *rpc.Message {
-	return &rpc.Message{Kind: rpc.Update, OK: true, Epoch: at.Epoch, Number: at.Number, Base: at.Number - 1, Body: body}
+func changeMessage(at Position, change []byte) *rpc.Message {
+	return &rpc.Message{Kind: rpc.Update, OK: true, Epoch: at.Epoch, Number: at.Number, Base: at.Number - 1, Body: change}
 }
 
 func stateMessage(f form, at Position, current bool) *rpc.Message {
 	return &rpc.Message{Kind: rpc.Update, OK: current, Epoch: at.Epoch, Number: at.Number, Text: string(f)}
 }
 
-func snapshotMessage(at Position, current bool, body []byte) *rpc.Message {
-	n := stateMessage(formSnapshot, at, current)
-	n.Body = body
-	return n
+func snapshotMessage(at Position, current bool, snapshot []byte) *rpc.Message {
+	message := stateMessage(formSnapshot, at, current)
+	message.Body = snapshot
+	return message
 }
 
-func subscribeMessage(self rpc.Member, at Position, r role) *rpc.Message {
-	return &rpc.Message{Kind: rpc.Subscribe, From: self, Epoch: at.Epoch, Number: at.Number, Text: string(r)}
+func subscribeMessage(self rpc.Member, from Position, r role) *rpc.Message {
+	return &rpc.Message{Kind: rpc.Subscribe, From: self, Epoch: from.Epoch, Number: from.Number, Text: string(r)}
 }
 
 // ackMessage says that its sender has taken all up to own, and all that follow it all up to below.
@@ -46,4 +47,4 @@
 	return &rpc.Message{Kind: rpc.UpdateAck, From: self, Epoch: own.Epoch, Number: below, Base: own.Number}
 }
 
-func positionOf(n *rpc.Message) Position { return Position{n.Epoch, n.Number} }
+func positionOf(message *rpc.Message) Position { return Position{message.Epoch, message.Number} }
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -16,30 +16,30 @@
 	"shaletrestle/coord/rpc"
 )
 
-func TestASnapshotOfTheSameEpochButALowerNumberIsRefused(t *testing.T) {
-	c := NewCursor(&words{})
+func TestRestore_OlderSnapshot_ErrStale(t *testing.T) {
+	c := NewCursor(&textState{})
 	require.NoError(t, c.Restore(Position{3, 5}, []byte("five"), true))
-	require.Error(t, c.Restore(Position{3, 4}, []byte("four"), true))
+	require.ErrorIs(t, c.Restore(Position{3, 4}, []byte("four"), true), ErrStale)
 	require.NoError(t, c.Restore(Position{3, 5}, []byte("five"), true))
 	require.NoError(t, c.Restore(Position{4, 0}, []byte("next"), true))
-	require.Error(t, c.Restore(Position{3, 9}, []byte("nine"), true))
+	require.ErrorIs(t, c.Restore(Position{3, 9}, []byte("nine"), true), ErrStale)
 
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		b := &words{}
+		b := &textState{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		require.NoError(t, f.Restore(Position{3, 5}, []byte("five"), true))
-		require.Error(t, f.Restore(Position{3, 4}, []byte("four"), true))
+		require.ErrorIs(t, f.Restore(Position{3, 4}, []byte("four"), true), ErrStale)
 		require.Equal(t, "five", string(b.Snapshot()))
 	})
 }
 
-func TestADeposedSourcePushesNothingIntoItsFollowersSequence(t *testing.T) {
+func TestSourcePush_Deposed_PushesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		b := &words{}
+		b := &textState{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
 		source := f.Begin(1, func() []byte { return []byte("old") })
 		f.End()
@@ -59,42 +59,42 @@
 	})
 }
 
-func TestASourceThatBeginsAgainInItsEpochGoesOnWithItsNumbers(t *testing.T) {
+func TestFeedBegin_SameEpochAgain_NumbersGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		b := &words{}
+		b := &textState{}
 		f := NewFeed(ctx, slog.New(slog.DiscardHandler), b, nil)
-		push := begin(f, 1)
+		push := beginSource(f, 1)
 		push("a")
 		push("b")
 		f.End()
-		push = begin(f, 1)
+		push = beginSource(f, 1)
 		require.Equal(t, uint64(4), push("c"))
 	})
 }
 
-// refusing is a board that can't fold some changes.
-type refusing struct {
-	words
-	bad string
+// rejectingState is a text to which one change does not apply.
+type rejectingState struct {
+	textState
+	rejected string
 }
 
-func (r *refusing) Update(b []byte) error {
-	if string(b) == r.bad {
+func (r *rejectingState) Update(b []byte) error {
+	if string(b) == r.rejected {
 		return net.ErrClosed
 	}
-	return r.words.Update(b)
+	return r.textState.Update(b)
 }
 
-func TestAFollowerThatCannotFoldAChangeAsksForASnapshot(t *testing.T) {
+func TestFollower_ChangeDoesNotApply_GetsSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{s: "x"}, nil)
-		push := begin(f, 1)
-		p := &pipes{ctx: ctx, feed: f}
-		got := &refusing{bad: "+b"}
+		f := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{text: "x"}, nil)
+		push := beginSource(f, 1)
+		p := &pipeNetwork{ctx: ctx, feed: f}
+		got := &rejectingState{rejected: "+b"}
 		go NewFollower(FollowerOptions{
 			Net:        p,
 			Sink:       NewCursor(got),
@@ -110,29 +110,29 @@
 	})
 }
 
-func TestAStaleRelayTellsAReturningFollowerNothingAsCurrent(t *testing.T) {
+func TestRelay_Stale_GivesNothingAsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
+		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
 		require.NoError(t, relay.Restore(Position{2, 0}, []byte("relayed"), true))
-		time.Sleep(relayStale)
-		p := &pipes{ctx: ctx, feed: relay}
+		time.Sleep(relayStaleAfter)
+		p := &pipeNetwork{ctx: ctx, feed: relay}
 
-		held := NewCursor(&words{})
-		require.NoError(t, held.Restore(Position{1, 4}, []byte("held"), true))
+		behind := NewCursor(&textState{})
+		require.NoError(t, behind.Restore(Position{1, 4}, []byte("behind"), true))
 		go NewFollower(FollowerOptions{
 			Net:        p,
-			Sink:       held,
+			Sink:       behind,
 			Self:       rpc.Member{ID: 1},
 			NextSource: func(string) string { return "x" },
 		}).Run(ctx)
 		time.Sleep(5 * time.Second)
-		epoch := held.Position().Epoch
+		epoch := behind.Position().Epoch
 		require.Equal(t, uint64(1), epoch)
-		require.GreaterOrEqual(t, held.SinceContact(), 5*time.Second, "nothing current was heard")
+		require.GreaterOrEqual(t, behind.SinceContact(), 5*time.Second, "nothing current was heard")
 
-		empty := NewCursor(&words{})
+		empty := NewCursor(&textState{})
 		go NewFollower(FollowerOptions{
 			Net:        p,
 			Sink:       empty,
@@ -146,14 +146,14 @@
 	})
 }
 
-func TestAFollowerAheadOfItsRelayKeepsWhatItHas(t *testing.T) {
+func TestFollower_AheadOfRelay_KeepsItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
-		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &words{}, nil)
+		relay := NewFeed(ctx, slog.New(slog.DiscardHandler), &textState{}, nil)
 		require.NoError(t, relay.Restore(Position{2, 3}, []byte("3"), true))
-		p := &pipes{ctx: ctx, feed: relay}
-		got := &words{}
+		p := &pipeNetwork{ctx: ctx, feed: relay}
+		got := &textState{}
 		ahead := NewCursor(got)
 		require.NoError(t, ahead.Restore(Position{2, 5}, []byte("5"), true))
 		go NewFollower(FollowerOptions{
@@ -171,110 +171,113 @@
 	})
 }
 
-// labelled is a board whose state is its position: it notices whatever goes back, is left out or comes from
+// positionState is a state that is its own position: it notices whatever goes back, is left out or comes from
 // another sequence.
-type labelled struct {
-	mu     sync.Mutex
-	at     Position
-	faults *faults
+type positionState struct {
+	mu         sync.Mutex
+	at         Position
+	violations *violations
 }
 
-// faults collects what boards notice.
-type faults struct {
+// violations collects what states notice.
+type violations struct {
 	mu   sync.Mutex
 	seen []string
 }
 
-func (f *faults) add(format string, a ...any) {
+func (f *violations) add(format string, a ...any) {
 	f.mu.Lock()
 	f.seen = append(f.seen, fmt.Sprintf(format, a...))
 	f.mu.Unlock()
 }
 
-func (f *faults) all() []string {
+func (f *violations) all() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seen
 }
 
-func label(at Position) []byte { return []byte(fmt.Sprintf("%d/%d", at.Epoch, at.Number)) }
+func encodePosition(at Position) []byte { return []byte(fmt.Sprintf("%d/%d", at.Epoch, at.Number)) }
 
-func unlabel(b []byte) (at Position) {
+func decodePosition(b []byte) (at Position) {
 	_, _ = fmt.Sscanf(string(b), "%d/%d", &at.Epoch, &at.Number)
 	return at
 }
 
-func (l *labelled) Restore(b []byte) error {
+func (l *positionState) Restore(b []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := unlabel(b)
+	at := decodePosition(b)
 	if at.Before(l.at) {
-		l.faults.add("%v restored over %v", at, l.at)
+		l.violations.add("%v restored over %v", at, l.at)
 	}
 	l.at = at
 	return nil
 }
 
-func (l *labelled) Update(b []byte) error {
+func (l *positionState) Update(b []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := unlabel(b)
+	at := decodePosition(b)
 	if at != (Position{l.at.Epoch, l.at.Number + 1}) {
-		l.faults.add("%v folded into %v", at, l.at)
+		l.violations.add("%v folded into %v", at, l.at)
 	}
 	l.at = at
 	return nil
 }
 
-func (l *labelled) Snapshot() []byte {
+func (l *positionState) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return label(l.at)
+	return encodePosition(l.at)
 }
 
-// web is controllers that each hold a feed, and end followers, which reach each other as the schedule wants.
-type web struct {
-	ctx    context.Context
-	r      *rand.Rand
-	faults *faults
-
-	mu      sync.Mutex
-	feeds   map[string]*Feed
-	conns   map[net.Conn][2]string
-	cut     map[[2]string]bool
-	primary map[string]string // by each one's own belief
-
-	lives   map[string]context.CancelFunc
-	sources map[string]*Source // of those that think that they are primary
-	epoch   uint64
+// route is the direction of a connection: who dialled whom.
+type route struct{ from, to string }
+
+// cluster is controllers that each hold a feed, and end followers, which reach each other as the schedule wants.
+type cluster struct {
+	ctx        context.Context
+	random     *rand.Rand
+	violations *violations
+
+	mu          sync.Mutex
+	feeds       map[string]*Feed
+	conns       map[net.Conn]route
+	partitioned map[route]bool
+	primary     map[string]string // by each one's own belief
+
+	incarnations map[string]context.CancelFunc
+	sources      map[string]*Source // of those that think that they are primary
+	epoch        uint64
 }
 
-const webControllers, webEnds = 4, 6
+const clusterControllers, clusterEndFollowers = 4, 6
 
 func controllerName(i int) string { return fmt.Sprint("c", i) }
 func endName(i int) string        { return fmt.Sprint("e", i) }
 
-func newWeb(ctx context.Context, seed uint64) *web {
-	w := &web{
-		ctx:     ctx,
-		r:       rand.New(rand.NewPCG(seed, 13)),
-		faults:  &faults{},
-		feeds:   map[string]*Feed{},
-		conns:   map[net.Conn][2]string{},
-		cut:     map[[2]string]bool{},
-		primary: map[string]string{},
-		lives:   map[string]context.CancelFunc{},
-		sources: map[string]*Source{},
+func newCluster(ctx context.Context, seed uint64) *cluster {
+	w := &cluster{
+		ctx:          ctx,
+		random:       rand.New(rand.NewPCG(seed, 13)),
+		violations:   &violations{},
+		feeds:        map[string]*Feed{},
+		conns:        map[net.Conn]route{},
+		partitioned:  map[route]bool{},
+		primary:      map[string]string{},
+		incarnations: map[string]context.CancelFunc{},
+		sources:      map[string]*Source{},
 	}
-	for i := range webControllers {
-		w.boot(controllerName(i))
+	for i := range clusterControllers {
+		w.restart(controllerName(i))
 	}
-	for i := range webEnds {
+	for i := range clusterEndFollowers {
 		pick := rand.New(rand.NewPCG(seed, uint64(100+i)))
-		next := func(string) string { return controllerName(pick.IntN(webControllers)) }
-		cursor := NewCursor(&labelled{faults: w.faults})
+		next := func(string) string { return controllerName(pick.IntN(clusterControllers)) }
+		cursor := NewCursor(&positionState{violations: w.violations})
 		go NewFollower(FollowerOptions{
-			Net:        &webNet{w, endName(i)},
+			Net:        &clusterNetwork{w, endName(i)},
 			Sink:       cursor,
 			Self:       rpc.Member{ID: uint64(i + 1)},
 			NextSource: next,
@@ -283,20 +286,20 @@
 	return w
 }
 
-// boot starts a controller with nothing.
-func (w *web) boot(name string) {
-	if stop := w.lives[name]; stop != nil {
+// restart starts a controller with nothing.
+func (w *cluster) restart(name string) {
+	if stop := w.incarnations[name]; stop != nil {
 		stop()
 	}
 	ctx, stop := context.WithCancel(w.ctx)
-	w.lives[name] = stop
+	w.incarnations[name] = stop
 	var up *Follower
-	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &labelled{faults: w.faults}, func(Position) { up.ReportProgress() })
+	feed := NewFeed(ctx, slog.New(slog.DiscardHandler), &positionState{violations: w.violations}, func(Position) { up.ReportProgress() })
 	up = NewFollower(FollowerOptions{
-		Net:          &webNet{w, name},
+		Net:          &clusterNetwork{w, name},
 		Sink:         feed,
-		Self:         rpc.Member{ID: w.r.Uint64()},
-		NextSource:   func(string) string { return w.follows(name) },
+		Self:         rpc.Member{ID: w.random.Uint64()},
+		NextSource:   func(string) string { return w.sourceOf(name) },
 		EndFollowers: feed.EndFollowers,
 	})
 	w.mu.Lock()
@@ -305,7 +308,7 @@
 	go up.Run(ctx)
 }
 
-func (w *web) follows(name string) string {
+func (w *cluster) sourceOf(name string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.primary[name] == name {
@@ -314,14 +317,14 @@
 	return w.primary[name]
 }
 
-// takeOver makes a controller the source of a new epoch. Those that are told follow it, the others go on as before.
-func (w *web) takeOver(name string, allTold bool) {
+// takeOver makes a controller the source of a new epoch. Those that hear of it follow it, the others go on as before.
+func (w *cluster) takeOver(name string, allNotified bool) {
 	w.epoch++
-	first := label(Position{Epoch: w.epoch})
+	first := encodePosition(Position{Epoch: w.epoch})
 	w.sources[name] = w.feeds[name].Begin(w.epoch, func() []byte { return first })
-	for i := range webControllers {
+	for i := range clusterControllers {
 		other := controllerName(i)
-		if other != name && !allTold && w.r.IntN(2) == 0 {
+		if other != name && !allNotified && w.random.IntN(2) == 0 {
 			continue
 		}
 		w.mu.Lock()
@@ -334,62 +337,62 @@
 }
 
 // pushAll lets everyone that was a source push a change, also if it has ended: then nothing may come of it.
-func (w *web) pushAll() {
+func (w *cluster) pushAll() {
 	for name, source := range w.sources {
 		n, _ := source.Number()
-		if _, ok := source.Push(label(Position{source.epoch, n + 1})); !ok {
+		if _, ok := source.Push(encodePosition(Position{source.epoch, n + 1})); !ok {
 			delete(w.sources, name)
 		}
 	}
 }
 
 // sever breaks the connections between two processes; if cut is set no new ones come.
-func (w *web) sever(from, to string, cut bool) {
+func (w *cluster) disconnect(from, to string, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut[[2]string{from, to}] = cut
+	w.partitioned[route{from, to}] = cut
 	for c, ends := range w.conns {
-		if ends == [2]string{from, to} {
+		if (ends == route{from, to}) {
 			_ = c.Close()
 			delete(w.conns, c)
 		}
 	}
 }
 
-func (w *web) trouble() {
-	any1, any2 := controllerName(w.r.IntN(webControllers)), controllerName(w.r.IntN(webControllers))
-	switch w.r.IntN(8) {
+func (w *cluster) injectFault() {
+	any1, any2 := controllerName(w.random.IntN(clusterControllers)), controllerName(w.random.IntN(clusterControllers))
+	switch w.random.IntN(8) {
 	case 0:
-		w.takeOver(any1, w.r.IntN(2) == 0)
+		w.takeOver(any1, w.random.IntN(2) == 0)
 	case 1:
-		w.sever(any1, any2, w.r.IntN(2) == 0)
+		w.disconnect(any1, any2, w.random.IntN(2) == 0)
 	case 2:
-		w.sever(endName(w.r.IntN(webEnds)), any1, w.r.IntN(3) == 0)
+		w.disconnect(endName(w.random.IntN(clusterEndFollowers)), any1, w.random.IntN(3) == 0)
 	case 3:
 		delete(w.sources, any1)
-		w.boot(any1)
+		w.restart(any1)
 	default:
 		w.pushAll()
 	}
 }
 
-type webNet struct {
-	w    *web
-	name string
+type clusterNetwork struct {
+	cluster *cluster
+	name    string
 }
 
-func (n *webNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (n *clusterNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-func (n *webNet) Dial(at string, _ time.Duration) (net.Conn, error) {
-	w := n.w
+func (n *clusterNetwork) Dial(at string, _ time.Duration) (net.Conn, error) {
+	w := n.cluster
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := w.feeds[at]
-	if f == nil || w.cut[[2]string{n.name, at}] {
+	if f == nil || w.partitioned[route{n.name, at}] {
 		return nil, net.ErrClosed
 	}
 	a, b := net.Pipe()
-	w.conns[b] = [2]string{n.name, at}
+	w.conns[b] = route{n.name, at}
 	rpc.Open(w.ctx, b, func(ch *rpc.Channel, m *rpc.Message) *rpc.Message {
 		switch m.Kind {
 		case rpc.Subscribe:
@@ -402,27 +405,27 @@
 	return a, nil
 }
 
-func TestNoFollowerEverGoesBackThroughTakeoversCutsAndRestarts(t *testing.T) {
+func TestFollowers_TakeoversPartitionsRestarts_NeverGoBack(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(time.Second) }()
-			w := newWeb(ctx, seed)
+			w := newCluster(ctx, seed)
 			w.takeOver("c0", true)
 			for range 120 {
-				w.trouble()
-				time.Sleep(time.Duration(w.r.IntN(400)) * time.Millisecond)
-				require.Empty(t, w.faults.all(), "seed %d", seed)
+				w.injectFault()
+				time.Sleep(time.Duration(w.random.IntN(400)) * time.Millisecond)
+				require.Empty(t, w.violations.all(), "seed %d", seed)
 			}
 			w.mu.Lock()
-			w.cut = map[[2]string]bool{}
+			w.partitioned = map[route]bool{}
 			w.mu.Unlock()
 			w.takeOver("c1", true)
 			time.Sleep(10 * time.Second)
-			require.Empty(t, w.faults.all())
+			require.Empty(t, w.violations.all())
 			position := w.feeds["c1"].Position()
 			require.Equal(t, w.epoch, position.Epoch)
-			require.Len(t, w.feeds["c1"].EndFollowers(), webEnds, "all came back to the newest source")
+			require.Len(t, w.feeds["c1"].EndFollowers(), clusterEndFollowers, "all came back to the newest source")
 			require.Equal(t, position.Number, w.feeds["c1"].Acked())
 		})
 	}
--- a/coord/distribution/position.go
+++ b/coord/distribution/position.go
@@ -2,8 +2,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// Position orders all updates of all sources: first by the epoch of the view whose primary gave them, then by
-// their number within it. A follower never goes back in it.
+// Position orders all updates of all sources: first by the epoch of the source that gave them, then by their number
+// within it. A follower never goes back in it. The zero Position comes before all updates.
 type Position struct {
 	Epoch  uint64
 	Number uint64
@@ -22,14 +22,14 @@
 
 const (
 	stepNext  step = iota // it is the next one
-	stepKnown             // it was taken before
+	stepKnown             // it was applied before
 	stepGap               // something before it is missing, or it belongs to another epoch
 )
 
-// progress is how far a follower has come.
+// progress is how far a state has come.
 type progress struct {
 	at      Position
-	damaged bool // a change could not be folded: a snapshot must come next
+	damaged bool // a change did not apply: a snapshot must come next
 }
 
 // judge tells what a change at a position means here.
@@ -45,15 +45,15 @@
 	return stepGap
 }
 
-// mayRestore refuses a snapshot that is older than what is held.
-func (p *progress) mayRestore(snapshot Position) error {
+// checkRestore gives ErrStale for a snapshot that is older than the state.
+func (p *progress) checkRestore(snapshot Position) error {
 	if snapshot.Before(p.at) {
-		return errors.Wrapf(ErrStale, "snapshot at %d/%d, held is %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
+		return errors.Wrapf(ErrStale, "snapshot at %d/%d, state at %d/%d", snapshot.Epoch, snapshot.Number, p.at.Epoch, p.at.Number)
 	}
 	return nil
 }
 
-// resumeFrom is the position to ask a source for: none if only a snapshot helps.
+// resumeFrom is the position to ask a source for: the zero Position if only a snapshot helps.
 func (p *progress) resumeFrom() Position {
 	if p.damaged {
 		return Position{}
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -196,7 +196,7 @@
 		}()
 		_, err := ch.Call(&Message{Kind: Loan}, time.Second)
 		require.ErrorIs(t, err, ErrClosed)
-		require.True(t, ch.ctx.Err() != nil)
+		require.True(t, ch.Closed())
 	})
 }
 
--- a/coord/rpc/pool_test.go
+++ b/coord/rpc/pool_test.go
@@ -28,21 +28,26 @@
 		defer cancel()
 		n := &silentNet{}
 		l := NewPool(ctx, n, nil)
-		took := make(chan time.Duration, 20)
-		for range cap(took) {
+		type result struct {
+			took time.Duration
+			err  error
+		}
+		results := make(chan result, 20)
+		for range cap(results) {
 			go func() {
-				at := time.Now()
+				start := time.Now()
 				_, err := l.Call("10.0.0.1:1", &Message{Kind: Loan}, time.Second)
-				require.ErrorIs(t, err, ErrUnreachable)
-				var dial *DialError
-				require.ErrorAs(t, err, &dial)
-				require.Equal(t, "10.0.0.1:1", dial.Address)
-				require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-				took <- time.Since(at)
+				results <- result{time.Since(start), err}
 			}()
 		}
-		for range cap(took) {
-			require.LessOrEqual(t, <-took, time.Second)
+		for range cap(results) {
+			got := <-results
+			require.LessOrEqual(t, got.took, time.Second)
+			require.ErrorIs(t, got.err, ErrUnreachable)
+			require.ErrorIs(t, got.err, os.ErrDeadlineExceeded)
+			var dial *DialError
+			require.ErrorAs(t, got.err, &dial)
+			require.Equal(t, "10.0.0.1:1", dial.Address)
 		}
 		require.Equal(t, 1, n.dials, "they share one dial")
 	})
