--- a/coord/outlier/detector_test.go
+++ b/coord/outlier/detector_test.go
@@ -12,22 +12,22 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-func of(n int) *Detector {
-	g, m := NewDetector(), map[string]string{}
+func newTestDetector(n int) *Detector {
+	detector, services := NewDetector(), map[string]string{}
 	for i := range n {
-		m[fmt.Sprintf("r%d", i)] = "p"
+		services[fmt.Sprintf("r%d", i)] = "p"
 	}
-	g.SetReplicas(m)
-	return g
+	detector.SetReplicas(services)
+	return detector
 }
 
-func TestAHardFailureEjectsForATimeThatGrowsWithEpisodesAndFades(t *testing.T) {
-	g := of(9)
+func TestRecordFailure_Timeouts_EjectionGrowsWithEpisodesAndFades(t *testing.T) {
+	detector := newTestDetector(9)
 	out := func(s float64) (d time.Duration) {
-		g.RecordFailure("r1", Timeout, at(s))
-		for d = 0; g.Fitness("r1", false, at(s).Add(d)) == Ejected; d += 10 * time.Millisecond {
+		detector.RecordFailure("r1", Timeout, at(s))
+		for d = 0; detector.Fitness("r1", false, at(s).Add(d)) == Ejected; d += 10 * time.Millisecond {
 		}
-		g.RecordSuccess("r1", time.Millisecond, time.Second, false, at(s).Add(d))
+		detector.RecordSuccess("r1", Answer{Took: time.Millisecond, Predicted: time.Second})
 		return
 	}
 	first, second, third := out(0), out(2), out(5)
@@ -38,32 +38,32 @@
 	require.Equal(t, FirstEjectionTime, out(200), "what was long ago is forgotten")
 }
 
-func TestAnEjectionEndsWithOneTrial(t *testing.T) {
-	g := of(9)
-	g.RecordFailure("r1", ConnectionRefused, at(0))
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(0.1)))
-	require.Equal(t, Fit, g.Fitness("r1", false, at(1)))
-	g.RequestSent("r1")
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(1)), "one at a time")
-	g.RequestEnded("r1")
-	require.Equal(t, Fit, g.Fitness("r1", false, at(1)))
-	g.RequestSent("r1")
-	g.RecordFailure("r1", Rejected, at(1.1))
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(1.2)), "a trial that fails ejects again, whatever the kind")
-	g.RequestSent("r1")
-	g.RecordSuccess("r1", time.Millisecond, time.Second, false, at(3))
-	g.RequestSent("r1")
-	require.Equal(t, Fit, g.Fitness("r1", false, at(3)))
+func TestFitness_EjectionOver_OneTrial(t *testing.T) {
+	detector := newTestDetector(9)
+	detector.RecordFailure("r1", ConnectionRefused, at(0))
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.1)))
+	require.Equal(t, Fit, detector.Fitness("r1", false, at(1)))
+	detector.RequestSent("r1")
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(1)), "one at a time")
+	detector.RequestEnded("r1")
+	require.Equal(t, Fit, detector.Fitness("r1", false, at(1)))
+	detector.RequestSent("r1")
+	detector.RecordFailure("r1", Rejected, at(1.1))
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(1.2)), "a trial that fails ejects again, whatever the kind")
+	detector.RequestSent("r1")
+	detector.RecordSuccess("r1", Answer{Took: time.Millisecond, Predicted: time.Second})
+	detector.RequestSent("r1")
+	require.Equal(t, Fit, detector.Fitness("r1", false, at(3)))
 }
 
-func TestAGreyReplicaIsFoundAgainstItsPeers(t *testing.T) {
-	g := of(9)
+func TestRecordFailure_GreyReplica_FoundAgainstItsPeers(t *testing.T) {
+	detector := newTestDetector(9)
 	for i := range 3 {
-		g.RecordFailure("r1", ServerError, at(float64(i)/10))
+		detector.RecordFailure("r1", ServerError, at(float64(i)/10))
 	}
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(0.3)))
-	require.Equal(t, Fit, g.Fitness("r2", false, at(0.3)))
-	all := of(9)
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.3)))
+	require.Equal(t, Fit, detector.Fitness("r2", false, at(0.3)))
+	all := newTestDetector(9)
 	for i := range 90 {
 		all.RecordFailure(fmt.Sprintf("r%d", i%9), ServerError, at(float64(i)/100))
 	}
@@ -72,17 +72,17 @@
 	}
 }
 
-func TestJudgementEjectsAPartOnlyAndNeverTheLast(t *testing.T) {
+func TestRecordFailure_ManyFail_PartEjectedNeverTheLast(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 9, 60} {
-		g := of(n)
+		detector := newTestDetector(n)
 		for i := range n {
 			for range 9 {
-				g.RecordFailure(fmt.Sprintf("r%d", i), ServerError, at(float64(i)*0.001))
+				detector.RecordFailure(fmt.Sprintf("r%d", i), ServerError, at(float64(i)*0.001))
 			}
 		}
 		out := 0
 		for i := range n {
-			if g.Fitness(fmt.Sprintf("r%d", i), false, at(0.2)) == Ejected {
+			if detector.Fitness(fmt.Sprintf("r%d", i), false, at(0.2)) == Ejected {
 				out++
 			}
 		}
@@ -91,42 +91,42 @@
 	}
 }
 
-func TestBeyondAPartOfTheServicePausesDoNotGrow(t *testing.T) {
-	g := of(6)
+func TestRecordFailure_MoreThanPartOut_EjectionsDoNotGrow(t *testing.T) {
+	detector := newTestDetector(6)
 	for round := range 8 {
 		for i := range 6 {
-			g.RecordFailure(fmt.Sprintf("r%d", i), ConnectionRefused, at(float64(round)*5+float64(i)*0.01))
+			detector.RecordFailure(fmt.Sprintf("r%d", i), ConnectionRefused, at(float64(round)*5+float64(i)*0.01))
 		}
 	}
 	back := 0
 	for i := range 6 {
-		if g.Fitness(fmt.Sprintf("r%d", i), false, at(35.1).Add(FirstEjectionTime)) == Fit {
+		if detector.Fitness(fmt.Sprintf("r%d", i), false, at(35.1).Add(FirstEjectionTime)) == Fit {
 			back++
 		}
 	}
 	require.GreaterOrEqual(t, back, 4)
 }
 
-func TestASuspicionEjectsNobodyButLowersTheEvidenceNeeded(t *testing.T) {
-	g := of(9)
-	g.SetSuspects([]string{"r1"}, at(0))
+func TestSetSuspects_OneReplica_NotEjectedButLessEvidenceNeeded(t *testing.T) {
+	detector := newTestDetector(9)
+	detector.SetSuspects([]string{"r1"}, at(0))
 	n := map[Fitness]int{}
 	for range 4000 {
-		n[g.Fitness("r1", false, at(0.1))]++
+		n[detector.Fitness("r1", false, at(0.1))]++
 	}
 	require.Zero(t, n[Ejected])
 	require.InDelta(t, 4000*suspectShare, n[Fit], 150)
 	clear(n)
 	for range 4000 {
-		n[g.Fitness("r1", true, at(0.1))]++
+		n[detector.Fitness("r1", true, at(0.1))]++
 	}
 	require.Zero(t, n[Ejected])
 	require.InDelta(t, 4000*suspectRetriableShare, n[Fit], 200)
-	g.RecordFailure("r2", Rejected, at(0.2))
-	require.Equal(t, Fit, g.Fitness("r2", false, at(0.2)))
-	g.RecordFailure("r1", Rejected, at(0.2))
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(0.3)))
-	h := of(9)
+	detector.RecordFailure("r2", Rejected, at(0.2))
+	require.Equal(t, Fit, detector.Fitness("r2", false, at(0.2)))
+	detector.RecordFailure("r1", Rejected, at(0.2))
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.3)))
+	h := newTestDetector(9)
 	h.SetSuspects([]string{"r1"}, at(0))
 	require.Equal(t, Fit, h.Fitness("r1", false, at(0).Add(suspicionLifetime)), "not repeated, it ends")
 	h.SetSuspects([]string{"r1"}, at(0))
@@ -134,76 +134,76 @@
 	require.Equal(t, Fit, h.Fitness("r1", false, at(0.1)))
 }
 
-func TestOverdueIsMeasuredAgainstThePredictionOrTheServicesMean(t *testing.T) {
-	g := of(9)
-	d, ok := g.OverdueAfter("r1", 400*time.Millisecond, time.Second)
+func TestOverdueAfter_PredictionOrMean_FactorOfIt(t *testing.T) {
+	detector := newTestDetector(9)
+	d, ok := detector.OverdueAfter("r1", 400*time.Millisecond, time.Second)
 	require.True(t, ok)
 	require.Equal(t, 1600*time.Millisecond+overdueMargin, d)
-	_, ok = g.OverdueAfter("nobody", time.Second, 0)
+	_, ok = detector.OverdueAfter("nobody", time.Second, 0)
 	require.False(t, ok)
-	_, ok = g.OverdueAfter("r1", 0, 0)
+	_, ok = detector.OverdueAfter("r1", 0, 0)
 	require.False(t, ok, "no answers yet")
 	for i := range 200 {
-		g.RecordSuccess(fmt.Sprintf("r%d", i%4), 40*time.Millisecond, 0, false, at(0))
+		detector.RecordSuccess(fmt.Sprintf("r%d", i%4), Answer{Took: 40 * time.Millisecond})
 	}
-	d, ok = g.OverdueAfter("r8", 0, 0)
+	d, ok = detector.OverdueAfter("r8", 0, 0)
 	require.True(t, ok)
 	require.InDelta(t, 160*time.Millisecond+overdueMargin, d, float64(time.Millisecond))
-	d, _ = g.OverdueAfter("r8", 0, time.Second)
+	d, _ = detector.OverdueAfter("r8", 0, time.Second)
 	require.Equal(t, 1500*time.Millisecond, d, "not before the aim is missed by half")
 	for range 3 {
-		g.RecordFailure("r8", Overdue, at(0))
-		g.RecordSuccess("r8", time.Second, time.Millisecond, true, at(0))
+		detector.RecordFailure("r8", Overdue, at(0))
+		detector.RecordSuccess("r8", Answer{Took: time.Second, Predicted: time.Millisecond, Overdue: true})
 	}
-	require.Equal(t, Fit, g.Fitness("r8", false, at(0.1)), "lateness alone ejects only whom the fleet suspects")
-	g.SetSuspects([]string{"r8"}, at(0.1))
-	g.RecordFailure("r8", Overdue, at(0.1))
-	require.Equal(t, Ejected, g.Fitness("r8", false, at(0.2)))
-	ws := g.TakeReports(1, at(0))
-	require.Len(t, ws, 1)
-	require.Zero(t, ws[0].Successes, "an overdue answer is no good one")
-	require.InDelta(t, 4*weightOverdue, ws[0].Failures, 1e-9)
+	require.Equal(t, Fit, detector.Fitness("r8", false, at(0.1)), "lateness alone ejects only whom the fleet suspects")
+	detector.SetSuspects([]string{"r8"}, at(0.1))
+	detector.RecordFailure("r8", Overdue, at(0.1))
+	require.Equal(t, Ejected, detector.Fitness("r8", false, at(0.2)))
+	reports := detector.TakeReports(1, at(0))
+	require.Len(t, reports, 1)
+	require.Zero(t, reports[0].Successes, "an overdue answer is no good one")
+	require.InDelta(t, 4*weights[Overdue], reports[0].Failures, 1e-9)
 }
 
-func TestWordsAreToldOnceAndNoneInCalmTimes(t *testing.T) {
-	g := of(50)
-	g.RecordSuccess("r1", time.Millisecond, time.Second, false, at(0))
-	require.Empty(t, g.TakeReports(7, at(0)))
-	g.RecordFailure("r1", ServerError, at(0))
-	g.RecordSuccess("r1", time.Millisecond, time.Second, false, at(0))
-	require.Equal(t, []Report{{"r1", 7, 1, weightServerError}}, g.TakeReports(7, at(0)))
-	require.Empty(t, g.TakeReports(7, at(0)))
-	g.SetSuspects([]string{"r2"}, at(0))
-	g.RecordSuccess("r2", time.Millisecond, time.Second, false, at(0))
-	require.Equal(t, []Report{{"r2", 7, 1, 0}}, g.TakeReports(7, at(0)), "what works is told of a suspect")
+func TestTakeReports_FaultsAndCalm_ReportedOnce(t *testing.T) {
+	detector := newTestDetector(50)
+	detector.RecordSuccess("r1", Answer{Took: time.Millisecond, Predicted: time.Second})
+	require.Empty(t, detector.TakeReports(7, at(0)))
+	detector.RecordFailure("r1", ServerError, at(0))
+	detector.RecordSuccess("r1", Answer{Took: time.Millisecond, Predicted: time.Second})
+	require.Equal(t, []Report{{"r1", 7, 1, weights[ServerError]}}, detector.TakeReports(7, at(0)))
+	require.Empty(t, detector.TakeReports(7, at(0)))
+	detector.SetSuspects([]string{"r2"}, at(0))
+	detector.RecordSuccess("r2", Answer{Took: time.Millisecond, Predicted: time.Second})
+	require.Equal(t, []Report{{"r2", 7, 1, 0}}, detector.TakeReports(7, at(0)), "successes of a suspect are reported")
 	for i := range 50 {
-		g.RecordFailure(fmt.Sprintf("r%d", i), Rejected, at(0))
+		detector.RecordFailure(fmt.Sprintf("r%d", i), Rejected, at(0))
 	}
-	require.Len(t, g.TakeReports(7, at(0)), maxReports)
-	require.NotEmpty(t, g.Stats(at(0)))
-	g.RecordFailure("r3", Timeout, at(0))
-	g.TakeReports(7, at(0))
-	require.Equal(t, Ejected, g.Fitness("r3", false, at(0.1)), "telling forgets no ejection")
-	g.SetReplicas(nil)
-	require.Empty(t, g.Stats(at(0)))
-	g.RecordFailure("gone", Timeout, at(0))
-	require.Equal(t, Fit, g.Fitness("gone", false, at(0)))
+	require.Len(t, detector.TakeReports(7, at(0)), maxReports)
+	require.NotEmpty(t, detector.Stats(at(0)))
+	detector.RecordFailure("r3", Timeout, at(0))
+	detector.TakeReports(7, at(0))
+	require.Equal(t, Ejected, detector.Fitness("r3", false, at(0.1)), "reporting forgets no ejection")
+	detector.SetReplicas(nil)
+	require.Empty(t, detector.Stats(at(0)))
+	detector.RecordFailure("gone", Timeout, at(0))
+	require.Equal(t, Fit, detector.Fitness("gone", false, at(0)))
 }
 
-func TestForgottenConnectionsAreHeldAgainstAReplicaOnlyIfItsPeersForgetLess(t *testing.T) {
-	g, all := of(9), of(9)
+func TestRecordFailure_StaleConnections_CountOnlyBeyondPeers(t *testing.T) {
+	detector, all := newTestDetector(9), newTestDetector(9)
 	for i := range 5 {
-		g.RecordFailure("r1", StaleConnection, at(float64(i)/10))
+		detector.RecordFailure("r1", StaleConnection, at(float64(i)/10))
 		for k := range 9 {
 			all.RecordFailure(fmt.Sprintf("r%d", k), StaleConnection, at(float64(i)/10))
 		}
 	}
-	require.Equal(t, Ejected, g.Fitness("r1", false, at(0.5)))
+	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.5)))
 	require.Equal(t, Fit, all.Fitness("r1", false, at(0.5)))
-	h := of(9)
+	h := newTestDetector(9)
 	h.RecordFailure("r1", Timeout, at(0))
 	h.RequestSent("r1")
 	h.RecordFailure("r1", StaleConnection, at(1))
 	h.RequestEnded("r1")
-	require.Equal(t, Fit, h.Fitness("r1", false, at(1)), "a trial on a forgotten connection tells nothing")
+	require.Equal(t, Fit, h.Fitness("r1", false, at(1)), "a trial on a stale connection says nothing")
 }
--- /dev/null
+++ b/coord/outlier/ejection.go
@@ -0,0 +1,113 @@
+package outlier
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// FirstEjectionTime is the length of the first ejection.
+	FirstEjectionTime = 700 * time.Millisecond
+	// maxEjectionTime bounds later ones, which double.
+	maxEjectionTime = 4 * time.Second
+	// maxDoublings bounds the doublings themselves.
+	maxDoublings = 4
+	// episodeHalfLife is the time over which earlier ejections lengthen the next one by half as much.
+	episodeHalfLife = 15 * time.Second
+	// failureHalfLife is the time over which a node's own evidence halves: one of a large fleet sees a replica every
+	// few seconds.
+	failureHalfLife = 3 * time.Second
+	// ejectionThreshold is the own evidence, in whole failures, that ejects.
+	ejectionThreshold = 1.0
+	// suspectEjectionThreshold is the same for a suspect: one failure of any kind.
+	suspectEjectionThreshold = 0.25
+	// peerRatio is how many times its peers' mean the evidence against a replica must be.
+	peerRatio = 3.0
+	// ejectableOneIn bounds what is out by judgement to one in so many replicas of a service.
+	ejectableOneIn = 3
+)
+
+// maxEjected is how many of a service's replicas may be out by judgement at once: never all of them.
+func maxEjected(replicas int) int {
+	if replicas < 2 {
+		return 0
+	}
+	return max(1, replicas/ejectableOneIn)
+}
+
+// RecordFailure records a failure of a replica, and ejects it if that is evidence enough.
+func (d *Detector) RecordFailure(id string, kind FailureKind, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	replica := d.replicas[id]
+	if replica == nil {
+		return
+	}
+	peers := d.addFailure(replica, weights[kind], now)
+	if replica.isEjected(now) {
+		return
+	}
+	switch {
+	case kind.ejectsAtOnce():
+		d.eject(replica, false, now)
+	case replica.isGuilty(kind, peers, now) && d.ejectedByEvidence(replica.service, now) < maxEjected(d.services[replica.service].replicas):
+		d.eject(replica, true, now)
+	}
+}
+
+// addFailure adds a failure to the sums and gives its peers' mean before it.
+func (d *Detector) addFailure(replica *replicaRecord, weight float64, now time.Time) (peers float64) {
+	service := d.services[replica.service]
+	if service.replicas > 1 {
+		others := max(0, service.failures.decay(now, failureHalfLife)-replica.failures.decay(now, failureHalfLife))
+		peers = others / float64(service.replicas-1)
+	}
+	replica.failures.add(weight, now, failureHalfLife)
+	service.failures.add(weight, now, failureHalfLife)
+	replica.unreportedFailures += weight
+	return peers
+}
+
+// isGuilty reports whether the evidence is enough for an ejection by judgement after a failure.
+func (r *replicaRecord) isGuilty(kind FailureKind, peers float64, now time.Time) bool {
+	if r.needsTrial {
+		return kind != StaleConnection // a trial on a connection that timed out says nothing
+	}
+	threshold := ejectionThreshold
+	if r.isSuspect(now) {
+		threshold = suspectEjectionThreshold
+	} else if kind == Overdue {
+		return false // a queue at a busy replica looks the same from one node: the fleet's evidence is needed too
+	}
+	return r.failures.value >= threshold && r.failures.value >= peerRatio*peers
+}
+
+func (d *Detector) ejectedByEvidence(service string, now time.Time) int {
+	ejected := 0
+	for _, replica := range d.replicas {
+		if replica.service == service && replica.byEvidence && replica.isEjected(now) {
+			ejected++
+		}
+	}
+	return ejected
+}
+
+// eject keeps requests away for a time that grows with the late episodes. Beyond the part of a service that may be
+// out by judgement it doesn't grow.
+func (d *Detector) eject(replica *replicaRecord, byEvidence bool, now time.Time) {
+	ejected := 0
+	for _, peer := range d.replicas {
+		if peer.service == replica.service && peer.isEjected(now) {
+			ejected++
+		}
+	}
+	length := FirstEjectionTime
+	if ejected < maxEjected(d.services[replica.service].replicas) {
+		doublings := math.Floor(replica.episodes.decay(now, episodeHalfLife) + 0.5)
+		length = min(maxEjectionTime, time.Duration(float64(length)*math.Exp2(min(doublings, maxDoublings))))
+	}
+	d.openCases.Add(1)
+	replica.episodes.add(1, now, episodeHalfLife)
+	replica.ejectedUntil, replica.byEvidence = now.Add(length), byEvidence
+	replica.needsTrial, replica.trialUnderWay = true, false
+}
--- a/internal/controller/outlier_reports.go
+++ b/internal/controller/outlier_reports.go
@@ -84,7 +84,7 @@
 	for _, replica := range c.updates.View().Replicas {
 		size[replica.Pool]++
 	}
-	if suspects, changed := c.aggregator.Evaluate(size, now); changed {
-		c.publish(state.UpdateSuspects{Replicas: suspects})
+	if suspects := c.aggregator.Evaluate(size, now); suspects.Publish {
+		c.publish(state.UpdateSuspects{Replicas: suspects.IDs})
 	}
 }
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -229,7 +229,7 @@
 		return 0, false
 	}
 	attempt.FirstTokenSeen = true
-	p.health.RecordSuccess(attempt.ReplicaID, took, predicted, attempt.OverdueReported, time.Now())
+	p.health.RecordSuccess(attempt.ReplicaID, outlier.Answer{Took: took, Predicted: predicted, Overdue: attempt.OverdueReported})
 	if attempt.Chain == nil {
 		return 0, false
 	}
