--- /dev/null
+++ b/internal/config/digest.go
@@ -0,0 +1,38 @@
+package config
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"strconv"
+)
+
+// DigestBytes is the size of a change's digest. Digests are stored: it stays as it is.
+const DigestBytes = 16
+
+// Digest tells whether two changes mean the same: it goes by the JSON's meaning, not by its spacing or the order of
+// its keys. A body that is no single whole object has the digest of its bytes. The kind is the stored one of the event.
+func Digest(kind string, base int64, body []byte) []byte {
+	hash := sha256.New()
+	hash.Write([]byte(kind + "\x00" + strconv.FormatInt(base, 10) + "\x00"))
+	hash.Write(canonical(body))
+	return hash.Sum(nil)[:DigestBytes]
+}
+
+// canonical gives a JSON object without spaces and with sorted keys; numbers stay as they are written.
+func canonical(body []byte) []byte {
+	if _, err := parseObject(body); err != nil {
+		return body
+	}
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.UseNumber()
+	var value any
+	if decoder.Decode(&value) != nil {
+		return body
+	}
+	sorted, err := json.Marshal(value)
+	if err != nil {
+		return body
+	}
+	return sorted
+}
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -5,6 +5,8 @@
 	"encoding/binary"
 	"encoding/json"
 	"sort"
+
+	"shaletrestle/internal/config"
 )
 
 // historyLimit bounds the changes that a history holds. An operator repeats a change for seconds; so many changes are
@@ -12,7 +14,7 @@
 const historyLimit = 512
 
 // digestBytes is the size of a change's digest in a history.
-const digestBytes = 16
+const digestBytes = config.DigestBytes
 
 // Outcome tells what is known of a change of the configuration.
 type Outcome int
