--- a/coord/lease/compatibility_test.go
+++ b/coord/lease/compatibility_test.go
@@ -13,15 +13,15 @@
 )
 
 // recorder keeps what is asked and answers as one grantor does.
-type recorder struct {
-	grantor *Grantor
-	asked   []*rpc.Message
-	answers []*rpc.Message
+type recordingCaller struct {
+	grantor  *Grantor
+	requests []*rpc.Message
+	answers  []*rpc.Message
 }
 
-func (r *recorder) Call(_ string, message *rpc.Message, _ time.Duration) (*rpc.Message, error) {
-	message.Call = uint64(len(r.asked) + 1)
-	r.asked = append(r.asked, message)
+func (r *recordingCaller) Call(_ string, message *rpc.Message, _ time.Duration) (*rpc.Message, error) {
+	message.Call = uint64(len(r.requests) + 1)
+	r.requests = append(r.requests, message)
 	answer := r.grantor.Handle(message)
 	r.answers = append(r.answers, answer)
 	if answer == nil {
@@ -35,7 +35,7 @@
 func TestLease_RecordedBytes_AskedAndAnsweredAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/messages.txt")
-		r := &recorder{grantor: NewGrantor()}
+		r := &recordingCaller{grantor: NewGrantor()}
 		self := rpc.Member{ID: 0x3001, Address: "10.0.0.1:7720", Zone: "zone-1"}
 		grantors := func() []rpc.Member { return []rpc.Member{{ID: 0x3002, Address: "10.0.0.2:7720", Zone: "zone-2"}} }
 		wanted := true
@@ -51,18 +51,18 @@
 		time.Sleep(Duration)
 		require.True(t, holder.Renew())
 		wanted = false
-		require.False(t, holder.Renew(), "given back")
+		require.False(t, holder.Renew(), "released")
 		names := []string{"too-early", "renewal", "give-back"}
-		require.Len(t, r.asked, len(names))
-		second := &Grantor{born: r.grantor.born, given: map[string]grant{}}
+		require.Len(t, r.requests, len(names))
+		second := &Grantor{started: r.grantor.started, grants: map[string]grant{}}
 		for i, name := range names {
-			request, err := rpc.Decode(recording.Same(name, r.asked[i].Encode()))
+			request, err := rpc.Decode(recording.Same(name, r.requests[i].Encode()))
 			require.NoError(t, err)
-			require.Equal(t, r.asked[i], request)
+			require.Equal(t, r.requests[i], request)
 			answer := recording.Same(name+"-answer", r.answers[i].Encode())
 			if i > 0 { // the first came before the grantor was old enough
 				require.Equal(t, answer, second.Handle(request).Encode(), name)
-				require.Len(t, second.given, len(names)-1-i, name)
+				require.Len(t, second.grants, len(names)-1-i, name)
 			}
 		}
 	})
--- a/coord/lease/constants.go
+++ b/coord/lease/constants.go
@@ -2,13 +2,11 @@
 
 import "time"
 
-// Leases.
-const (
-	safetyMargin  = 120 * time.Millisecond // holder stops this much earlier: clock drift and late timers
-	renewInterval = 150 * time.Millisecond // three renewals fit into a span
-)
-
 const (
 	// Duration is how long a lease is granted. A grantor that restarted grants nothing for as long.
 	Duration = 500 * time.Millisecond
+	// safetyMargin is how much earlier a holder stops: for clocks that drift and timers that are late.
+	safetyMargin = 120 * time.Millisecond
+	// renewInterval is the time between renewals: three fit into Duration.
+	renewInterval = 150 * time.Millisecond
 )
--- a/coord/lease/lease.go
+++ b/coord/lease/holder.go
@@ -1,4 +1,3 @@
-// Package lease gives duties to one process at a time: a lease granted by a majority of grantors, counted on the steady clock from before it was asked for, and given up before it ends.
 package lease
 
 import (
@@ -7,78 +6,17 @@
 	"sync"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"shaletrestle/coord/rpc"
+	"shaletrestle/coord/wait"
 )
 
-type grant struct {
-	holder uint64
-	life   uint64 // of the holder's process
-	mixed  bool   // requests of another life of the holder came meanwhile
-	number uint64 // the highest of a renewal in that life
-	until  time.Time
-}
-
-// renew extends a grant that runs. A request may be a late one: it neither shortens the grant nor lowers its number, so that an old give-back stays older than what was granted since. Of two lives of the holder nobody here knows which is the later, so no give-back counts any more.
-func (g *grant) renew(life, number uint64, until time.Time) {
-	g.mixed = g.mixed || g.life != life
-	g.number = max(g.number, number)
-	if until.After(g.until) {
-		g.until = until
-	}
-}
-
-// givenBackBy tells whether a give-back is newer than all that the grant stands for.
-func (g *grant) givenBackBy(life, number uint64) bool {
-	return !g.mixed && g.life == life && g.number < number
-}
-
-// Grantor answers lease requests. It keeps nothing on disk: a new one refuses until any lease that its forerunner gave has ended.
-type Grantor struct {
-	mu    sync.Mutex
-	born  time.Time
-	given map[string]grant
-}
-
-// NewGrantor makes a grantor.
-func NewGrantor() *Grantor { return &Grantor{born: time.Now(), given: map[string]grant{}} }
-
-// Handle answers a lease request.
-func (g *Grantor) Handle(n *rpc.Message) *rpc.Message {
-	now := time.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if now.Sub(g.born) < Duration {
-		return n.Reply(false)
-	}
-	held, known := g.given[n.Text]
-	runs := known && now.Before(held.until)
-	if runs && held.holder != n.From.ID {
-		return n.Reply(false)
-	}
-	if n.Duration == 0 {
-		if runs && held.givenBackBy(n.Ballot, n.Number) {
-			delete(g.given, n.Text)
-		}
-		return n.Reply(true)
-	}
-	until := now.Add(min(time.Duration(n.Duration), Duration))
-	if runs {
-		held.renew(n.Ballot, n.Number, until)
-	} else {
-		held = grant{holder: n.From.ID, life: n.Ballot, number: n.Number, until: until}
-	}
-	g.given[n.Text] = held
-	return n.Reply(true)
-}
-
-// Caller asks one grantor.
+// Caller carries a request to a grantor at an address and its answer back, as *rpc.Pool does. It must be safe for
+// concurrent use and return within the timeout.
 type Caller interface {
-	Call(addr string, n *rpc.Message, d time.Duration) (*rpc.Message, error)
+	Call(address string, request *rpc.Message, timeout time.Duration) (*rpc.Message, error)
 }
 
-// Holder keeps one duty's lease while it is wanted.
+// Holder keeps the lease of one duty while that is wanted.
 type Holder struct {
 	options     HolderOptions
 	incarnation uint64 // of this holder: its requests are numbered within it
@@ -113,15 +51,15 @@
 	return &Holder{options: options, incarnation: rand.Uint64()}
 }
 
-// Held tells whether the duty may be done now. Ask again after every wait: the process may have stood still.
+// Held tells whether the lease is held now. Ask again after every wait: the process may have stood still.
 func (h *Holder) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Now().Before(h.until)
 }
 
-// HeldSince tells since when the duty is held without a gap; ok is false if it isn't held now.
-func (h *Holder) HeldSince() (m time.Time, ok bool) {
+// HeldSince tells since when the lease has been held without a gap; held is false if it isn't held now.
+func (h *Holder) HeldSince() (since time.Time, held bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.since, time.Now().Before(h.until)
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -13,57 +13,56 @@
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
-	"shaletrestle/internal/errkind"
 )
 
-// fleet is grantors in one process, some of them out of reach.
-type fleet struct {
-	mu   sync.Mutex
-	g    []*Grantor
-	down map[int]bool
-	lag  time.Duration
+// grantors are grantors in one process, some of them out of reach.
+type grantors struct {
+	mu      sync.Mutex
+	members []*Grantor
+	down    map[int]bool
+	lag     time.Duration
 }
 
-func (f *fleet) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
+func (f *grantors) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
 	var i int
 	_, _ = fmt.Sscan(addr, &i)
 	time.Sleep(f.lag)
 	if f.down[i] {
-		return nil, errkind.New(errkind.Unavailable, "down")
+		return nil, rpc.ErrUnreachable
 	}
-	return f.g[i].Handle(n), nil
+	return f.members[i].Handle(n), nil
 }
 
-func (f *fleet) members() (out []rpc.Member) {
-	for i := range f.g {
+func (f *grantors) list() (out []rpc.Member) {
+	for i := range f.members {
 		out = append(out, rpc.Member{ID: uint64(100 + i), Address: fmt.Sprint(i)})
 	}
 	return
 }
 
-func newFleet() *fleet {
-	f := &fleet{down: map[int]bool{}}
+func newGrantors() *grantors {
+	f := &grantors{down: map[int]bool{}}
 	for range 3 {
-		f.g = append(f.g, NewGrantor())
+		f.members = append(f.members, NewGrantor())
 	}
 	return f
 }
 
-func (f *fleet) holder(id uint64) *Holder {
+func (f *grantors) holder(id uint64) *Holder {
 	return NewHolder(HolderOptions{
 		Duty:     "list",
 		Self:     rpc.Member{ID: id},
 		Caller:   f,
-		Grantors: f.members,
+		Grantors: f.list,
 		Wanted:   func() bool { return true },
 	})
 }
 
-func TestOneHolderAtATime(t *testing.T) {
+func TestHolder_TwoHolders_OneHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		a, b := f.holder(1), f.holder(2)
-		require.False(t, a.Renew(), "grantors that just started are silent for one span")
+		require.False(t, a.Renew(), "grantors that just started refuse for one duration")
 		time.Sleep(Duration)
 		require.True(t, a.Renew())
 		require.True(t, a.Held())
@@ -80,9 +79,9 @@
 	})
 }
 
-func TestMinorityGivesNothing(t *testing.T) {
+func TestHolderRenew_MinorityReachable_NotGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		f.down[0], f.down[1] = true, true
 		a := f.holder(1)
@@ -92,9 +91,9 @@
 	})
 }
 
-func TestAFrozenHolderHasNothingWhenItWakes(t *testing.T) {
+func TestHolder_Frozen_NotHeldOnWaking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
@@ -105,9 +104,9 @@
 	})
 }
 
-func TestTheSpanCountsFromBeforeTheRequest(t *testing.T) {
+func TestHolder_SlowAnswer_CountsFromTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		f.lag = Duration
 		a := f.holder(1)
@@ -116,55 +115,55 @@
 	})
 }
 
-func TestARestartedGrantorDoesNotGiveTwice(t *testing.T) {
+func TestGrantor_Restarted_DoesNotGrantTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		f.down[2] = true
 		require.True(t, a.Renew())
 		synctest.Wait()
-		f.g[0] = NewGrantor() // forgot what it gave
+		f.members[0] = NewGrantor() // forgot what it gave
 		f.down[2] = false
 		require.False(t, b.Renew() && a.Held())
 	})
 }
 
 func ExampleHolder() {
-	f := newFleet()
-	for _, g := range f.g {
-		g.born = g.born.Add(-Duration)
+	f := newGrantors()
+	for _, g := range f.members {
+		g.started = g.started.Add(-Duration)
 	}
 	h := f.holder(7)
 	if h.Renew() && h.Held() {
-		fmt.Println("the duty is ours")
+		fmt.Println("the lease is held")
 	}
-	// Output: the duty is ours
+	// Output: the lease is held
 }
 
-// delayed is grantors behind a network that delays, reorders and loses requests and answers.
-type delayed struct {
-	f  *fleet
-	mu sync.Mutex
-	r  *rand.Rand
+// faultyNetwork is grantors behind a network that delays, reorders and loses requests and answers.
+type faultyNetwork struct {
+	grantors *grantors
+	mu       sync.Mutex
+	random   *rand.Rand
 }
 
-func (d *delayed) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
+func (d *faultyNetwork) Call(addr string, n *rpc.Message, _ time.Duration) (*rpc.Message, error) {
 	d.mu.Lock()
-	there, back := time.Duration(d.r.IntN(5)), time.Duration(d.r.IntN(5))
-	if d.r.IntN(4) == 0 {
-		there = time.Duration(d.r.IntN(900))
+	there, back := time.Duration(d.random.IntN(5)), time.Duration(d.random.IntN(5))
+	if d.random.IntN(4) == 0 {
+		there = time.Duration(d.random.IntN(900))
 	}
-	lost := d.r.IntN(8) == 0
+	lost := d.random.IntN(8) == 0
 	d.mu.Unlock()
 	answer := make(chan *rpc.Message, 1)
 	go func() {
 		time.Sleep(there * time.Millisecond)
 		var i int
 		_, _ = fmt.Sscan(addr, &i)
-		d.f.mu.Lock()
-		g := d.f.g[i]
-		d.f.mu.Unlock()
+		d.grantors.mu.Lock()
+		g := d.grantors.members[i]
+		d.grantors.mu.Unlock()
 		a := g.Handle(n)
 		time.Sleep(back * time.Millisecond)
 		if !lost {
@@ -175,17 +174,17 @@
 	case a := <-answer:
 		return a, nil
 	case <-time.After(rpc.CallTimeout):
-		return nil, errkind.New(errkind.Unavailable, "no answer")
+		return nil, rpc.ErrTimeout
 	}
 }
 
-func TestNoTwoHoldWhateverIsLateLostRestartedOrGivenBack(t *testing.T) {
+func TestHolders_RandomFaults_NeverTwoHold(t *testing.T) {
 	held := 0
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 11))
-			f := newFleet()
-			d := &delayed{f: f, r: rand.New(rand.NewPCG(seed, 12))}
+			f := newGrantors()
+			d := &faultyNetwork{grantors: f, random: rand.New(rand.NewPCG(seed, 12))}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(10 * time.Second) }()
 			const holders = 3
@@ -196,7 +195,7 @@
 					Duty:     "list",
 					Self:     rpc.Member{ID: uint64(i + 1)},
 					Caller:   d,
-					Grantors: f.members,
+					Grantors: f.list,
 					Wanted:   wants[i].Load,
 				})
 				go hs[i].Run(ctx)
@@ -213,7 +212,7 @@
 					case 3: // a grantor forgets what it gave
 						if r.IntN(4) == 0 {
 							f.mu.Lock()
-							f.g[r.IntN(len(f.g))] = NewGrantor()
+							f.members[r.IntN(len(f.members))] = NewGrantor()
 							f.mu.Unlock()
 						}
 					}
@@ -234,15 +233,15 @@
 	require.Greater(t, held, 10000, "it is held at all")
 }
 
-func TestALateGiveBackTakesNothingThatWasGrantedSince(t *testing.T) {
+func TestGrantor_LateRelease_KeepsNewerGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		late := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 1}
 		require.True(t, a.Renew())
 		require.True(t, a.Renew())
-		for _, g := range f.g {
+		for _, g := range f.members {
 			g.Handle(late)
 		}
 		require.False(t, b.Renew())
@@ -250,47 +249,49 @@
 	})
 }
 
-// TestALateRenewalDoesNotMakeAnOlderGiveBackCount delivers a renewal and the give-back after it only when a newer renewal was granted.
-func TestALateRenewalDoesNotMakeAnOlderGiveBackCount(t *testing.T) {
+// TestGrantor_LateRenewalAndRelease_KeepsNewerGrant delivers a renewal and the release after it only when a newer
+// renewal was granted.
+func TestGrantor_LateRenewalAndRelease_KeepsNewerGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		a.requests = 2 // the first two are under way still
 		require.True(t, a.Renew())
 		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 1, Duration: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 2}
-		for _, g := range f.g {
+		release := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 2}
+		for _, g := range f.members {
 			g.Handle(renewal)
-			g.Handle(giveBack)
+			g.Handle(release)
 		}
 		require.False(t, b.Renew())
 		require.True(t, a.Held())
 	})
 }
 
-// TestAnEarlierLifeTakesNothingBack delivers requests of a holder's earlier life after its next one was granted the lease.
-func TestAnEarlierLifeTakesNothingBack(t *testing.T) {
+// TestGrantor_ReleaseOfEarlierIncarnation_KeepsGrant delivers requests of a holder's earlier incarnation after its next
+// one was granted the lease.
+func TestGrantor_ReleaseOfEarlierIncarnation_KeepsGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
 		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation + 1, Number: 8, Duration: uint64(Duration)}
-		giveBack := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation + 1, Number: 9}
-		for _, g := range f.g {
+		release := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation + 1, Number: 9}
+		for _, g := range f.members {
 			g.Handle(renewal)
-			g.Handle(giveBack)
+			g.Handle(release)
 		}
 		require.False(t, b.Renew())
 		require.True(t, a.Held())
 	})
 }
 
-// TestAGiveBackIsOlderThanARenewalThatBeginsAfterIt looks at the numbers that order them at the grantors.
-func TestAGiveBackIsOlderThanARenewalThatBeginsAfterIt(t *testing.T) {
+// TestHolder_Release_NumberedBeforeItIsSent looks at the numbers that order them at the grantors.
+func TestHolder_Release_NumberedBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet()
+		f := newGrantors()
 		time.Sleep(Duration)
 		a := f.holder(1)
 		require.True(t, a.Renew())
