--- a/coord/outlier/failure.go
+++ b/coord/outlier/failure.go
@@ -12,7 +12,7 @@
 	ServerError                          // a 5xx of its own
 	Rejected                             // turned away though it reported free slots
 	Overdue                              // far later than predicted
-	StaleConnection                      // a kept connection was reset when it was used again: most likely it timed out
+	StaleConnection                      // an idle connection was reset when it was used again: most likely it timed out
 )
 
 // weights are the parts of a whole failure that the kinds count for.
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -51,7 +51,7 @@
 		index = filledIndex(int(x))
 		return index
 	})
-	runs, _, _ := index.Stats()
+	runs := index.Stats().Runs
 	_, lookupTime := cost(func() any { return lookUp(index) })
 	return values{
 		"runs":                float64(runs),
@@ -69,8 +69,7 @@
 		shared := i / 2 // every shared part is seen twice
 		chain := componentChain(shared, i)
 		index.RecordSent(componentReplica(shared%componentReplicas), ample, chain, componentRoute(shared%100))
-		held, _, _ := index.Stats()
-		if held >= runs-8 || i > 4*runs {
+		if index.Stats().Runs >= runs-8 || i > 4*runs {
 			return index
 		}
 	}
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -13,7 +13,7 @@
 )
 
 // reference counts a prompt's blocks one token after the other and adds the source's terms up as they are written there.
-func reference(parts []prefixindex.Part, block, kept int, weight, scale, active, decode, out, requests float64) float64 {
+func reference(parts []prefixindex.Part, block, held int, weight, scale, active, decode, out, requests float64) float64 {
 	total, shared := 0, 0
 	for i, p := range parts {
 		for range p.Tokens {
@@ -30,7 +30,7 @@
 			w = weight
 		}
 		incoming += w
-		if at+block <= kept {
+		if at+block <= held {
 			credit += w
 		}
 	}
@@ -38,8 +38,8 @@
 	if adjusted < 0 {
 		adjusted = 0
 	}
-	held := math.Ceil((float64(total) + out) / float64(block))
-	return scale*adjusted + decode + held + requests
+	potential := math.Ceil((float64(total) + out) / float64(block))
+	return scale*adjusted + decode + potential + requests
 }
 
 func TestCost_RandomLoads_AsInTheSource(t *testing.T) {
@@ -64,9 +64,9 @@
 		choosing.sharedWeight = 1 + r.Float64()*(o.RereadWeight-1)
 		b := placer.replicas["r0"]
 		b.sent.unreadTokens, b.sent.reservedTokens, b.sent.requests = float64(r.IntN(5000)), float64(r.IntN(90000)), r.IntN(6)
-		kept := r.IntN(c.Tokens()+1) / o.BlockTokens * o.BlockTokens
-		x := candidate{replica: b, matchedTokens: kept}
-		want := reference(parts, o.BlockTokens, kept, choosing.sharedWeight, o.PrefillLoadScale, b.sent.unreadTokens/float64(o.BlockTokens), b.sent.reservedTokens/float64(o.BlockTokens), float64(a.MaxOutputTokens), o.ActiveWeight*float64(b.sent.requests))
+		held := r.IntN(c.Tokens()+1) / o.BlockTokens * o.BlockTokens
+		x := candidate{replica: b, matchedTokens: held}
+		want := reference(parts, o.BlockTokens, held, choosing.sharedWeight, o.PrefillLoadScale, b.sent.unreadTokens/float64(o.BlockTokens), b.sent.reservedTokens/float64(o.BlockTokens), float64(a.MaxOutputTokens), o.ActiveWeight*float64(b.sent.requests))
 		require.InDelta(t, want, choosing.cost(&x), 1e-6*max(1, want))
 	}
 }
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -39,7 +39,7 @@
 	// PrefillLoadScale is the number of decode blocks that weigh as much as one block to be read. Default 64 (the
 	// term is that of session caching 4.4, the value ours).
 	PrefillLoadScale float64 `yaml:"prefill_load_scale"`
-	// CountActive tells whether active requests count by their number. Default true (the term is that of session
+	// CountActive says whether active requests count by their number. Default true (the term is that of session
 	// caching 4.4, where it is off).
 	CountActive bool `yaml:"count_active"`
 	// ActiveWeight is the number of decode blocks that one active request counts for. Default 64 (ours).
--- a/internal/prefixindex/cache.go
+++ b/internal/prefixindex/cache.go
@@ -4,53 +4,56 @@
 	"container/list"
 )
 
-// Bounds of the counters by which thrashing is noticed.
 const (
-	minStores = 16   // stores before a replica's evictions tell anything
-	maxStores = 4096 // stores after which both counters are halved
+	// thrashRatio is the number of evictions over stores above which a cache is thrashing (source).
+	thrashRatio = 0.9
+	// minCountedStores is the number of stores before a replica's evictions say anything.
+	minCountedStores = 16
+	// maxCountedStores is the number of stores after which both counters are halved, so that the newest count most.
+	maxCountedStores = 4096
 )
 
-// run is one hint: a replica is believed to keep the run of blocks of a key.
+// run is one hint: a replica is believed to hold the run of blocks of a key.
 type run struct {
 	key            Key
 	tokens         int
 	contradictions int // in a row
 	owner          string
 	cache          *cacheView
-	inCache        *list.Element // in its replica's order of use
-	inOwner        *list.Element // in its owner's order of use
+	cacheElement   *list.Element // in its replica's order of use
+	ownerElement   *list.Element // in its owner's order of use
 	position       int           // among the holders of its key
 }
 
-// cacheView is what one replica, from its start on, is believed to keep.
+// cacheView is what one replica, from its start on, is believed to hold.
 type cacheView struct {
-	replica  string
-	capacity int        // tokens
-	used     int        // tokens
-	recent   *list.List // of *run, the one used last in front
-	runs     map[Key]*list.Element
-	stores   float64
-	evicts   float64
+	replica        string
+	capacityTokens int
+	usedTokens     int
+	byRecentUse    *list.List // of *run, the one used last in front
+	runs           map[Key]*list.Element
+	stores         float64 // and evictions: counts that are halved from time to time
+	evictions      float64
 }
 
 func newCacheView(replica string) *cacheView {
-	return &cacheView{replica: replica, recent: list.New(), runs: map[Key]*list.Element{}}
+	return &cacheView{replica: replica, byRecentUse: list.New(), runs: map[Key]*list.Element{}}
 }
 
-// thrashes tells whether nearly as many runs were evicted as were stored.
-func (c *cacheView) thrashes() bool {
-	return c.evicts > thrashRatio*c.stores && c.stores > minStores
+// isThrashing reports whether nearly as many runs were evicted as were stored.
+func (c *cacheView) isThrashing() bool {
+	return c.evictions > thrashRatio*c.stores && c.stores > minCountedStores
 }
 
-// fade halves the counters once they are large.
-func (c *cacheView) fade() {
-	if c.stores > maxStores {
+// halveCounts halves the counters once they are large.
+func (c *cacheView) halveCounts() {
+	if c.stores > maxCountedStores {
 		c.stores /= 2
-		c.evicts /= 2
+		c.evictions /= 2
 	}
 }
 
-// get gives the run of a key, nil if it is not kept.
+// get gives the run of a key, nil if it is not held.
 func (c *cacheView) get(key Key) *run {
 	element := c.runs[key]
 	if element == nil {
@@ -61,7 +64,7 @@
 
 // oldest is the run that was unused longest, nil if there is none.
 func (c *cacheView) oldest() *run {
-	element := c.recent.Back()
+	element := c.byRecentUse.Back()
 	if element == nil {
 		return nil
 	}
--- a/internal/prefixindex/chain.go
+++ b/internal/prefixindex/chain.go
@@ -7,25 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// BlockTokens is the usual number of tokens in a block (source).
+const BlockTokens = 16
+
 // Part is one named part of a prompt.
 type Part struct {
-	ID     uint64
-	Tokens int
+	ID     uint64 // equal for equal contents
+	Tokens int    // its length
 }
 
 // Key is the chained key of a run of blocks; it stands for all blocks before it
 // too.
 type Key uint64
 
-// Chain is a prompt with its keys: Keys[i] is the key of the run that ends with
-// part i.
+// Chain is a prompt with its keys. Make it with [NewChain]; it is not changed afterwards.
 type Chain struct {
 	Parts        []Part
-	Keys         []Key
-	PrefixTokens []int // tokens up to the end of part i
+	Keys         []Key // of the run that ends with part i
+	PrefixTokens []int // up to the end of part i, in tokens
 }
 
-// Root is the key before the first block. It is made from the model and the
+// RootKey is the key before the first block. It is made from the model and the
 // revision of its weights.
 func RootKey(model string, weights int64) Key {
 	return Key(xxhash.Sum64String(model + "\x00" + strconv.FormatInt(weights, 10)))
@@ -61,11 +63,11 @@
 	return c.PrefixTokens[len(c.PrefixTokens)-1]
 }
 
-// Shared is the number of parts before the last one, which belongs to the request
+// SharedParts is the number of parts before the last one, which belongs to the request
 // or its session alone.
 func (c *Chain) SharedParts() int { return max(0, len(c.Parts)-1) }
 
-// Head is the key of all shared parts, by which a prompt's preferred replicas are
+// SharedKey is the key of all shared parts, by which a prompt's preferred replicas are
 // found. If there is only one part, it is that part's key.
 func (c *Chain) SharedKey() Key {
 	if shared := c.SharedParts(); shared > 0 {
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -1,19 +1,22 @@
 package prefixindex
 
+// MaxContradictions is the number of contradictions in a row at which a hint is dropped.
+const MaxContradictions = 3
+
 // evict removes one run from its replica's view.
 func (x *Index) evict(evicted *run) {
 	cache := evicted.cache
-	cache.recent.Remove(evicted.inCache)
+	cache.byRecentUse.Remove(evicted.cacheElement)
 	x.drop(evicted)
 	delete(cache.runs, evicted.key)
-	cache.used -= evicted.tokens
-	cache.evicts++
+	cache.usedTokens -= evicted.tokens
+	cache.evictions++
 }
 
 // drop removes a run from its owner's list and from the holders of its key.
 func (x *Index) drop(dropped *run) {
 	owned := x.owners[dropped.owner]
-	owned.Remove(dropped.inOwner)
+	owned.Remove(dropped.ownerElement)
 	if owned.Len() == 0 {
 		delete(x.owners, dropped.owner)
 	}
@@ -37,7 +40,7 @@
 	x.holders[removed.key] = holders[:last]
 }
 
-// Contradicted records that a replica took as long as if it kept nothing of a
+// Contradicted records that a replica took as long as if it held nothing of a
 // chain; a hint that is contradicted several times in a row is dropped.
 func (x *Index) Contradicted(replica string, chain *Chain) {
 	x.mu.Lock()
@@ -58,7 +61,7 @@
 	}
 }
 
-// Confirmed records that a replica was as quick as hinted.
+// Confirmed records that a replica was as quick as hinted: contradictions of its hints are forgotten.
 func (x *Index) Confirmed(replica string, chain *Chain) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -73,7 +76,7 @@
 	}
 }
 
-// Keep forgets all replicas but the live ones. A replica that was restarted, or
+// Retain forgets all replicas but the live ones. A replica that was restarted, or
 // has other weights, has another id and starts with an empty view.
 func (x *Index) Retain(live map[string]bool) {
 	x.mu.Lock()
@@ -85,7 +88,7 @@
 	}
 }
 
-// Forget drops what one replica is believed to keep.
+// Forget drops what one replica is believed to hold.
 func (x *Index) Forget(replica string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -97,24 +100,24 @@
 	if cache == nil {
 		return
 	}
-	for element := cache.recent.Front(); element != nil; element = element.Next() {
+	for element := cache.byRecentUse.Front(); element != nil; element = element.Next() {
 		x.drop(element.Value.(*run))
 	}
 	delete(x.caches, replica)
 }
 
-// Room records that running requests hold so many tokens of a replica's memory.
-// Kept runs that the rest has no room for are taken as evicted, the longest unused
+// ReserveTokens records that running requests hold so many tokens of a replica's memory.
+// Held runs that the rest has no room for are taken as evicted, the longest unused
 // first.
-func (x *Index) ReserveTokens(replica string, held float64) {
+func (x *Index) ReserveTokens(replica string, reservedTokens float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	cache := x.caches[replica]
 	if cache == nil {
 		return
 	}
-	left := float64(cache.capacity) - held
-	for cache.recent.Len() > 0 && float64(cache.used) > left {
+	left := float64(cache.capacityTokens) - reservedTokens
+	for cache.byRecentUse.Len() > 0 && float64(cache.usedTokens) > left {
 		x.evict(cache.oldest())
 	}
 }
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -1,7 +1,3 @@
-// Package prefixindex is an index of hints: which replicas are believed to keep
-// which prefix blocks of prompts in their cache. Keys are chained over the parts
-// of a prompt from the model and the revision of its weights; the client is not
-// part of the key.
 package prefixindex
 
 import (
@@ -11,31 +7,34 @@
 	"shaletrestle/coord/fairshare"
 )
 
-// Index holds the hints of one process.
+// MaxRuns bounds the runs held over all replicas in an index of the usual size.
+const MaxRuns = 20000
+
+// Index holds the hints of one process. Make it with [NewIndex]. All methods are safe for concurrent use.
 type Index struct {
-	mu          sync.Mutex
-	sketch      *Sketch
+	mu          sync.Mutex // guards all fields below
+	sketch      *sketch
 	caches      map[string]*cacheView // by replica
 	queue       queue
 	sequence    int                   // of the newest pending prompt
-	memory      *fairshare.Shares     // the runs that this process may hold, shared by the owners
+	memory      *fairshare.Shares     // the runs that this process may hold, shared out among the owners
 	owners      map[string]*list.List // of *run, the one used last in front
-	holders     map[Key][]*run        // who keeps a run
+	holders     map[Key][]*run        // the runs of a key, one for each replica that holds it
 	blockTokens int                   // tokens of a block
 	runs        int
 	lookups     int64
 	hits        int64 // lookups that found something
 }
 
-// NewIndex makes an empty index of the usual size.
+// NewIndex makes an empty index of the usual size, [MaxRuns].
 func NewIndex() *Index { return NewSizedIndex(MaxRuns) }
 
-// SizedIndex makes an empty index that holds at most so many runs. When it is
+// NewSizedIndex makes an empty index that holds at most so many runs. When it is
 // full, the owner that holds most gives way, so that a heavy owner can't push the
 // others' runs out.
 func NewSizedIndex(runs int) *Index {
 	return &Index{
-		sketch:      &Sketch{},
+		sketch:      &sketch{},
 		caches:      map[string]*cacheView{},
 		memory:      fairshare.New(int64(runs), 1),
 		owners:      map[string]*list.List{},
@@ -44,19 +43,27 @@
 	}
 }
 
-// Cut sets the tokens of a block.
+// SetBlockTokens sets the tokens of a block, by which later lookups are rounded down; below 1 it is 1. What is held
+// stays.
 func (x *Index) SetBlockTokens(block int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.blockTokens = max(1, block)
 }
 
-// Stats tells the runs held, the lookups and how many of them found something.
-func (x *Index) Stats() (runs int, lookups, hits int64) {
+// Stats are counts of an index.
+type Stats struct {
+	Runs    int   // held now
+	Lookups int64 // of prompts, since the start
+	Hits    int64 // lookups that found something
+}
+
+// Stats gives the counts of the moment.
+func (x *Index) Stats() Stats {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.runs, x.lookups, x.hits
+	return Stats{Runs: x.runs, Lookups: x.lookups, Hits: x.hits}
 }
 
-// Portions lists how many runs each owner holds.
+// OwnerShares lists how many runs each owner holds, those that hold the most first.
 func (x *Index) OwnerShares() []fairshare.UserShare { return x.memory.UserShares() }
--- a/internal/prefixindex/index_bench_test.go
+++ b/internal/prefixindex/index_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// filledIndex is an index in which some replicas keep prompts with shared parts.
+// filledIndex is an index in which some replicas hold prompts with shared parts.
 func filledIndex() *Index {
 	index := NewSizedIndex(20000)
 	for i := range 20000 {
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -31,10 +31,10 @@
 	return
 }
 
-func TestRunsGiveWhatBlocksGive(t *testing.T) {
+func TestMatched_RandomPrompts_AsWithOneKeyABlock(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
-		x, lit := NewIndex(), perBlock{}
+		index, lit := NewIndex(), perBlock{}
 		parts := make([]Part, 6)
 		for i := range parts {
 			parts[i] = Part{uint64(i + 1), 1 + r.IntN(60)}
@@ -49,7 +49,7 @@
 		for range 5 {
 			ps := some()
 			for range MinSightings {
-				x.RecordSent("r", 1<<30, chain(ps...), "own")
+				index.RecordSent("r", 1<<30, chain(ps...), "own")
 			}
 			for _, b := range blocks(ps) {
 				lit[b] = true
@@ -64,67 +64,66 @@
 				}
 				want += BlockTokens
 			}
-			got := x.Matched("r", chain(ps...))
+			got := index.Matched("r", chain(ps...))
 			require.Equal(t, want, got, "%v", ps)
 		}
 	}
 }
 
-func TestStoredPromptsMatchWholeAndDifferentOnesDoNot(t *testing.T) {
-	x := NewIndex()
+func TestMatched_StoredAndOtherPrompts_LongestCommonPrefix(t *testing.T) {
+	index := NewIndex()
 	a := chain(Part{1, 100}, Part{2, 400}, Part{9, 50})
-	x.RecordSent("r", 1<<20, a, "own")
-	require.Zero(t, x.Matched("r", a), "one sighting is no reason to keep anything")
-	x.RecordSent("r", 1<<20, a, "own")
-	require.Equal(t, 544, x.Matched("r", a))
-	require.Equal(t, 496, x.Matched("r", chain(Part{1, 100}, Part{2, 400}, Part{8, 50})))
-	require.Equal(t, 96, x.Matched("r", chain(Part{1, 100}, Part{3, 400})))
-	require.Zero(t, x.Matched("r", chain(Part{2, 400}, Part{1, 100})), "a prefix, not a part")
-	require.Zero(t, x.Matched("other life", a))
-	require.Zero(t, x.Matched("r", NewChain(RootKey("m", 2), a.Parts)), "other weights")
-	require.Zero(t, x.Matched("r", NewChain(RootKey("n", 1), a.Parts)), "another model")
-	x.Retain(map[string]bool{})
-	require.Zero(t, x.Matched("r", a), "a life that is over")
+	index.RecordSent("r", 1<<20, a, "own")
+	require.Zero(t, index.Matched("r", a), "one sighting is no reason to hold anything")
+	index.RecordSent("r", 1<<20, a, "own")
+	require.Equal(t, 544, index.Matched("r", a))
+	require.Equal(t, 496, index.Matched("r", chain(Part{1, 100}, Part{2, 400}, Part{8, 50})))
+	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{3, 400})))
+	require.Zero(t, index.Matched("r", chain(Part{2, 400}, Part{1, 100})), "a prefix, not a part")
+	require.Zero(t, index.Matched("another incarnation", a))
+	require.Zero(t, index.Matched("r", NewChain(RootKey("m", 2), a.Parts)), "other weights")
+	require.Zero(t, index.Matched("r", NewChain(RootKey("n", 1), a.Parts)), "another model")
+	index.Retain(map[string]bool{})
+	require.Zero(t, index.Matched("r", a), "an incarnation that is over")
 }
 
-func TestOldestRunsGiveWayAndParentsOutliveChildren(t *testing.T) {
-	x := NewIndex()
+func TestRecordSent_CacheFull_OldestRunsEvictedChildrenFirst(t *testing.T) {
+	index := NewIndex()
 	for i := range 10 {
 		c := chain(Part{1, 100}, Part{uint64(10 + i), 100})
-		x.RecordSent("r", 500, c, "own")
-		x.RecordSent("r", 500, c, "own")
+		index.RecordSent("r", 500, c, "own")
+		index.RecordSent("r", 500, c, "own")
 	}
-	require.Equal(t, 192, x.Matched("r", chain(Part{1, 100}, Part{19, 100})))
-	require.Equal(t, 96, x.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared head is kept, the oldest is not")
-	runs, _, _ := x.Stats()
-	require.Equal(t, 5, runs)
+	require.Equal(t, 192, index.Matched("r", chain(Part{1, 100}, Part{19, 100})))
+	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared part is held, the oldest own one is not")
+	require.Equal(t, 5, index.Stats().Runs)
 }
 
-func TestAHintContradictedOftenIsDropped(t *testing.T) {
-	x := NewIndex()
+func TestContradicted_SeveralInARow_HintDropped(t *testing.T) {
+	index := NewIndex()
 	c := chain(Part{1, 100}, Part{2, 100})
-	x.RecordSent("r", 1000, c, "own")
-	x.RecordSent("r", 1000, c, "own")
+	index.RecordSent("r", 1000, c, "own")
+	index.RecordSent("r", 1000, c, "own")
 	for range MaxContradictions - 1 {
-		x.Contradicted("r", c)
+		index.Contradicted("r", c)
 	}
-	x.Confirmed("r", c)
-	x.Contradicted("r", c)
-	require.NotZero(t, x.Matched("r", c))
+	index.Confirmed("r", c)
+	index.Contradicted("r", c)
+	require.NotZero(t, index.Matched("r", c))
 	for range MaxContradictions {
-		x.Contradicted("r", c)
+		index.Contradicted("r", c)
 	}
-	require.Zero(t, x.Matched("r", c))
+	require.Zero(t, index.Matched("r", c))
 }
 
-func TestParsePartsTakesOnlyWhatIsWhole(t *testing.T) {
+func TestParseParts_Header_PartsOrNil(t *testing.T) {
 	require.Equal(t, []Part{{0x5c1e07a2, 800}, {0x91bd3f06, 410}}, ParseParts("5c1e07a2:800,91bd3f06:410"))
 	for _, s := range []string{"", "a", "a:", "a:b", "a:-1", ":3", "a:1,,b:2", "a:999999999999"} {
 		require.Nil(t, ParseParts(s), s)
 	}
 }
 
-func TestBreakEven(t *testing.T) {
+func TestFetchPays_LinkSpeeds_BreakEvenOfTheSource(t *testing.T) {
 	// the source: 320 KiB a token, 35 us a token: about 9.3 GB/s
 	require.True(t, FetchPays(327680, 75e3, 35e-6))
 	require.False(t, FetchPays(327680, 74e3, 35e-6))
@@ -140,42 +139,40 @@
 	})
 }
 
-func TestSketchNeverCountsTooLittle(t *testing.T) {
-	s, seen := &Sketch{}, map[Key]int{}
+func TestSketch_RandomKeys_NeverCountsTooLittle(t *testing.T) {
+	s, seen := &sketch{}, map[Key]int{}
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 5000 {
 		k := Key(r.IntN(500))
 		seen[k]++
-		s.Add(k)
+		s.add(k)
 	}
 	for k, n := range seen {
-		require.GreaterOrEqual(t, s.Count(k), n)
+		require.GreaterOrEqual(t, s.count(k), n)
 	}
 }
 
-func TestAHeavyOwnerLeavesTheOthersTheirPortion(t *testing.T) {
-	x := NewSizedIndex(300)
+func TestRecordSent_HeavyOwner_OthersKeepTheirShare(t *testing.T) {
+	index := NewSizedIndex(300)
 	light := func(i int) *Chain { return chain(Part{uint64(1000 + i), 64}, Part{uint64(5000 + i), 64}) }
 	for i := range 50 {
 		for range MinSightings {
-			x.RecordSent("r", 1<<30, light(i), "lookups")
+			index.RecordSent("r", 1<<30, light(i), "lookups")
 		}
 	}
 	for i := range 2000 {
 		for range MinSightings {
-			x.RecordSent("r", 1<<30, chain(Part{uint64(100000 + i), 64}), "ledgers")
+			index.RecordSent("r", 1<<30, chain(Part{uint64(100000 + i), 64}), "reports")
 		}
 	}
 	for i := range 50 {
-		require.Equal(t, 128, x.Matched("r", light(i)), "%d", i)
+		require.Equal(t, 128, index.Matched("r", light(i)), "%d", i)
 	}
-	runs, _, _ := x.Stats()
-	require.Equal(t, 300, runs, "the whole is never exceeded")
-	ps := x.OwnerShares()
-	require.Equal(t, "ledgers", ps[0].User)
+	require.Equal(t, 300, index.Stats().Runs, "the whole is never exceeded")
+	ps := index.OwnerShares()
+	require.Equal(t, "reports", ps[0].User)
 	require.Equal(t, int64(200), ps[0].Used, "and the heavy one has all that is left")
-	x.Retain(map[string]bool{})
-	runs, _, _ = x.Stats()
-	require.Zero(t, runs)
-	require.Empty(t, x.OwnerShares())
+	index.Retain(map[string]bool{})
+	require.Zero(t, index.Stats().Runs)
+	require.Empty(t, index.OwnerShares())
 }
--- a/internal/prefixindex/parse.go
+++ b/internal/prefixindex/parse.go
@@ -13,8 +13,8 @@
 	maxPartTokens = 1 << 28 // tokens of one part
 )
 
-// ParseParts reads the header Prompt-Prefix. For a value that can't be read it
-// gives nil, and the request goes without the hint.
+// ParseParts reads the header Prompt-Prefix. It has the form
+// id:tokens,id:tokens. For a value that can't be read it gives nil, and the request goes without the hint.
 func ParseParts(header string) []Part {
 	if header == "" {
 		return nil
--- a/internal/prefixindex/queue.go
+++ b/internal/prefixindex/queue.go
@@ -1,11 +1,14 @@
 package prefixindex
 
+// pendingLimit bounds the prompts that wait to be entered; the one of the lowest priority gives way.
+const pendingLimit = 256
+
 // pending is a prompt that waits to be entered into the index.
 type pending struct {
 	replica  string
 	chain    *Chain
 	owner    string
-	upto     int // parts to enter
+	parts    int // of the chain, to enter
 	priority int // matched length times count
 	sequence int // order of arrival
 }
--- a/internal/prefixindex/sketch.go
+++ b/internal/prefixindex/sketch.go
@@ -6,15 +6,24 @@
 	"shaletrestle/internal/splitmix"
 )
 
-// Sketch counts sightings of keys in little memory. It is a count-min sketch
+const (
+	// sketchWidth is the number of counters in a row: thousands of live prefixes collide little.
+	sketchWidth = 4096
+	// sketchRows is the number of rows, of which the lowest counter is believed.
+	sketchRows = 4
+	// sketchHalvingInterval is the number of sightings after which all counts are halved, so that old prefixes fade.
+	sketchHalvingInterval = 20000
+)
+
+// sketch counts sightings of keys in little memory. It is a count-min sketch
 // whose counts are halved from time to time.
-type Sketch struct {
+type sketch struct {
 	rows      [sketchRows][sketchWidth]uint16
 	additions int // since the counts were halved
 }
 
-// Add counts one sighting and gives the key's count.
-func (s *Sketch) Add(key Key) int {
+// add counts one sighting and gives the key's count.
+func (s *sketch) add(key Key) int {
 	s.additions++
 	if s.additions >= sketchHalvingInterval {
 		s.additions = 0
@@ -27,11 +36,11 @@
 			*counter++
 		}
 	}
-	return s.Count(key)
+	return s.count(key)
 }
 
-// Count is how often a key was seen, or a little more.
-func (s *Sketch) Count(key Key) int {
+// count is how often a key was seen, or a little more.
+func (s *sketch) count(key Key) int {
 	count := math.MaxUint16
 	hash := splitmix.Mix(uint64(key))
 	for row := range s.rows {
@@ -40,7 +49,7 @@
 	return count
 }
 
-func (s *Sketch) halve() {
+func (s *sketch) halve() {
 	for row := range s.rows {
 		for column := range s.rows[row] {
 			s.rows[row][column] /= 2
@@ -50,7 +59,7 @@
 
 // counter is the counter of a hash in a row. The rows use different columns by
 // double hashing: the upper half of the hash, made odd, is the step.
-func (s *Sketch) counter(row int, hash uint64) *uint16 {
+func (s *sketch) counter(row int, hash uint64) *uint16 {
 	step := hash>>32 | 1
 	column := (hash + uint64(row)*step) % sketchWidth
 	return &s.rows[row][column]
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -5,21 +5,25 @@
 	"container/list"
 )
 
-// drainPart is the part of the queue's bound at which the queue is emptied while
-// the memory is full.
-const pendingBatchFraction = 8
+const (
+	// MinSightings is how often a prefix is seen before an entry is made (source).
+	MinSightings = 2
+	// pendingBatchFraction is the part of the queue's bound, one in so many, at which the queue is emptied while the
+	// memory is full.
+	pendingBatchFraction = 8
+)
 
-// Sent records that an owner's chain was sent to a replica. A run is entered at
-// its second sighting. What waits is entered in the order of its priority, which
-// is matched length times count.
-func (x *Index) RecordSent(replica string, capacity int, chain *Chain, owner string) {
+// RecordSent records that an owner's chain was sent to a replica with a memory of so many tokens. A run is entered at
+// its second sighting, of all replicas together. What waits is entered in the order of its priority, which is matched
+// length times count. A nil or empty chain is ignored.
+func (x *Index) RecordSent(replica string, capacityTokens int, chain *Chain, owner string) {
 	if chain == nil || len(chain.Keys) == 0 {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	cache := x.cache(replica)
-	cache.capacity = capacity
+	cache.capacityTokens = capacityTokens
 	upto, count := x.sighted(cache, chain)
 	if upto == 0 {
 		return
@@ -29,7 +33,7 @@
 		replica:  replica,
 		chain:    chain,
 		owner:    owner,
-		upto:     upto,
+		parts:    upto,
 		priority: chain.PrefixTokens[upto-1] * count,
 		sequence: x.sequence,
 	})
@@ -51,16 +55,16 @@
 	return cache
 }
 
-// sighted counts a sighting of every part and tells up to which part the chain
+// sighted counts a sighting of every part and gives the number of parts up to which the chain
 // was seen often enough to be entered, and how often that part was seen. Parts
 // behind one that is seen for the first time are counted too.
 func (x *Index) sighted(cache *cacheView, chain *Chain) (upto, count int) {
 	needed := MinSightings
-	if cache.thrashes() {
+	if cache.isThrashing() {
 		needed++ // be more selective
 	}
 	for i, key := range chain.Keys {
-		sightings := x.sketch.Add(key)
+		sightings := x.sketch.add(key)
 		if sightings >= needed && upto == i {
 			upto, count = i+1, sightings
 		}
@@ -68,17 +72,17 @@
 	return upto, count
 }
 
-// drain enters everything that waits.
+// enterPending enters everything that waits.
 func (x *Index) enterPending() {
 	for len(x.queue) > 0 {
 		waiting := heap.Pop(&x.queue).(pending)
 		if cache := x.caches[waiting.replica]; cache != nil {
-			x.enter(cache, waiting.chain, waiting.upto, waiting.owner)
+			x.enter(cache, waiting.chain, waiting.parts, waiting.owner)
 		}
 	}
 }
 
-// enter records that a replica keeps the first parts of a chain. The last part is
+// enter records that a replica holds the first parts of a chain. The last part is
 // entered first, so that the first one ends up as the newest: a run is never older
 // than those that follow it.
 func (x *Index) enter(cache *cacheView, chain *Chain, upto int, owner string) {
@@ -86,19 +90,19 @@
 	for i := upto - 1; i >= 0; i-- {
 		key := chain.Keys[i]
 		if run := cache.get(key); run != nil {
-			cache.recent.MoveToFront(run.inCache)
-			x.owners[run.owner].MoveToFront(run.inOwner)
+			cache.byRecentUse.MoveToFront(run.cacheElement)
+			x.owners[run.owner].MoveToFront(run.ownerElement)
 			continue
 		}
 		x.add(&run{key: key, tokens: chain.Parts[i].Tokens, owner: owner, cache: cache}, owned)
 	}
-	for cache.used > cache.capacity && cache.recent.Len() > 0 { // the replica's memory: it knows no owners
+	for cache.usedTokens > cache.capacityTokens && cache.byRecentUse.Len() > 0 { // the replica's memory: it knows no owners
 		x.evict(cache.oldest())
 	}
 	for x.memory.OverCapacity() { // this process's memory: the heaviest owner gives way
 		x.evict(x.owners[x.memory.HeaviestUser()].Back().Value.(*run))
 	}
-	cache.fade()
+	cache.halveCounts()
 }
 
 // ownedBy gives the runs of an owner, a new list if there is none.
@@ -114,13 +118,13 @@
 // add takes a new run into its cache, its owner's list and the holders of its key.
 func (x *Index) add(added *run, owned *list.List) {
 	cache := added.cache
-	added.inCache = cache.recent.PushFront(added)
-	added.inOwner = owned.PushFront(added)
-	cache.runs[added.key] = added.inCache
+	added.cacheElement = cache.byRecentUse.PushFront(added)
+	added.ownerElement = owned.PushFront(added)
+	cache.runs[added.key] = added.cacheElement
 	holders := x.holders[added.key]
 	added.position = len(holders)
 	x.holders[added.key] = append(holders, added)
-	cache.used += added.tokens
+	cache.usedTokens += added.tokens
 	cache.stores++
 	x.runs++
 	x.memory.Acquire(added.owner, 1)
--- a/internal/replicamodel/memory.go
+++ b/internal/replicamodel/memory.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// removable tells whether no request uses a node and nothing is cached behind it.
+// removable reports whether no request uses a node and nothing is cached behind it.
 func (n *node) removable() bool { return n.users == 0 && len(n.children) == 0 }
 
 // evict removes the part that was unused longest and behind which nothing is
--- a/internal/replicamodel/model.go
+++ b/internal/replicamodel/model.go
@@ -262,7 +262,7 @@
 	return true
 }
 
-// isBehind tells whether a request is less urgent than another, or as urgent and
+// isBehind reports whether a request is less urgent than another, or as urgent and
 // newer.
 func (r *request) isBehind(other *request) bool {
 	if r.Urgency != other.Urgency {
@@ -271,7 +271,7 @@
 	return r.sequence > other.sequence
 }
 
-// Load tells how busy the replica is.
+// Load gives how busy the replica is.
 func (m *Model) Load() Load {
 	return Load{
 		Active:          len(m.running),
--- a/internal/replicamodel/queue.go
+++ b/internal/replicamodel/queue.go
@@ -41,7 +41,7 @@
 	return len(q.ends)
 }
 
-// Load tells how busy the replica is.
+// Load gives how busy the replica is.
 func (q *Queue) Load(now time.Duration) Load {
 	outstanding := q.Outstanding(now)
 	return Load{
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -6,7 +6,7 @@
 func (r *Router) figures() []metrics.Sample {
 	v := r.store.View()
 	num := r.cursor.Position().Number
-	runs, asked, hits := r.prefixes.Stats()
+	prefixes := r.prefixes.Stats()
 	count := func(name, help string, n int64) metrics.Sample {
 		return metrics.Sample{Name: "router_" + name, Help: help, IsCounter: true, Value: float64(n)}
 	}
@@ -23,9 +23,9 @@
 		count("failed_total", "Requests that ended without a replica's whole answer and without such a promise.", r.counts.failed.Load()),
 		count("further_tries_total", "Sends to a second or later replica.", r.counts.retries.Load()),
 		count("connections_made_total", "Connections opened to replicas.", r.dialCounts.All.Load()),
-		count("index_lookups_total", "Prompts looked up in the hint index.", asked),
-		count("index_hits_total", "Lookups that found a kept prefix.", hits),
-		gauge("index_runs", "Runs held in the hint index.", float64(runs)),
+		count("index_lookups_total", "Prompts looked up in the hint index.", prefixes.Lookups),
+		count("index_hits_total", "Lookups that found a kept prefix.", prefixes.Hits),
+		gauge("index_runs", "Runs held in the hint index.", float64(prefixes.Runs)),
 		gauge("inflight_requests", "Requests being served.", float64(r.inflight.Load())),
 		gauge("ready", "1 if the node calls itself ready.", ready),
 		gauge("setup_revision", "Revision of the configuration in force.", float64(v.Config.Revision)),
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -62,6 +62,6 @@
 }
 
 func (r *Router) indexSection() map[string]any {
-	runs, asked, hits := r.prefixes.Stats()
-	return map[string]any{"runs": runs, "asked": asked, "hits": hits, "portions": r.prefixes.OwnerShares()}
+	stats := r.prefixes.Stats()
+	return map[string]any{"runs": stats.Runs, "asked": stats.Lookups, "hits": stats.Hits, "portions": r.prefixes.OwnerShares()}
 }
--- a/internal/routing/path.go
+++ b/internal/routing/path.go
@@ -52,7 +52,7 @@
 	AllowedRegions  map[string]bool // nil: all are allowed
 }
 
-// Repeatable tells whether a request on this path may run more than once.
+// Repeatable reports whether a request on this path may run more than once.
 func (p *Route) IsRetriable() bool {
 	switch p.Kind {
 	case Idempotent:
