--- a/internal/frontend/constants.go
+++ /dev/null
@@ -1,8 +0,0 @@
-package frontend
-
-import "time"
-
-// Orders.
-const (
-	acceptPause = 20 * time.Millisecond // after an accept that failed, descriptors may be out
-)
