--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -1,5 +1,3 @@
-// Package upstream talks to replicas over connections that it owns. A task reads each socket; whoever
-// holds the connection writes. Nothing is ever sent twice by itself.
 package upstream
 
 import (
@@ -16,7 +14,7 @@
 	"shaletrestle/coord/attempt"
 )
 
-// Wire names of the headers that matter here.
+// Headers of the protocol with replicas.
 const (
 	HeaderAttemptID       = "Attempt-Id"
 	HeaderSeal            = "Replica-Seal"
@@ -28,19 +26,19 @@
 	HeaderUrgency         = "Urgency-Class"
 )
 
-// Reasons for which a request was not sent that say nothing of the replica.
+// Errors of Send that say nothing of the replica.
 var (
-	// ErrTooLate: the time up to which the request might begin to be sent had passed.
+	// ErrTooLate says that Request.NotAfter had passed before the first byte was written.
 	ErrTooLate = errors.New("too late to be sent")
-	// ErrSameAttempt: the connection carried a request of the same Attempt-Id before, so that a surplus
-	// answer to that one could be taken for the answer to this one.
+	// ErrSameAttempt says that the connection carried a request of the same Attempt-Id before: a surplus response to
+	// that one could be taken for the response to this one.
 	ErrSameAttempt = errors.New("the connection has answered this Attempt-Id before")
 )
 
-// ErrAbandoned ends a wait for a connection whose caller is gone.
-var ErrAbandoned = errors.New("nobody wants it any more")
+// ErrAbandoned is the error of Pool.Get when the caller is gone.
+var ErrAbandoned = errors.New("the caller is gone")
 
-// Request is one sending of a client's request to a replica.
+// Request is a client's request as it is sent to one replica.
 type Request struct {
 	Method    string
 	Target    string
@@ -48,39 +46,41 @@
 	Header    http.Header
 	Body      []byte
 	AttemptID string
-	Events    bool      // the answer is a stream of events
+	Events    bool      // the response is a stream of events
 	NotAfter  time.Time // no first byte leaves from then on
 	Deadline  time.Time // writing ends
 }
 
-// exchange is one request on a connection and the answer to it.
+// exchange is one request on a connection and the response to it.
 type exchange struct {
-	request *Request
-	http    *http.Request
-	parts   chan Part
-	quit    chan struct{} // closed when nobody wants the answer any more
+	request   *Request
+	http      *http.Request
+	parts     chan Part
+	abandoned chan struct{} // closed when nobody wants the response any more
 }
 
-// abandoned stands in a connection's place for an exchange whose answer nobody wants any more.
-var abandoned = &exchange{}
+// abandonedExchange stands for an exchange whose response nobody wants any more.
+var abandonedExchange = &exchange{}
 
-// Connection is one connection to a replica. It carries one exchange at a time.
+// Connection is one connection to a replica. It carries one exchange at a time. Whoever got it from the pool writes; its
+// own goroutine reads, and ends with the connection.
 type Connection struct {
-	pool     *Pool
-	conn     net.Conn
-	exchange atomic.Pointer[exchange] // nil while it is idle
-	start    chan *exchange
-	written  chan struct{} // a token for each request that was written whole
-	dead     chan struct{}
-	killed   atomic.Bool
-	idle     time.Time
-	rested   time.Duration // how long it was idle before this use, 0 for a new one; set while the pool is held
-	expires  time.Time
-	owner    string // who uses it now; guarded by the pool
-	used     bool   // it has carried an exchange to its end
-	lastID   string // the Attempt-Id of that one
+	pool       *Pool
+	conn       net.Conn
+	exchange   atomic.Pointer[exchange] // nil while it is idle
+	start      chan *exchange
+	written    chan struct{} // a token for each request that was written completely
+	closed     chan struct{}
+	isClosed   atomic.Bool
+	idleSince  time.Time
+	idleBefore time.Duration // how long it was idle before this use, 0 for a new one; set under the pool's lock
+	expires    time.Time
+	owner      string // who uses it now; guarded by the pool's lock
+	used       bool   // it has carried an exchange to its end
+	lastID     string // the Attempt-Id of that one
 }
 
+// open makes a connection of a pool and starts its reader.
 func open(p *Pool, c net.Conn, owner string) *Connection {
 	connection := &Connection{
 		pool:    p,
@@ -88,49 +88,49 @@
 		conn:    c,
 		start:   make(chan *exchange, 1),
 		written: make(chan struct{}, 1),
-		dead:    make(chan struct{}),
-		expires: time.Now().Add(keepIdle),
+		closed:  make(chan struct{}),
+		expires: time.Now().Add(defaultIdleTime),
 	}
 	go connection.read()
 	return connection
 }
 
-// WasStale tells whether a connection that was reset when it was used again had been forgotten by the
-// replica, as far as the idle time says; it is learned from.
+// WasStale reports whether a connection that was reset when it was reused had been dropped by the replica while it was
+// idle, as far as the idle time shows. The pool learns from it.
 func (c *Connection) WasStale() bool {
-	return c.rested >= forgotIdle && c.pool.forgot(c.rested)
+	return c.idleBefore >= minStaleIdle && c.pool.recordStale(c.idleBefore)
 }
 
-// MarkUncertain closes the idle connections beside this one: after silence they are in doubt too, and the next
-// request dials before it sends.
-func (c *Connection) MarkUncertain() { c.pool.flush() }
+// MarkUncertain closes the idle connections beside this one: after silence they are uncertain too, and the next request
+// dials before it sends.
+func (c *Connection) MarkUncertain() { c.pool.closeIdle() }
 
-// Release returns a connection that was got and not used.
+// Release returns a connection that was not used to its pool.
 func (c *Connection) Release() {
 	if !c.pool.put(c) {
 		c.Close()
 	}
 }
 
-// Close closes the connection.
+// Close closes the connection. It may be called more than once, and concurrently.
 func (c *Connection) Close() {
-	if c.killed.CompareAndSwap(false, true) {
-		close(c.dead)
+	if c.isClosed.CompareAndSwap(false, true) {
+		close(c.closed)
 		_ = c.conn.Close()
-		c.pool.gone(c)
+		c.pool.remove(c)
 	}
 }
 
-// sending writes the bytes of one request and keeps what is known of it. It looks at the clock right
-// before the first of them, whatever was waited for till then.
-type sending struct {
+// attemptWriter writes the bytes of one request and tracks how much of it left. It looks at the clock right before
+// the first of them, however long the caller was held up until then.
+type attemptWriter struct {
 	conn     net.Conn
 	notAfter time.Time
 	state    attempt.State
 }
 
-// Write sends bytes.
-func (s *sending) Write(b []byte) (int, error) {
+// Write sends bytes; ErrTooLate if the first of them would leave too late.
+func (s *attemptWriter) Write(b []byte) (int, error) {
 	if s.state == attempt.NotSent && time.Until(s.notAfter) <= 0 {
 		return 0, ErrTooLate
 	}
@@ -141,22 +141,23 @@
 	return n, err
 }
 
-// Send writes a request. The state tells what left: with an error it is NotSent or PartlySent, else Sent.
+// Send writes a request. The state says how much of it left: with an error it is NotSent or PartlySent, else Sent. The
+// caller must Close the response.
 func (c *Connection) Send(request *Request) (*Response, attempt.State, error) {
 	if c.used && c.lastID == request.AttemptID {
 		c.Close()
 		return nil, attempt.NotSent, ErrSameAttempt
 	}
-	x := &exchange{request: request, http: request.http(), parts: make(chan Part, 32), quit: make(chan struct{})}
+	x := &exchange{request: request, http: request.http(), parts: make(chan Part, 32), abandoned: make(chan struct{})}
 	c.exchange.Store(x)
 	select {
-	case <-c.dead:
+	case <-c.closed:
 		return nil, attempt.NotSent, net.ErrClosed
 	default:
 	}
 	c.start <- x
 	_ = c.conn.SetWriteDeadline(request.Deadline)
-	out := &sending{conn: c.conn, notAfter: request.NotAfter}
+	out := &attemptWriter{conn: c.conn, notAfter: request.NotAfter}
 	w := bufio.NewWriterSize(out, 4<<10)
 	err := x.http.Write(w)
 	if err == nil {
@@ -170,7 +171,7 @@
 	return &Response{connection: c, exchange: x}, attempt.Sent, nil
 }
 
-// http is the request as the standard library writes it.
+// http returns the request as the standard library writes it.
 func (r *Request) http() *http.Request {
 	out := &http.Request{
 		Method:        r.Method,
--- a/internal/upstream/constants.go
+++ b/internal/upstream/constants.go
@@ -4,21 +4,21 @@
 
 // Traffic.
 const (
-	replicaDial = 500 * time.Millisecond // a live replica answers in a few ms
-	eventMax    = 1 << 20                // bytes of one stream event
-	keepMargin  = 300 * time.Millisecond // an idle connection is left alone this long before its Keep-Alive ends
-	keepIdle    = 20 * time.Second       // idle connections without a Keep-Alive
+	dialTimeout     = 500 * time.Millisecond // a live replica answers in a few ms
+	maxEventBytes   = 1 << 20                // bytes of one stream event
+	keepAliveMargin = 300 * time.Millisecond // an idle connection is left alone this long before its Keep-Alive ends
+	defaultIdleTime = 20 * time.Second       // idle connections without a Keep-Alive
 )
 
 // Connections to replicas, shares and replica health.
 const (
-	keepLongest = 10 * time.Minute       // idle time that no loss has shortened: the answers' Keep-Alive decides
-	keepLeast   = 100 * time.Millisecond // no loss shortens the idle time below this: bursts still share connections
-	keepPart    = 0.7                    // part of the idle time of a forgotten connection that the others are used up to
-	keepRelax   = 10 * time.Second       // after a loss the allowed idle time doubles this often
-	keepProof   = 5 * time.Second        // so long a connection that worked shows that a shorter rest is not forgotten
-	keepDoubt   = 30 * time.Second       // so long after a loss, what may not be sent again takes young connections only
-	forgotIdle  = 50 * time.Millisecond  // a connection idle less than this was not forgotten, its reset is the replica's
+	maxIdleTime       = 10 * time.Minute       // idle time that no loss has shortened: the answers' Keep-Alive decides
+	minIdleTime       = 100 * time.Millisecond // no loss shortens the idle time below this: bursts still share connections
+	staleIdleFraction = 0.7                    // part of the idle time of a forgotten connection that the others are used up to
+	idleGrowth        = 10 * time.Second       // after a loss the allowed idle time doubles this often
+	reuseLifetime     = 5 * time.Second        // so long a connection that worked shows that a shorter rest is not forgotten
+	cautionTime       = 30 * time.Second       // so long after a loss, what may not be sent again takes young connections only
+	minStaleIdle      = 50 * time.Millisecond  // a connection idle less than this was not forgotten, its reset is the replica's
 )
 
 const (
--- a/internal/upstream/model_answer_test.go
+++ b/internal/upstream/model_answer_test.go
@@ -92,9 +92,9 @@
 	require.Len(t, got.events, len(w.parts), w.name)
 }
 
-// TestAnAnswerCutAtEveryByteIsNeverTakenForWhole writes each answer up to each byte, and then resets, is
+// TestResponse_CutAtEveryByte_NeverComplete writes each answer up to each byte, and then resets, is
 // silent or goes on too late. Whatever the first exchange left behind, the second one gets its own answer.
-func TestAnAnswerCutAtEveryByteIsNeverTakenForWhole(t *testing.T) {
+func TestResponse_CutAtEveryByte_NeverComplete(t *testing.T) {
 	second := strings.Replace(answerText(200, seal, "second"), "Id: a", "Id: z", 1)
 	for _, w := range catalogue() {
 		for sent := 0; sent <= len(w.text); sent++ {
--- a/internal/upstream/model_lifetime_test.go
+++ b/internal/upstream/model_lifetime_test.go
@@ -16,8 +16,8 @@
 
 // The life of a connection: early answers, frozen senders, closing and waiting.
 
-// TestAnEarlyAnswerFreesNoConnectionThatIsStillWritten lets a replica answer before it has read the body.
-func TestAnEarlyAnswerFreesNoConnectionThatIsStillWritten(t *testing.T) {
+// TestConnection_EarlyResponse_NotFreedWhileWritten lets a replica answer before it has read the body.
+func TestConnection_EarlyResponse_NotFreedWhileWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		body := strings.Repeat("b", 20000)
 		first := modelRequest("a", false, body)
@@ -65,8 +65,8 @@
 	return &stalled{Conn: c, freeze: s.freeze}, err
 }
 
-// TestWhatWakesLateSendsNothing freezes the sender for 17 s right before its first byte.
-func TestWhatWakesLateSendsNothing(t *testing.T) {
+// TestConnection_FrozenPastNotAfter_SendsNothing freezes the sender for 17 s right before its first byte.
+func TestConnection_FrozenPastNotAfter_SendsNothing(t *testing.T) {
 	for _, freeze := range []time.Duration{0, modelPatience - 1, modelPatience, 17 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			var came atomic.Int64
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestACloseNeverOvertakesAWholeAnswer takes the pool's interest away at every step of an answer.
-func TestACloseNeverOvertakesAWholeAnswer(t *testing.T) {
+// TestPool_ClosedDuringResponse_CloseNeverOvertakesEnd takes the pool's interest away at every step of an answer.
+func TestPool_ClosedDuringResponse_CloseNeverOvertakesEnd(t *testing.T) {
 	ok := answerText(200, seal, "body")
 	for _, shut := range []bool{false, true} {
 		for n := range len(ok) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestAWaitForAConnectionEndsWithItsClient frees what a gone client waited for.
-func TestAWaitForAConnectionEndsWithItsClient(t *testing.T) {
+// TestPool_Get_ClientGone_WaitEnds frees what a gone client waited for.
+func TestPool_Get_ClientGone_WaitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPool("x", &pipes{play: func(_ int, c net.Conn) { _, _ = io.Copy(io.Discard, c) }}, 1, &KeepAlive{}, &DialCounts{})
 		defer p.Close()
--- a/internal/upstream/model_surplus_test.go
+++ b/internal/upstream/model_surplus_test.go
@@ -16,9 +16,9 @@
 
 // Answers that come once more, after the one that was due.
 
-// TestSurplusBytesNeverAnswerTheNextRequest lets a replica send every beginning of an old answer again: with
+// TestConnection_SurplusBytes_NeverAnswerNextRequest lets a replica send every beginning of an old answer again: with
 // the answer, while the connection is idle, and after the next request came.
-func TestSurplusBytesNeverAnswerTheNextRequest(t *testing.T) {
+func TestConnection_SurplusBytes_NeverAnswerNextRequest(t *testing.T) {
 	ok := answerText(200, seal, "body")
 	refusal := answerText(503, "Not-Executed: 1\r\n", "full")
 	for _, old := range []string{ok, refusal} {
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -112,9 +112,9 @@
 	return err == nil
 }
 
-// TestARequestCutAtEveryByteIsKnownForWhatItIs cuts the connection after each byte of a request, and with
+// TestRequest_CutAtEveryByte_StateIsKnown cuts the connection after each byte of a request, and with
 // a body beyond one write.
-func TestARequestCutAtEveryByteIsKnownForWhatItIs(t *testing.T) {
+func TestRequest_CutAtEveryByte_StateIsKnown(t *testing.T) {
 	for _, body := range []string{"", "four", strings.Repeat("b", 9000)} {
 		n := requestBytes(modelRequest("a", false, body))
 		for k := 0; k <= n; k += max(1, (k/1000)*97) {
@@ -149,7 +149,7 @@
 func freeOf(p *Pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.free)
+	return len(p.idle)
 }
 
 func openOf(p *Pool) int {
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -9,17 +9,17 @@
 // TestTheModelFindsMutants shows that each mechanism is needed and that the model sees when it is missing.
 func TestTheModelFindsMutants(t *testing.T) {
 	mutation.AllFound(t, []mutation.Mutation{
-		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeaderAttemptID) == x.request.AttemptID", To: "true", Run: "Answer|Surplus"},
+		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeaderAttemptID) == x.request.AttemptID", To: "true", Run: "Response|Surplus"},
 		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.AttemptID", To: "false", Run: "Surplus"},
-		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "ARequestCut"},
-		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "WakesLate"},
-		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written whole", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyAnswer"},
-		{Name: "a cut body is whole", File: "reader.go", From: "err != nil || len(body) > MaxAnswerBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxAnswerBytes", Run: "AnAnswerCut"},
-		{Name: "a cut event is an end", File: "reader.go", From: "return errEventCut", To: "return nil", Run: "AnAnswerCut"},
-		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "AnAnswerCut"},
-		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "AnAnswerCut"},
-		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "AnAnswerCut"},
-		{Name: "a dropped answer leaves its connection open", File: "answer.go", From: "\t\ta.connection.Close()\n", To: "", Run: "AnAnswerCut"},
+		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "Request_Cut"},
+		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "FrozenPastNotAfter"},
+		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written whole", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyResponse"},
+		{Name: "a cut body is whole", File: "reader.go", From: "err != nil || len(body) > MaxAnswerBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxAnswerBytes", Run: "Response_Cut"},
+		{Name: "a cut event is an end", File: "reader.go", From: "return errEventCut", To: "return nil", Run: "Response_Cut"},
+		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "Response_Cut"},
+		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "Response_Cut"},
+		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "Response_Cut"},
+		{Name: "a dropped answer leaves its connection open", File: "response.go", From: "\t\ta.connection.Close()\n", To: "", Run: "Response_Cut"},
 		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -46,60 +46,60 @@
 
 // Pool holds the connections to one life of a replica.
 type Pool struct {
-	addr string
-	d    Dialer
-	keep *KeepAlive
-	mu   sync.Mutex
-	free []*Connection
-	open int
-	most int
-	shut bool
-	used bool // a connection was opened before
-	wait []chan struct{}
-	made *DialCounts
-	pie  *fairshare.Shares // connections in use, by owner
+	addr      string
+	dialer    Dialer
+	keepAlive *KeepAlive
+	mu        sync.Mutex
+	idle      []*Connection
+	open      int
+	limit     int
+	closed    bool
+	dialed    bool // a connection was opened before
+	waiting   []chan struct{}
+	counts    *DialCounts
+	shares    *fairshare.Shares // connections in use, by owner
 }
 
 // NewPool makes a pool; most is this process's share of the replica's connections, keep what is known of how long the service's replicas keep idle ones.
 func NewPool(addr string, d Dialer, most int, keep *KeepAlive, made *DialCounts) *Pool {
-	return &Pool{addr: addr, d: d, most: most, keep: keep, made: made, pie: fairshare.New(int64(most), fairshare.CalmFraction)}
+	return &Pool{addr: addr, dialer: d, limit: most, keepAlive: keep, counts: made, shares: fairshare.New(int64(most), fairshare.CalmFraction)}
 }
 
 // SetLimit changes the share. Idle connections over a smaller one are closed; those in use end with their answers.
 func (p *Pool) SetLimit(most int) {
 	p.mu.Lock()
-	if p.most == most {
+	if p.limit == most {
 		p.mu.Unlock()
 		return
 	}
-	p.most = most
-	p.pie.Resize(int64(most))
-	n := min(max(0, p.open-most), len(p.free))
-	over := p.free[:n:n]
-	p.free = append([]*Connection{}, p.free[n:]...)
+	p.limit = most
+	p.shares.Resize(int64(most))
+	n := min(max(0, p.open-most), len(p.idle))
+	over := p.idle[:n:n]
+	p.idle = append([]*Connection{}, p.idle[n:]...)
 	p.signal()
 	p.mu.Unlock()
-	kill(over)
+	closeAll(over)
 }
 
-// kill closes connections that were taken out of their pool: nobody can get one of them meanwhile.
-func kill(taken []*Connection) {
+// closeAll closes connections that were taken out of their pool: nobody can get one of them meanwhile.
+func closeAll(taken []*Connection) {
 	for _, connection := range taken {
 		connection.Close()
 	}
 }
 
-// takeOut takes the idle connections out that meet a condition; the caller holds the pool.
-func (p *Pool) takeOut(which func(*Connection) bool) (taken []*Connection) {
-	rest := make([]*Connection, 0, len(p.free))
-	for _, connection := range p.free {
+// removeIdle takes the idle connections out that meet a condition; the caller holds the pool.
+func (p *Pool) removeIdle(which func(*Connection) bool) (taken []*Connection) {
+	rest := make([]*Connection, 0, len(p.idle))
+	for _, connection := range p.idle {
 		if which(connection) {
 			taken = append(taken, connection)
 		} else {
 			rest = append(rest, connection)
 		}
 	}
-	p.free = rest
+	p.idle = rest
 	return taken
 }
 
@@ -108,43 +108,43 @@
 	end := time.Now().Add(d)
 	for {
 		p.mu.Lock()
-		if p.shut {
+		if p.closed {
 			p.mu.Unlock()
 			return nil, errkind.New(errkind.Unavailable, "the replica is gone")
 		}
-		if p.most < 1 {
+		if p.limit < 1 {
 			p.mu.Unlock()
 			return nil, errkind.New(errkind.Overloaded, "no share of the replica's connections")
 		}
-		if p.pie.TryAcquire(owner, 1) {
-			had := len(p.free)
-			if ch := p.idle(wary); ch != nil {
+		if p.shares.TryAcquire(owner, 1) {
+			had := len(p.idle)
+			if ch := p.takeIdle(wary); ch != nil {
 				ch.owner = owner
 				p.mu.Unlock()
 				return ch, nil
 			}
-			if p.open < p.most {
+			if p.open < p.limit {
 				switch {
-				case len(p.free) > 0:
-					p.made.Untrusted.Inc()
+				case len(p.idle) > 0:
+					p.counts.Untrusted.Inc()
 				case had > 0:
-					p.made.Expired.Inc()
+					p.counts.Expired.Inc()
 				case p.open > 0:
-					p.made.AllInUse.Inc()
-				case p.used:
-					p.made.Reopened.Inc()
+					p.counts.AllInUse.Inc()
+				case p.dialed:
+					p.counts.Reopened.Inc()
 				default:
-					p.made.First.Inc()
+					p.counts.First.Inc()
 				}
-				p.used = true
+				p.dialed = true
 				p.open++
 				p.mu.Unlock()
 				return p.dial(owner, end)
 			}
-			p.pie.Release(owner, 1)
+			p.shares.Release(owner, 1)
 		}
 		w := make(chan struct{}, 1)
-		p.wait = append(p.wait, w)
+		p.waiting = append(p.waiting, w)
 		p.mu.Unlock()
 		select {
 		case <-w:
@@ -156,68 +156,68 @@
 	}
 }
 
-// idle takes the connection used last, if it may still be used; the caller holds the pool.
-func (p *Pool) idle(wary bool) *Connection {
+// takeIdle takes the connection used last, if it may still be used; the caller holds the pool.
+func (p *Pool) takeIdle(wary bool) *Connection {
 	now := time.Now()
-	for len(p.free) > 0 {
-		ch := p.free[len(p.free)-1]
-		idle := now.Sub(ch.idle)
-		if now.Before(ch.expires) && !ch.killed.Load() && idle < p.keep.MaxIdle(now) {
-			if wary && idle >= p.keep.MaxIdleUnrepeatable(now) && p.open < p.most {
+	for len(p.idle) > 0 {
+		ch := p.idle[len(p.idle)-1]
+		idle := now.Sub(ch.idleSince)
+		if now.Before(ch.expires) && !ch.isClosed.Load() && idle < p.keepAlive.MaxIdle(now) {
+			if wary && idle >= p.keepAlive.MaxIdleUnrepeatable(now) && p.open < p.limit {
 				return nil // it is left for one that may be sent again
 			}
-			p.free = p.free[:len(p.free)-1]
-			ch.rested = idle
+			p.idle = p.idle[:len(p.idle)-1]
+			ch.idleBefore = idle
 			return ch
 		}
-		p.free = p.free[:len(p.free)-1]
+		p.idle = p.idle[:len(p.idle)-1]
 		go ch.Close()
 	}
 	return nil
 }
 
-// forgot notes that a kept connection was reset when it was used again: those that were idle as long are closed, and the service's others are kept less long. It is false if that was no forgetting.
-func (p *Pool) forgot(rested time.Duration) bool {
+// recordStale notes that a kept connection was reset when it was used again: those that were idle as long are closed, and the service's others are kept less long. It is false if that was no forgetting.
+func (p *Pool) recordStale(rested time.Duration) bool {
 	now := time.Now()
-	if !p.keep.RecordStale(rested, now) {
+	if !p.keepAlive.RecordStale(rested, now) {
 		return false
 	}
-	p.made.Stale.Inc()
+	p.counts.Stale.Inc()
 	p.mu.Lock()
-	old := p.takeOut(func(c *Connection) bool { return now.Sub(c.idle) >= rested })
+	old := p.removeIdle(func(c *Connection) bool { return now.Sub(c.idleSince) >= rested })
 	p.mu.Unlock()
-	kill(old)
+	closeAll(old)
 	return true
 }
 
 func (p *Pool) dial(owner string, end time.Time) (*Connection, error) {
-	c, err := p.d.DialReplica(p.addr, min(replicaDial, time.Until(end)))
+	c, err := p.dialer.DialReplica(p.addr, min(dialTimeout, time.Until(end)))
 	if err != nil {
 		p.mu.Lock()
 		p.open--
-		p.pie.Release(owner, 1)
+		p.shares.Release(owner, 1)
 		p.signal()
 		p.mu.Unlock()
 		return nil, errkind.Wrap(errkind.UpstreamFailure, err, "dial")
 	}
-	p.made.All.Inc()
+	p.counts.All.Inc()
 	return open(p, c, owner), nil
 }
 
 func (p *Pool) signal() {
-	for _, w := range p.wait {
+	for _, w := range p.waiting {
 		select {
 		case w <- struct{}{}:
 		default:
 		}
 	}
-	p.wait = nil
+	p.waiting = nil
 }
 
-// release ends an owner's use of a connection; the caller holds the pool.
-func (p *Pool) release(ch *Connection) {
+// releaseShare ends an owner's use of a connection; the caller holds the pool.
+func (p *Pool) releaseShare(ch *Connection) {
 	if ch.owner != "" {
-		p.pie.Release(ch.owner, 1)
+		p.shares.Release(ch.owner, 1)
 		ch.owner = ""
 	}
 }
@@ -226,23 +226,23 @@
 func (p *Pool) put(ch *Connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.release(ch)
-	if p.shut || p.open > p.most {
+	p.releaseShare(ch)
+	if p.closed || p.open > p.limit {
 		return false
 	}
-	p.free = append(p.free, ch)
+	p.idle = append(p.idle, ch)
 	p.signal()
 	return true
 }
 
-func (p *Pool) gone(ch *Connection) {
+func (p *Pool) remove(ch *Connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.release(ch)
-	for i, x := range p.free {
+	p.releaseShare(ch)
+	for i, x := range p.idle {
 		if x == ch {
-			p.free = append(p.free[:i], p.free[i+1:]...)
+			p.idle = append(p.idle[:i], p.idle[i+1:]...)
 			break
 		}
 	}
@@ -253,23 +253,23 @@
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	now := time.Now()
-	old := p.takeOut(func(c *Connection) bool { return !now.Before(c.expires) })
+	old := p.removeIdle(func(c *Connection) bool { return !now.Before(c.expires) })
 	p.mu.Unlock()
-	kill(old)
+	closeAll(old)
 }
 
-func (p *Pool) flush() {
+func (p *Pool) closeIdle() {
 	p.mu.Lock()
-	free := p.free
-	p.free = nil
+	free := p.idle
+	p.idle = nil
 	p.mu.Unlock()
-	kill(free)
+	closeAll(free)
 }
 
 // Close closes idle connections and gives out no more.
 func (p *Pool) Close() {
 	p.mu.Lock()
-	p.shut = true
+	p.closed = true
 	p.mu.Unlock()
-	p.flush()
+	p.closeIdle()
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,11 +18,11 @@
 	"shaletrestle/internal/errkind"
 )
 
-// server answers over pipes and forgets connections that were idle for a while.
+// server answers over pipes and drops connections that were idle for a while.
 type server struct {
-	mu     sync.Mutex
-	forget time.Duration
-	open   int
+	mu        sync.Mutex
+	dropAfter time.Duration
+	open      int
 }
 
 func (s *server) DialReplica(string, time.Duration) (net.Conn, error) {
@@ -40,7 +40,7 @@
 		br, last := bufio.NewReader(b), time.Now()
 		for {
 			q, err := http.ReadRequest(br)
-			if err != nil || s.forget > 0 && time.Since(last) > s.forget {
+			if err != nil || s.dropAfter > 0 && time.Since(last) > s.dropAfter {
 				return
 			}
 			last = time.Now()
@@ -58,8 +58,8 @@
 
 var ids atomic.Int64 // every request has an id of its own
 
-func use(t *testing.T, p *Pool, wary bool) (*Connection, Part) {
-	ch, err := p.Get("o", time.Second, wary, nil)
+func use(t *testing.T, p *Pool, unrepeatable bool) (*Connection, Part) {
+	ch, err := p.Get("o", time.Second, unrepeatable, nil)
 	require.NoError(t, err)
 	id, end := fmt.Sprint("x", ids.Add(1)), time.Now().Add(time.Second)
 	a, _, err := ch.Send(&Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{HeaderAttemptID: {id}}, AttemptID: id, NotAfter: end, Deadline: end})
@@ -74,9 +74,9 @@
 	}
 }
 
-func TestWhatMayNotBeSentAgainAvoidsConnectionsThatMayBeForgotten(t *testing.T) {
+func TestPool_Get_UnrepeatableRequest_AvoidsConnectionsLikelyStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, made := &server{forget: 3 * time.Second}, &DialCounts{}
+		s, made := &server{dropAfter: 3 * time.Second}, &DialCounts{}
 		p := NewPool("x", s, 4, &KeepAlive{}, made)
 		defer p.Close()
 		_, end := use(t, p, false)
@@ -85,20 +85,20 @@
 		ch, end := use(t, p, false)
 		require.Equal(t, PartFailure, end.Kind)
 		require.True(t, end.Reset)
-		require.Equal(t, 4*time.Second, ch.rested)
+		require.Equal(t, 4*time.Second, ch.idleBefore)
 		ch.WasStale()
 		require.EqualValues(t, 1, made.Stale.Load())
 		require.EqualValues(t, 1, made.First.Load())
-		synctest.Wait() // the pool has heard that the forgotten one is gone
+		synctest.Wait() // the pool has heard that the stale one is gone
 		ch, end = use(t, p, false)
 		require.Equal(t, PartEnd, end.Kind)
-		require.Zero(t, ch.rested)
+		require.Zero(t, ch.idleBefore)
 		require.EqualValues(t, 1, made.Reopened.Load())
 		time.Sleep(2 * time.Second) // below what was learned, above half of it
 		n := made.All.Load()
 		ch, end = use(t, p, true)
 		require.Equal(t, PartEnd, end.Kind)
-		require.Zero(t, ch.rested, "a new one")
+		require.Zero(t, ch.idleBefore, "a new one")
 		require.Equal(t, n+1, made.All.Load())
 		require.EqualValues(t, 1, made.Untrusted.Load())
 		ch, _ = use(t, p, false)
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestAPoolFollowsItsShare(t *testing.T) {
+func TestPool_SetLimit_ClosesConnectionsOverIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
 		p := NewPool("x", s, 4, &KeepAlive{}, &DialCounts{})
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	surplusMost = 3   // answers of others that are passed over before a connection is given up
-	statusMost  = 599 // the largest status that is an answer
+	maxSurplusResponses = 3   // responses to others that are skipped before a connection is given up
+	maxStatus           = 599 // the largest status that is an answer
 )
 
-// Reasons for which what came is not the answer to the request.
+// Reasons for which what came is not the response to the request.
 var (
 	errSurplus       = errors.New("an answer to something else")
 	errSwitched      = errors.New("switched protocols")
@@ -34,75 +34,76 @@
 	errBodyCut       = errors.New("body cut short")
 	errEventTooLarge = errors.New("an event over the limit")
 	errEventCut      = errors.New("cut inside an event")
-	errNotWanted     = errors.New("not wanted any more")
+	errAbandoned     = errors.New("abandoned")
 )
 
-func (x *exchange) tell(p Part) bool {
+// deliver gives a part to the caller; false if nobody wants the response any more.
+func (x *exchange) deliver(p Part) bool {
 	select {
 	case x.parts <- p:
 		return true
-	case <-x.quit:
+	case <-x.abandoned:
 		return false
 	}
 }
 
-// read takes answers off the socket for as long as the connection may be used.
+// read reads responses for as long as the connection may be used.
 func (c *Connection) read() {
 	defer c.Close()
 	br := bufio.NewReaderSize(c.conn, 4<<10)
 	for {
 		_, err := br.Peek(1)
 		x := c.exchange.Load()
-		if x == nil || x == abandoned {
-			return // bytes, or an end, while no answer is waited for
+		if x == nil || x == abandonedExchange {
+			return // bytes, or an end, while no response is due
 		}
 		select {
 		case <-c.start:
-		case <-c.dead:
-			x.tell(Part{Kind: PartFailure, Cause: "closed"})
+		case <-c.closed:
+			x.deliver(Part{Kind: PartFailure, Cause: "closed"})
 			return
 		}
 		if err != nil {
 			silent := errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
-			x.tell(Part{Kind: PartFailure, Cause: "no answer: " + err.Error(), ConnectionLost: true, Reset: !silent})
+			x.deliver(Part{Kind: PartFailure, Cause: "no answer: " + err.Error(), ConnectionLost: true, Reset: !silent})
 			return
 		}
-		if !c.answer(br, x) {
+		if !c.readResponse(br, x) {
 			return
 		}
 	}
 }
 
-// answer reads one answer; true means that the connection may be used again.
-func (c *Connection) answer(br *bufio.Reader, x *exchange) bool {
-	response, alone, err := ownResponse(br, x)
+// readResponse reads the response to an exchange and reports whether the connection may be used again.
+func (c *Connection) readResponse(br *bufio.Reader, x *exchange) bool {
+	response, isFirst, err := matchingResponse(br, x)
 	if err != nil {
-		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
+		x.deliver(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
 	if response.Close {
-		c.pool.made.Closing.Inc()
+		c.pool.counts.Closing.Inc()
 	}
-	err = proper(response, x)
+	err = validate(response, x)
 	if err != nil {
-		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
+		x.deliver(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
-	if !x.tell(Part{Kind: PartHead, Status: response.StatusCode, Header: response.Header}) {
+	if !x.deliver(Part{Kind: PartHead, Status: response.StatusCode, Header: response.Header}) {
 		return false
 	}
-	err = passBody(response, x)
+	err = deliverBody(response, x)
 	if err != nil {
-		x.tell(Part{Kind: PartFailure, Cause: err.Error()})
+		x.deliver(Part{Kind: PartFailure, Cause: err.Error()})
 		return false
 	}
-	keep := alone && !response.Close && response.ProtoAtLeast(1, 1) && br.Buffered() == 0
-	return c.end(x, response, keep)
+	keep := isFirst && !response.Close && response.ProtoAtLeast(1, 1) && br.Buffered() == 0
+	return c.finish(x, response, keep)
 }
 
-// ownResponse reads up to the head of the answer to the exchange. alone is false if answers to something
-// else came before it.
-func ownResponse(br *bufio.Reader, x *exchange) (response *http.Response, alone bool, err error) {
+// matchingResponse reads up to the head of the response to the exchange. isFirst is false if
+// answers to something else came before it.
+func matchingResponse(br *bufio.Reader, x *exchange) (response *http.Response, isFirst bool, err error) {
 	for skipped := 0; ; {
 		response, err = http.ReadResponse(br, x.http)
 		if err != nil {
@@ -118,7 +119,7 @@
 			return response, skipped == 0, nil
 		}
 		skipped++
-		if skipped > surplusMost || response.Close || unbounded(response) {
+		if skipped > maxSurplusResponses || response.Close || endsWithConnection(response) {
 			return nil, false, errSurplus
 		}
 		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, MaxAnswerBytes))
@@ -128,17 +129,17 @@
 	}
 }
 
-// unbounded tells whether only the connection's end would end a body.
-func unbounded(response *http.Response) bool {
+// endsWithConnection reports whether only the connection's end would end a body.
+func endsWithConnection(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// proper tells what is wrong with the head of an answer.
-func proper(response *http.Response, x *exchange) error {
+// validate says what is wrong with the head of a response; nil if nothing is.
+func validate(response *http.Response, x *exchange) error {
 	status := response.StatusCode
 	success := status < http.StatusMultipleChoices
 	switch {
-	case status < http.StatusOK || status > statusMost:
+	case status < http.StatusOK || status > maxStatus:
 		return errStatus
 	case success && response.Header.Get(HeaderSeal) == "":
 		return errNoSeal
@@ -146,80 +147,80 @@
 		return errContradiction
 	case response.Header.Get("Content-Encoding") != "":
 		return errEncoded
-	case unbounded(response) && x.http.Method != http.MethodHead:
+	case endsWithConnection(response) && x.http.Method != http.MethodHead:
 		return errNoLength
 	}
 	return nil
 }
 
-// passBody tells the parts of an answer's body.
-func passBody(response *http.Response, x *exchange) error {
+// deliverBody delivers a body complete, or a stream event by event.
+func deliverBody(response *http.Response, x *exchange) error {
 	stream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
 	if x.request.Events && response.StatusCode == http.StatusOK && stream {
-		return passEvents(response.Body, x)
+		return deliverEvents(response.Body, x)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
 	if err != nil || len(body) > MaxAnswerBytes {
 		return errBodyCut
 	}
-	if !x.tell(Part{Kind: PartBody, Bytes: body}) {
-		return errNotWanted
+	if !x.deliver(Part{Kind: PartBody, Bytes: body}) {
+		return errAbandoned
 	}
 	return nil
 }
 
-// end closes an exchange whose answer came whole. The connection goes back before the end is told, so
-// that whoever hears of it finds the connection free; one that isn't taken back is closed only after the
-// end was told, so that the close can't overtake it.
-func (c *Connection) end(x *exchange, response *http.Response, keep bool) bool {
+// finish closes an exchange whose response is complete. The connection goes back to the pool before the end is
+// delivered, so that whoever learns of it finds the connection free; one that the pool doesn't take is closed only after
+// that, so that the close can't overtake the end.
+func (c *Connection) finish(x *exchange, response *http.Response, keep bool) bool {
 	select {
 	case <-c.written: // an answer may come before its request was written whole
-	case <-c.dead:
+	case <-c.closed:
 		keep = false
-	case <-x.quit:
+	case <-x.abandoned:
 		keep = false
 	}
-	if c.rested > 0 {
-		c.pool.keep.RecordReuse(c.rested, time.Now())
+	if c.idleBefore > 0 {
+		c.pool.keepAlive.RecordReuse(c.idleBefore, time.Now())
 	}
 	c.used, c.lastID = true, x.request.AttemptID
 	keep = keep && c.exchange.CompareAndSwap(x, nil) // not if the answer was dropped at this moment
 	if keep {
-		c.idle = time.Now()
-		c.expires = c.idle.Add(keepFor(response.Header))
+		c.idleSince = time.Now()
+		c.expires = c.idleSince.Add(idleTimeOf(response.Header))
 		keep = c.pool.put(c)
 	}
 	state := attempt.Answered
 	if notExecuted(response.StatusCode, response.Header) {
 		state = attempt.NotExecuted
 	}
-	x.tell(Part{Kind: PartEnd, State: state})
+	x.deliver(Part{Kind: PartEnd, State: state})
 	return keep
 }
 
-// keepFor is how long an idle connection may be used again: a little less than its Keep-Alive says.
-func keepFor(h http.Header) time.Duration {
+// idleTimeOf is how long a connection may be idle after a response: a little less than its Keep-Alive says.
+func idleTimeOf(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			return max(0, durations.FromSeconds(float64(n))-keepMargin)
+			return max(0, durations.FromSeconds(float64(n))-keepAliveMargin)
 		}
 	}
-	return keepIdle
+	return defaultIdleTime
 }
 
-// passEvents tells whole events.
-func passEvents(r io.Reader, x *exchange) error {
+// deliverEvents delivers the complete events of a stream.
+func deliverEvents(r io.Reader, x *exchange) error {
 	br := bufio.NewReaderSize(r, 4<<10)
 	var event []byte
 	id := int64(-1)
 	for {
 		line, err := br.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > eventMax {
+		if len(event) > maxEventBytes {
 			return errEventTooLarge
 		}
 		if err == bufio.ErrBufferFull {
@@ -243,8 +244,8 @@
 		if len(text) > 0 {
 			continue
 		}
-		if !x.tell(Part{Kind: PartEvent, Bytes: event, ID: id}) {
-			return errNotWanted
+		if !x.deliver(Part{Kind: PartEvent, Bytes: event, ID: id}) {
+			return errAbandoned
 		}
 		event, id = nil, -1
 	}
--- a/internal/upstream/requesturl.go
+++ b/internal/upstream/requesturl.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// RequestURL is a request's target as the standard library writes it: unchanged, byte by byte, where Passable
-// says so.
+// RequestURL returns a URL that the standard library writes as the raw request target: unchanged, byte by byte, if
+// CanForward reports so.
 func RequestURL(raw string) *url.URL {
 	if !strings.HasPrefix(raw, "//") {
 		return &url.URL{Scheme: "http", Opaque: raw}
@@ -20,5 +20,5 @@
 	return &url.URL{Path: plain, RawPath: path, RawQuery: query, ForceQuery: asked && query == ""}
 }
 
-// CanForward tells whether a target can be passed on unchanged.
+// CanForward reports whether a raw request target can be sent on unchanged.
 func CanForward(raw string) bool { return RequestURL(raw).RequestURI() == raw }
--- a/internal/upstream/requesturl_test.go
+++ b/internal/upstream/requesturl_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestATargetIsPassedOnUnchangedOrNotAtAll(t *testing.T) {
-	for raw, passable := range map[string]bool{
+func TestRequestURL_RawTargets_WrittenUnchangedOrNotForwarded(t *testing.T) {
+	for raw, canForward := range map[string]bool{
 		"/a/b?c=d":         true,
 		"/a/%2e%2e/b":      true,
 		"/a/%zz":           true,
@@ -24,8 +24,8 @@
 		"http://h/a":       true,
 		"/a/b;c?d=%20&e=+": true,
 	} {
-		require.Equal(t, passable, CanForward(raw), raw)
-		if !passable {
+		require.Equal(t, canForward, CanForward(raw), raw)
+		if !canForward {
 			continue
 		}
 		r := &Request{Method: http.MethodPost, Target: raw, Host: "h", Header: http.Header{}, Body: []byte("x")}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -7,11 +7,11 @@
 	"shaletrestle/coord/attempt"
 )
 
-// PartKind tells what a part of an answer is.
+// PartKind says what a part of a response is.
 type PartKind int
 
-// The kinds of parts. A whole answer is Head, then Body, then End; a stream is Head, Events, End. Fail
-// ends either at any point.
+// The kinds of parts. A complete response is PartHead, PartBody, PartEnd; a stream is PartHead, any number of PartEvent,
+// PartEnd. PartFailure ends either at any point.
 const (
 	PartHead PartKind = iota
 	PartBody
@@ -20,21 +20,21 @@
 	PartFailure
 )
 
-// Part is one step of an answer.
+// Part is one step of a response.
 type Part struct {
 	Kind           PartKind
 	Status         int
 	Header         http.Header
 	Bytes          []byte
 	ID             int64         // of an event, -1 if it has none
-	State          attempt.State // of an End: Answered or NotExecuted
+	State          attempt.State // of a PartEnd: Answered or NotExecuted
 	Cause          string
 	ConnectionLost bool // the connection itself failed
-	Reset          bool // it ended before the first byte of an answer
+	Reset          bool // it ended before the first byte of a response
 }
 
-// NotRun tells whether a head says that the replica did not run the request. It is a promise only once
-// the answer has come whole.
+// NotRun reports whether a head says that the replica did not run the request. It is a promise only once the response is
+// complete.
 func (p *Part) NotRun() bool {
 	return notExecuted(p.Status, p.Header)
 }
@@ -43,14 +43,13 @@
 	return status == http.StatusMisdirectedRequest || head.Get(HeaderNotExecuted) != ""
 }
 
-// Response is what a request gives: its parts in order. Drop must be called when no more are wanted.
+// Response gives the parts of the response to one request, in order. Close must be called when no more are wanted.
 type Response struct {
 	connection *Connection
 	exchange   *exchange
 }
 
-// Next gives the next part. late fires when it has taken too long, quit when nobody wants it any more;
-// ok is false then.
+// Next waits for the next part; ok is false if late or quit fired first.
 func (a *Response) Next(late <-chan time.Time, quit <-chan struct{}) (p Part, ok bool) {
 	select {
 	case p = <-a.exchange.parts:
@@ -59,7 +58,7 @@
 	}
 	select {
 	case p = <-a.exchange.parts:
-	case <-a.connection.dead: // what was told before still counts
+	case <-a.connection.closed: // what was delivered before still counts
 		select {
 		case p = <-a.exchange.parts:
 		default:
@@ -73,14 +72,14 @@
 	return p, true
 }
 
-// Close ends the interest in an answer; a connection whose answer was not read to its end is closed.
+// Close ends the interest in the response; a connection whose response was not read to its end is closed.
 func (a *Response) Close() {
-	if a.connection.exchange.CompareAndSwap(a.exchange, abandoned) {
+	if a.connection.exchange.CompareAndSwap(a.exchange, abandonedExchange) {
 		a.connection.Close()
 	}
 	select {
-	case <-a.exchange.quit:
+	case <-a.exchange.abandoned:
 	default:
-		close(a.exchange.quit)
+		close(a.exchange.abandoned)
 	}
 }
