--- a/coord/handoff/classify.go
+++ b/coord/handoff/classify.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Thresholds draw the line between long work and prompt work, in aims of the route.
+// Thresholds separate long work from interactive work, in latency targets of the route.
 type Thresholds struct {
-	Patient float64 // a route whose timeout is this many aims or more has people who can wait
-	Heavy   float64 // a request that runs for this many aims or more is long work
+	Patient float64 // a route whose timeout is this many targets or more has clients who can wait
+	Heavy   float64 // a request that runs for this many targets or more is long work
 }
 
-// Demand is what the configuration and a request's own heads tell of it.
+// Demand is what the configuration and a request's own header say of it.
 type Demand struct {
-	Stream                     bool          // the route answers with events
+	Stream                     bool          // the response is a stream of events
 	Aim                        time.Duration // target_latency_ms
 	Timeout                    time.Duration // timeout_ms
 	Gap                        time.Duration // target_gap_ms: the longest pause between events
@@ -21,7 +21,8 @@
 	PerToken                   time.Duration // time to read one token of a prompt
 }
 
-// IsLong tells whether a request is long work: people can wait for it, and it runs long. Where the configuration or the request does not say enough, it is prompt work.
+// IsLong reports whether a request is long work: its client can wait, and it runs long. Where the configuration or the
+// request does not say enough, it is interactive.
 func (m Thresholds) IsLong(a Demand) bool {
 	if !a.Stream || a.Aim <= 0 || a.OutputTokens <= 0 || float64(a.Timeout) < m.Patient*float64(a.Aim) {
 		return false
--- a/coord/handoff/classify_test.go
+++ b/coord/handoff/classify_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLongWorkIsToldByConfigurationAndRequest(t *testing.T) {
+func TestThresholds_IsLong_ByConfigurationAndRequest(t *testing.T) {
 	m := Thresholds{Patient: 8, Heavy: 4}
 	long := Demand{Stream: true, Aim: time.Second, Timeout: 20 * time.Second, Gap: 500 * time.Millisecond, Stride: 5, PromptTokens: 4000, OutputTokens: 300, PerToken: 40 * time.Microsecond}
 	require.True(t, m.IsLong(long))
--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -28,40 +28,40 @@
 	modelBounds   = Bounds{AnswerTimeout: 1, AcceptTimeout: 1, RenewInterval: 1, Lease: 2, Tombstones: 1}
 )
 
-type flight struct {
-	m       Message
-	toOwner bool
-	late    bool
-	fresh   bool // its fate is not decided yet
+type inFlight struct {
+	message   Message
+	toOwner   bool
+	delayed   bool
+	undecided bool // its fate is not decided yet
 }
 
 type runState struct {
-	owner  uint64 // the owner's life
-	ticket Ticket // zero: run by the owner
-	open   bool   // it may still begin work
-	ran    bool
-	parts  uint64
+	owner      uint64 // the owner's incarnation
+	ticket     Ticket // zero: run by the owner
+	open       bool   // it may still begin work
+	mayHaveRun bool
+	parts      uint64
 }
 
 type model struct {
-	now       time.Duration
-	again     bool
-	owner     *Owner
-	taker     *Taker
-	ownerDead bool
-	frozen    [2]bool
-	troubles  int // deaths, restarts and freezes that may still come
-	resets    int // resets of the channel that may still come
-	faults    int
-	net       []flight
-	held      bool
-	turns     int
-	runs      []runState
-	outcome   Outcome
-	deadline  time.Duration
-	lastFrom  Ticket
-	delivered uint64
-	wrong     string
+	now        time.Duration
+	repeatable bool
+	owner      *Owner
+	taker      *Taker
+	ownerDead  bool
+	frozen     [2]bool
+	crashes    int // deaths, restarts and freezes that may still come
+	resets     int // resets of the channel that may still come
+	faults     int
+	net        []inFlight
+	pending    bool
+	offers     int
+	runs       []runState
+	outcome    Outcome
+	deadline   time.Duration
+	lastFrom   Ticket
+	delivered  uint64
+	violation  string
 }
 
 func (m *model) clone() *model {
@@ -76,9 +76,9 @@
 		k := *e
 		t.entries[i] = &k
 	}
-	t.graves = slices.Clone(t.graves)
+	t.tombstones = slices.Clone(t.tombstones)
 	c.owner, c.taker = &o, &t
-	c.net = append([]flight{}, m.net...)
+	c.net = append([]inFlight{}, m.net...)
 	c.runs = append([]runState{}, m.runs...)
 	return &c
 }
@@ -96,37 +96,37 @@
 // key tells states apart; moments count from now, and not beyond what can still matter.
 func (m *model) key() uint64 {
 	rel := func(x time.Duration) byte { return byte(max(-4, min(x-m.now, 12)) + 4) }
-	b := []byte{bits(m.ownerDead, m.frozen[0], m.frozen[1], m.held), byte(m.troubles), byte(m.resets), byte(m.owner.life), byte(m.faults), byte(m.turns), byte(m.outcome),
-		byte(m.lastFrom.Incarnation), byte(m.lastFrom.Number), byte(m.delivered), byte(m.taker.life), byte(m.taker.next)}
+	b := []byte{bits(m.ownerDead, m.frozen[0], m.frozen[1], m.pending), byte(m.crashes), byte(m.resets), byte(m.owner.incarnation), byte(m.faults), byte(m.offers), byte(m.outcome),
+		byte(m.lastFrom.Incarnation), byte(m.lastFrom.Number), byte(m.delivered), byte(m.taker.incarnation), byte(m.taker.lastTicket)}
 	for _, j := range m.owner.jobs {
-		b = append(b, byte(j.shots), byte(j.lent), bits(j.lost), byte(j.stage), byte(j.turn), byte(j.ticket.Incarnation), byte(j.ticket.Number), byte(j.parts), rel(j.deadline))
+		b = append(b, byte(j.attempts), byte(j.lentAttempts), bits(j.mayHaveRun), byte(j.stage), byte(j.offerNumber), byte(j.ticket.Incarnation), byte(j.ticket.Number), byte(j.parts), rel(j.deadline))
 		switch j.stage {
 		case offered:
-			b = append(b, rel(j.until))
-		case gone:
-			b = append(b, rel(j.heard), rel(j.told))
+			b = append(b, rel(j.offerExpires))
+		case remote:
+			b = append(b, rel(j.lastHeard), rel(j.lastRenewed))
 		}
 	}
 	for _, e := range m.taker.entries {
-		b = append(b, byte(e.place.owner), byte(e.ticket), byte(e.place.turn), byte(e.status), byte(e.parts), byte(e.last.Kind), byte(e.last.Number))
+		b = append(b, byte(e.offerID.owner), byte(e.ticket), byte(e.offerID.number), byte(e.status), byte(e.parts), byte(e.result.Kind), byte(e.result.Number))
 		switch e.status {
 		case accepted:
-			b = append(b, rel(e.until))
+			b = append(b, rel(e.expires))
 		case running:
-			b = append(b, rel(e.heard))
+			b = append(b, rel(e.lastHeard))
 		}
 	}
-	for _, e := range m.taker.graves {
+	for _, e := range m.taker.tombstones {
 		b = append(b, byte(e))
 	}
 	b = append(b, 254)
 	for _, r := range m.runs {
-		b = append(b, byte(r.owner), byte(r.ticket.Incarnation), byte(r.ticket.Number), bits(r.open, r.ran), byte(r.parts))
+		b = append(b, byte(r.owner), byte(r.ticket.Incarnation), byte(r.ticket.Number), bits(r.open, r.mayHaveRun), byte(r.parts))
 	}
 	b = append(b, 254)
 	fs := make([][8]byte, len(m.net))
 	for i, f := range m.net {
-		fs[i] = [8]byte{bits(f.late, f.toOwner, f.fresh), byte(f.m.Owner), byte(f.m.Kind), byte(f.m.OfferNumber), byte(f.m.Ticket.Incarnation), byte(f.m.Ticket.Number), byte(f.m.Number), byte(f.m.Attempts)}
+		fs[i] = [8]byte{bits(f.delayed, f.toOwner, f.undecided), byte(f.message.Owner), byte(f.message.Kind), byte(f.message.OfferNumber), byte(f.message.Ticket.Incarnation), byte(f.message.Ticket.Number), byte(f.message.Number), byte(f.message.Attempts)}
 	}
 	slices.SortStableFunc(fs, func(x, y [8]byte) int { // late ones are a set, the others keep their order by direction
 		if x[0]>>1 != y[0]>>1 || x[0]>>2 == 0 {
@@ -140,66 +140,66 @@
 	return xxhash.Sum64(b)
 }
 
-func (m *model) fail(why string) { m.wrong = why }
+func (m *model) fail(why string) { m.violation = why }
 
 func (m *model) begin(owner uint64, t Ticket) {
 	for _, r := range m.runs {
 		if r.owner != owner {
 			continue
 		}
-		if !m.again && (r.open || r.ran) {
+		if !m.repeatable && (r.open || r.mayHaveRun) {
 			m.fail("a second run")
 		}
 		if t != (Ticket{}) && r.ticket == t {
 			m.fail("one ticket run twice")
 		}
 	}
-	if owner == m.owner.life && m.outcome == Rejected {
+	if owner == m.owner.incarnation && m.outcome == Rejected {
 		m.fail("run after the promise")
 	}
-	if owner == m.owner.life && m.now >= m.deadline+modelBounds.AcceptTimeout {
+	if owner == m.owner.incarnation && m.now >= m.deadline+modelBounds.AcceptTimeout {
 		m.fail("begun after its deadline")
 	}
-	m.runs = append(m.runs, runState{owner: owner, ticket: t, open: true, ran: t == Ticket{}})
+	m.runs = append(m.runs, runState{owner: owner, ticket: t, open: true, mayHaveRun: t == Ticket{}})
 }
 
-func (m *model) end(as Outcome) {
+func (m *model) finish(as Outcome) {
 	if m.outcome != 0 {
 		m.fail("two final answers")
 	}
 	m.outcome = as
 	if as == Rejected {
 		for _, r := range m.runs {
-			if r.owner == m.owner.life && (r.open || r.ran) {
+			if r.owner == m.owner.incarnation && (r.open || r.mayHaveRun) {
 				m.fail("a promise that does not hold")
 			}
 		}
 	}
 }
 
-func (m *model) do(fx []Effect, byOwner bool) {
+func (m *model) apply(fx []Effect, byOwner bool) {
 	for _, f := range fx {
 		switch f.Action {
 		case Send:
 			if byOwner || !m.ownerDead {
-				m.net = append(m.net, flight{m: f.Message, toOwner: !byOwner, fresh: m.faults > 0})
+				m.net = append(m.net, inFlight{message: f.Message, toOwner: !byOwner, undecided: m.faults > 0})
 			}
 		case Begin:
 			m.begin(f.Message.Owner, f.Ticket)
 		case Stop:
 			for i := range m.runs {
 				if m.runs[i].ticket == f.Ticket {
-					m.runs[i].open, m.runs[i].ran = false, true // it may have begun
+					m.runs[i].open, m.runs[i].mayHaveRun = false, true // it may have begun
 				}
 			}
 		case Requeue:
-			m.held = true
+			m.pending = true
 		case Deliver:
 			if m.outcome != 0 {
 				m.fail("a part after the end")
 			}
 			if m.lastFrom != f.Message.Ticket {
-				if m.lastFrom != (Ticket{}) && !m.again {
+				if m.lastFrom != (Ticket{}) && !m.repeatable {
 					m.fail("parts of two runs")
 				}
 				m.lastFrom, m.delivered = f.Message.Ticket, 0
@@ -212,7 +212,7 @@
 			if f.Outcome == Complete && (m.lastFrom != f.Message.Ticket || m.delivered != modelParts) {
 				m.fail("a whole answer with a part missing")
 			}
-			m.end(f.Outcome)
+			m.finish(f.Outcome)
 		}
 	}
 }
@@ -220,133 +220,133 @@
 // settle decides the fate of what is under way once no fault is left.
 func (m *model) settle() {
 	for i := range m.net {
-		m.net[i].fresh = m.net[i].fresh && m.faults > 0
+		m.net[i].undecided = m.net[i].undecided && m.faults > 0
 	}
 }
 
-// tidy leaves out what can have no effect in any state that follows: messages to nobody or about what is over for good, and
+// normalize leaves out what can have no effect in any state that follows: messages to nobody or about what is over for good, and
 // what the judge no longer asks for.
-func (m *model) tidy() {
+func (m *model) normalize() {
 	_, j := m.owner.find(1)
 	if j == nil {
-		m.lastFrom, m.delivered, m.turns, m.held = Ticket{}, 0, 0, false
+		m.lastFrom, m.delivered, m.offers, m.pending = Ticket{}, 0, 0, false
 	}
-	m.net = slices.DeleteFunc(m.net, func(f flight) bool {
+	m.net = slices.DeleteFunc(m.net, func(f inFlight) bool {
 		if f.toOwner {
-			drops := f.m.Kind == Accept || f.m.Kind == Started || f.m.Kind == Part
-			return m.ownerDead || f.m.Owner != m.owner.life || !drops && (j == nil || f.m.OfferNumber < j.turn)
+			drops := f.message.Kind == Accept || f.message.Kind == Started || f.message.Kind == Part
+			return m.ownerDead || f.message.Owner != m.owner.incarnation || !drops && (j == nil || f.message.OfferNumber < j.offerNumber)
 		}
-		if f.m.Kind != Drop || f.m.Ticket == (Ticket{}) {
+		if f.message.Kind != Drop || f.message.Ticket == (Ticket{}) {
 			return false
 		}
-		e := m.taker.find(f.m.Ticket.Number)
-		return f.m.Ticket.Incarnation != m.taker.life || e == nil || e.status == over
+		e := m.taker.find(f.message.Ticket.Number)
+		return f.message.Ticket.Incarnation != m.taker.incarnation || e == nil || e.status == ended
 	})
 }
 
-// over tells that nothing can happen any more.
-func (m *model) over() bool {
+// isOver tells that nothing can happen any more.
+func (m *model) isOver() bool {
 	w, r := m.taker.Jobs()
 	return len(m.net) == 0 && w+r == 0 && (m.ownerDead || m.outcome != 0)
 }
 
-// next lists every state that may follow, with what happened.
-func (m *model) next() (out []*model) {
+// successors lists every state that may follow, with what happened.
+func (m *model) successors() (out []*model) {
 	try := func(f func(c *model)) {
 		c := m.clone()
 		f(c)
-		c.tidy()
+		c.normalize()
 		out = append(out, c)
 	}
-	reach := func(f flight) bool {
+	reach := func(f inFlight) bool {
 		if f.toOwner {
 			return !m.ownerDead && !m.frozen[0]
 		}
 		return !m.frozen[1]
 	}
 	for i, f := range m.net {
-		if f.fresh {
-			try(func(c *model) { c.net[i].fresh = false })
-			try(func(c *model) { c.net[i].fresh, c.net[i].late = false, true; c.faults--; c.settle() })
+		if f.undecided {
+			try(func(c *model) { c.net[i].undecided = false })
+			try(func(c *model) { c.net[i].undecided, c.net[i].delayed = false, true; c.faults--; c.settle() })
 			try(func(c *model) {
-				c.net = append(c.net, flight{m: f.m, toOwner: f.toOwner, late: true, fresh: c.faults > 1})
-				c.net[i].fresh = false
+				c.net = append(c.net, inFlight{message: f.message, toOwner: f.toOwner, delayed: true, undecided: c.faults > 1})
+				c.net[i].undecided = false
 				c.faults--
 				c.settle()
 			})
 			return out
 		}
 	}
-	if m.over() {
+	if m.isOver() {
 		return nil
 	}
 	prompt, first := false, [2]bool{}
 	for i, f := range m.net {
 		d := bits(f.toOwner)
-		if reach(f) && (f.late || !first[d]) {
-			prompt = prompt || !f.late
-			first[d] = first[d] || !f.late
+		if reach(f) && (f.delayed || !first[d]) {
+			prompt = prompt || !f.delayed
+			first[d] = first[d] || !f.delayed
 			try(func(c *model) {
 				c.net = append(c.net[:i:i], c.net[i+1:]...)
 				if f.toOwner {
-					c.do(c.owner.Step(c.now, f.m), true)
+					c.apply(c.owner.Step(c.now, f.message), true)
 				} else {
-					c.do(c.taker.Step(c.now, f.m), false)
+					c.apply(c.taker.Step(c.now, f.message), false)
 				}
 			})
 		}
 	}
-	if m.held && !m.ownerDead && !m.frozen[0] && m.outcome == 0 {
-		if m.turns < modelTurns {
-			try(func(c *model) { c.held = false; c.turns++; c.do(c.owner.Offer(c.now, 1, "taker", nil), true) })
+	if m.pending && !m.ownerDead && !m.frozen[0] && m.outcome == 0 {
+		if m.offers < modelTurns {
+			try(func(c *model) { c.pending = false; c.offers++; c.apply(c.owner.Offer(c.now, 1, "taker", nil), true) })
 		}
 		try(func(c *model) {
-			c.held = false
+			c.pending = false
 			lost, _, ok := c.owner.Reclaim(c.now, 1)
 			if !ok {
-				c.do(c.owner.GiveUp(1), true)
+				c.apply(c.owner.GiveUp(1), true)
 				return
 			}
-			if lost && !c.again {
+			if lost && !c.repeatable {
 				c.fail("run here after a loss")
 			}
-			c.begin(c.owner.life, Ticket{})
+			c.begin(c.owner.incarnation, Ticket{})
 			c.lastFrom = Ticket{}
-			c.end(Complete)
+			c.finish(Complete)
 		})
-		try(func(c *model) { c.held = false; c.do(c.owner.GiveUp(1), true) })
+		try(func(c *model) { c.pending = false; c.apply(c.owner.GiveUp(1), true) })
 	}
 	for i, r := range m.runs {
-		if !r.open || r.ticket == (Ticket{}) || r.ticket.Incarnation != m.taker.life || m.frozen[1] {
+		if !r.open || r.ticket == (Ticket{}) || r.ticket.Incarnation != m.taker.incarnation || m.frozen[1] {
 			continue
 		}
 		if r.parts < modelParts {
 			try(func(c *model) {
 				c.runs[i].parts++
-				c.runs[i].ran = true
-				c.do(c.taker.SendPart(r.ticket.Number, nil), false)
+				c.runs[i].mayHaveRun = true
+				c.apply(c.taker.SendPart(r.ticket.Number, nil), false)
 			})
 		} else {
 			try(func(c *model) {
 				c.runs[i].open = false
-				c.do(c.taker.Finish(r.ticket.Number, Done, 1), false)
+				c.apply(c.taker.Finish(r.ticket.Number, Done, 1), false)
 			})
 		}
-		if !r.ran {
+		if !r.mayHaveRun {
 			try(func(c *model) {
 				c.runs[i].open = false
-				c.do(c.taker.Finish(r.ticket.Number, Returned, 1), false)
+				c.apply(c.taker.Finish(r.ticket.Number, Returned, 1), false)
 			})
 		}
 	}
 	if m.resets > 0 && len(m.net) > 0 {
 		try(func(c *model) {
 			c.resets--
-			c.net = slices.DeleteFunc(c.net, func(f flight) bool { return !f.late })
+			c.net = slices.DeleteFunc(c.net, func(f inFlight) bool { return !f.delayed })
 		})
 	}
-	if m.troubles > 0 {
-		out = append(out, m.afterTrouble()...)
+	if m.crashes > 0 {
+		out = append(out, m.afterCrash()...)
 	}
 	for i := range m.frozen {
 		if m.frozen[i] {
@@ -354,28 +354,28 @@
 		}
 	}
 	if !m.frozen[0] && !m.ownerDead {
-		try(func(c *model) { c.do(c.owner.Tick(c.now), true) })
+		try(func(c *model) { c.apply(c.owner.Tick(c.now), true) })
 	}
 	if !m.frozen[1] {
-		try(func(c *model) { c.do(c.taker.Tick(c.now), false) })
+		try(func(c *model) { c.apply(c.taker.Tick(c.now), false) })
 	}
 	if !prompt {
 		try(func(c *model) {
 			c.now++
 			if !c.frozen[0] && !c.ownerDead {
-				c.do(c.owner.Tick(c.now), true)
+				c.apply(c.owner.Tick(c.now), true)
 				if c.now >= c.deadline && c.outcome == 0 {
 					c.fail("a job without a final answer at its deadline")
 				}
 			}
 			if !c.frozen[1] {
-				c.do(c.taker.Tick(c.now), false)
+				c.apply(c.taker.Tick(c.now), false)
 				for _, e := range c.taker.entries {
-					if e.status == accepted && c.now >= e.until || e.status == running && c.now-e.heard >= modelBounds.Lease {
+					if e.status == accepted && c.now >= e.expires || e.status == running && c.now-e.lastHeard >= modelBounds.Lease {
 						c.fail("a job is kept beyond its lease")
 					}
 				}
-				if len(c.taker.graves) > modelBounds.Tombstones || len(c.taker.entries) > modelBounds.Tombstones+c.taker.room {
+				if len(c.taker.tombstones) > modelBounds.Tombstones || len(c.taker.entries) > modelBounds.Tombstones+c.taker.capacity {
 					c.fail("more is remembered than the bound")
 				}
 			}
@@ -384,35 +384,35 @@
 	return out
 }
 
-// afterTrouble lists the states after one death, restart or freeze.
-func (m *model) afterTrouble() (out []*model) {
+// afterCrash lists the states after one death, restart or freeze.
+func (m *model) afterCrash() (out []*model) {
 	try := func(f func(c *model)) {
 		c := m.clone()
-		c.troubles--
+		c.crashes--
 		f(c)
-		c.tidy()
+		c.normalize()
 		out = append(out, c)
 	}
 	if m.outcome == 0 && !m.ownerDead {
 		try(func(c *model) {
 			c.ownerDead = true
-			c.owner.jobs, c.held = nil, false
+			c.owner.jobs, c.pending = nil, false
 		})
 		try(func(c *model) { // its clients see their connections end; another asks for something else
-			c.owner = NewOwner(c.owner.life+1, modelBounds)
+			c.owner = NewOwner(c.owner.incarnation+1, modelBounds)
 			c.deadline = c.now + modelDeadline
-			c.owner.Take(c.deadline, c.again, 2)
-			c.held, c.turns, c.frozen[0] = true, 0, false
+			c.owner.Take(c.deadline, c.repeatable, 2)
+			c.pending, c.offers, c.frozen[0] = true, 0, false
 			c.lastFrom, c.delivered = Ticket{}, 0
 		})
 	}
 	try(func(c *model) {
-		c.taker = NewTaker(c.taker.life+1, modelBounds)
+		c.taker = NewTaker(c.taker.incarnation+1, modelBounds)
 		c.taker.SetCapacity(1)
 		c.frozen[1] = false
 		for i := range c.runs {
 			if c.runs[i].open { // its replica may go on
-				c.runs[i].open, c.runs[i].ran = false, true
+				c.runs[i].open, c.runs[i].mayHaveRun = false, true
 			}
 		}
 	})
@@ -426,25 +426,25 @@
 }
 
 // explore judges every state that can be reached.
-func explore(t *testing.T, again bool, faults, troubles, resets int) {
-	first := &model{again: again, owner: NewOwner(7, modelBounds), taker: NewTaker(100, modelBounds), faults: faults, troubles: troubles, resets: resets,
-		deadline: modelDeadline, held: true}
+func explore(t *testing.T, repeatable bool, faults, crashes, resets int) {
+	first := &model{repeatable: repeatable, owner: NewOwner(7, modelBounds), taker: NewTaker(100, modelBounds), faults: faults, crashes: crashes, resets: resets,
+		deadline: modelDeadline, pending: true}
 	first.taker.SetCapacity(1)
-	require.Equal(t, uint64(1), first.owner.Take(modelDeadline, again, 2))
+	require.Equal(t, uint64(1), first.owner.Take(modelDeadline, repeatable, 2))
 	seen := map[uint64]bool{first.key(): true}
 	ends := map[Outcome]int{}
 	todo := []*model{first}
 	for len(todo) > 0 {
 		m := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		for _, c := range m.next() {
+		for _, c := range m.successors() {
 			k := c.key()
 			if seen[k] {
 				continue
 			}
 			seen[k] = true
-			if c.wrong != "" {
-				t.Fatalf("%s: %+v", c.wrong, *c)
+			if c.violation != "" {
+				t.Fatalf("%s: %+v", c.violation, *c)
 			}
 			if c.outcome != m.outcome {
 				ends[c.outcome]++
@@ -452,29 +452,29 @@
 			todo = append(todo, c)
 		}
 	}
-	t.Logf("again=%v faults=%d troubles=%d resets=%d: %d states, ends %v", again, faults, troubles, resets, len(seen), ends)
+	t.Logf("repeatable=%v faults=%d crashes=%d resets=%d: %d states, ends %v", repeatable, faults, crashes, resets, len(seen), ends)
 	for _, o := range []Outcome{Complete, Rejected, Indeterminate, DeadlineExceeded} {
 		require.NotZero(t, ends[o], "outcome %d is never reached", o)
 	}
 }
 
-// TestEveryOrder explores one fault beside a trouble (a death, restart or freeze) and a reset; two troubles beside a reset; two faults
-// beside a trouble where a second run breaks a rule; and three faults alone. It takes half a minute. -model.faults=3 explores three
-// faults beside a trouble and a reset for both, which takes minutes.
-func TestEveryOrder(t *testing.T) {
-	for _, again := range []bool{false, true} {
-		t.Run(fmt.Sprintf("again=%v", again), func(t *testing.T) {
+// TestModel_EveryOrder_KeepsRules explores one fault beside a crash (a death, restart or freeze) and a reset; two crashes beside a reset; two faults
+// beside a crash where a second run breaks a rule; and three faults alone. It takes half a minute. -model.faults=3 explores three
+// faults beside a crash and a reset for both, which takes minutes.
+func TestModel_EveryOrder_KeepsRules(t *testing.T) {
+	for _, repeatable := range []bool{false, true} {
+		t.Run(fmt.Sprintf("repeatable=%v", repeatable), func(t *testing.T) {
 			t.Parallel()
 			if *modelFaults > 0 {
-				explore(t, again, *modelFaults, 1, 1)
+				explore(t, repeatable, *modelFaults, 1, 1)
 				return
 			}
-			explore(t, again, 1, 1, 1)
-			explore(t, again, 0, 2, 1)
-			if !again {
-				explore(t, again, 2, 1, 0)
+			explore(t, repeatable, 1, 1, 1)
+			explore(t, repeatable, 0, 2, 1)
+			if !repeatable {
+				explore(t, repeatable, 2, 1, 0)
 			}
-			explore(t, again, 3, 0, 0)
+			explore(t, repeatable, 3, 0, 0)
 		})
 	}
 }
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -8,44 +8,46 @@
 type stage uint8
 
 const (
-	held    stage = iota // with the owner; no go-ahead is open
-	here                 // the owner runs it itself
+	pending stage = iota // with the owner; no go-ahead is open
+	local                // the owner runs it itself
 	offered              // an offer is out, no go-ahead
-	gone                 // a go-ahead was given: it may have begun
+	remote               // a go-ahead was given: it may have begun
 )
 
 type job struct {
-	number   uint64
-	deadline time.Duration
-	again    bool // may run more than once
-	shots    int  // replicas that it may still be sent to
-	lent     int  // of these, lent with the offer
-	lost     bool // an earlier run may have begun
-	stage    stage
-	to       string
-	turn     uint64
-	ticket   Ticket
-	until    time.Duration // offered: the offer's end
-	heard    time.Duration // gone: the taker's last word
-	told     time.Duration // gone: the newest go-ahead
-	parts    uint64        // passed on under this ticket
-}
-
-// Owner holds the jobs that this process took from clients. It alone answers them.
+	number       uint64
+	deadline     time.Duration
+	repeatable   bool // may run more than once
+	attempts     int  // replicas that it may still be sent to
+	lentAttempts int  // of these, lent with the offer
+	mayHaveRun   bool // an earlier run may have begun
+	stage        stage
+	peer         string
+	offerNumber  uint64
+	ticket       Ticket
+	offerExpires time.Duration // offered: the offer's end
+	lastHeard    time.Duration // gone: the taker's last word
+	lastRenewed  time.Duration // gone: the newest go-ahead
+	parts        uint64        // passed on under this ticket
+}
+
+// Owner is the state machine of the jobs that this process took from clients. It alone answers them, and lets at most one
+// run of a job be open at a time; a job that is not repeatable never has a second run after one that may have begun. Its
+// methods must not be called concurrently; now must not go back.
 type Owner struct {
-	life uint64
-	next uint64
-	b    Bounds
-	jobs []*job // by number
+	incarnation uint64
+	lastNumber  uint64
+	bounds      Bounds
+	jobs        []*job // by number
 }
 
-// NewOwner makes the owner's side for one life of a process.
-func NewOwner(life uint64, b Bounds) *Owner {
-	return &Owner{life: life, b: b}
+// NewOwner returns an owner without jobs. No two processes, and no two starts of one, may use the same incarnation.
+func NewOwner(incarnation uint64, bounds Bounds) *Owner {
+	return &Owner{incarnation: incarnation, bounds: bounds}
 }
 
-// Incarnation is the life of the process that owns the jobs.
-func (o *Owner) Incarnation() uint64 { return o.life }
+// Incarnation is the incarnation that the owner was made with.
+func (o *Owner) Incarnation() uint64 { return o.incarnation }
 
 func (o *Owner) find(number uint64) (at int, j *job) {
 	at = sort.Search(len(o.jobs), func(i int) bool { return o.jobs[i].number >= number })
@@ -55,156 +57,172 @@
 	return at, nil
 }
 
-func (o *Owner) forget(number uint64) {
+func (o *Owner) remove(number uint64) {
 	if at, j := o.find(number); j != nil {
 		o.jobs = append(o.jobs[:at], o.jobs[at+1:]...)
 	}
 }
 
-// Take holds a new job and numbers it. again tells that it may run more than once, shots to how many replicas it may be sent.
-func (o *Owner) Take(deadline time.Duration, again bool, shots int) uint64 {
-	o.next++
-	o.jobs = append(o.jobs, &job{number: o.next, deadline: deadline, again: again, shots: shots})
-	return o.next
+// Take adds a new job and numbers it. repeatable says that it may run more than once, attempts to how many replicas it may
+// be sent.
+func (o *Owner) Take(deadline time.Duration, repeatable bool, attempts int) uint64 {
+	o.lastNumber++
+	o.jobs = append(o.jobs, &job{number: o.lastNumber, deadline: deadline, repeatable: repeatable, attempts: attempts})
+	return o.lastNumber
 }
 
-// Offer offers a held job to a node. Of the shots left one stays here, if it may be needed.
+// Offer offers a pending job to a peer; nil if it is not pending. Of the attempts left one stays with the owner, if it may
+// be needed.
 func (o *Owner) Offer(now time.Duration, number uint64, to string, body []byte) []Effect {
 	_, j := o.find(number)
-	if j == nil || j.stage != held || j.shots < 1 {
+	if j == nil || j.stage != pending || j.attempts < 1 {
 		return nil
 	}
-	j.turn++
-	j.stage, j.to, j.until, j.parts, j.ticket = offered, to, now+o.b.AnswerTimeout, 0, Ticket{}
-	j.lent = j.shots
-	if j.again && j.shots > 1 {
-		j.lent--
+	j.offerNumber++
+	j.stage, j.peer, j.offerExpires, j.parts, j.ticket = offered, to, now+o.bounds.AnswerTimeout, 0, Ticket{}
+	j.lentAttempts = j.attempts
+	if j.repeatable && j.attempts > 1 {
+		j.lentAttempts--
 	}
 	m := o.message(j, Offer)
-	m.Attempts, m.Body = j.lent, body
+	m.Attempts, m.Body = j.lentAttempts, body
 	return []Effect{{Action: Send, Message: m}}
 }
 
-// Reclaim lets the owner run a held job itself; false if it is not held or its time is over. The job leaves the machine: nothing is open elsewhere. lost tells that an earlier run may have begun, shots how many replicas are left.
-func (o *Owner) Reclaim(now time.Duration, number uint64) (lost bool, shots int, ok bool) {
+// Reclaim lets the owner run a pending job itself; ok is false if it is not pending or its deadline has passed. The job
+// leaves the machine: nothing of it is open elsewhere. mayHaveRun says that an earlier run may have begun, attempts how
+// many are left.
+func (o *Owner) Reclaim(now time.Duration, number uint64) (mayHaveRun bool, attempts int, ok bool) {
 	_, j := o.find(number)
-	if j == nil || j.stage != held || j.shots < 1 || now >= j.deadline {
+	if j == nil || j.stage != pending || j.attempts < 1 || now >= j.deadline {
 		return false, 0, false
 	}
-	j.stage = here
-	o.forget(number)
-	return j.lost, j.shots, true
+	j.stage = local
+	o.remove(number)
+	return j.mayHaveRun, j.attempts, true
 }
 
-// GiveUp ends a job that can be placed nowhere: at once, with what is known of it.
+// GiveUp ends a job that can be placed nowhere, at once, with what is known of it.
 func (o *Owner) GiveUp(number uint64) []Effect {
 	_, j := o.find(number)
 	if j == nil {
 		return nil
 	}
-	return o.end(j, Indeterminate)
+	return o.finish(j, Indeterminate)
 }
 
-// Abandon forgets a job whose client is gone.
+// Abandon removes a job whose client is gone.
 func (o *Owner) Abandon(number uint64) []Effect {
 	_, j := o.find(number)
 	if j == nil {
 		return nil
 	}
-	o.forget(number)
-	return o.drop(j)
+	o.remove(number)
+	return o.cancel(j)
 }
 
-// Step takes a message from a taker.
+// Step takes a message from a taker. What belongs to no open offer or run of a job is ignored, or answered with Drop if
+// the taker still holds capacity for it.
 func (o *Owner) Step(now time.Duration, m Message) []Effect {
-	if m.Owner != o.life {
+	if m.Owner != o.incarnation {
 		return nil
 	}
 	_, j := o.find(m.Job)
-	if j == nil || m.Kind != Decline && m.Kind != Accept && !(j.stage == gone && j.ticket == m.Ticket) || m.Kind == Accept && !o.takes(now, j, &m) {
-		if j != nil && j.stage == gone && j.ticket == m.Ticket {
-			return nil
-		}
-		switch m.Kind {
-		case Accept, Started, Part: // it still holds room, or runs, for nothing
-			m.Kind, m.Body = Drop, nil
-			return []Effect{{Action: Send, Message: m}}
-		}
-		return nil
-	}
+	isCurrent := j != nil && j.stage == remote && j.ticket == m.Ticket
 	switch m.Kind {
 	case Decline:
-		if j.stage == offered && j.to == m.Peer && j.turn == m.OfferNumber {
-			return o.back(j)
+		if j != nil && j.stage == offered && j.peer == m.Peer && j.offerNumber == m.OfferNumber {
+			return o.requeue(j)
 		}
 	case Accept:
-		j.stage, j.ticket, j.heard, j.told = gone, m.Ticket, now, now
-		return []Effect{{Action: Send, Message: o.message(j, Go)}}
-	case Started:
-		j.heard = now
-	case Part:
-		j.heard = now
-		if m.Number == j.parts+1 {
-			j.parts++
-			return []Effect{{Action: Deliver, Job: j.number, Message: m}}
-		}
-		if m.Number > j.parts { // one was lost: the rest can't be joined to it
-			return o.lose(j)
+		switch {
+		case j != nil && o.mayStart(now, j, &m):
+			j.stage, j.ticket, j.lastHeard, j.lastRenewed = remote, m.Ticket, now, now
+			return []Effect{{Action: Send, Message: o.message(j, Go)}}
+		case !isCurrent:
+			return dropOf(m)
 		}
-	case Done:
-		if m.Number == j.parts {
-			o.forget(j.number)
-			return []Effect{{Action: End, Job: j.number, Outcome: Complete, Message: m}}
+	case Started, Part:
+		if !isCurrent {
+			return dropOf(m)
 		}
-		return o.lose(j)
-	case Returned:
-		if j.parts > 0 {
-			return o.lose(j)
+		return o.stepRunning(now, j, m)
+	case Done, Returned, Failed, Unknown:
+		if isCurrent {
+			return o.stepEnded(j, m)
 		}
-		j.shots -= min(max(m.Attempts, 0), j.lent)
-		return o.back(j)
-	case Failed, Unknown:
-		return o.lose(j)
 	}
 	return nil
 }
 
-// takes tells whether an acceptance may be answered with a go-ahead. An owner that was frozen may read it
-// before it has looked at the time: what is over by then must not begin.
-func (o *Owner) takes(now time.Duration, j *job, m *Message) bool {
-	if now >= j.until || now >= j.deadline {
+// dropOf tells a taker that it holds capacity, or runs, for nothing.
+func dropOf(m Message) []Effect {
+	m.Kind, m.Body = Drop, nil
+	return []Effect{{Action: Send, Message: m}}
+}
+
+// stepRunning takes a message of the current run.
+func (o *Owner) stepRunning(now time.Duration, j *job, m Message) []Effect {
+	j.lastHeard = now
+	if m.Kind != Part || m.Number <= j.parts {
+		return nil
+	}
+	if m.Number > j.parts+1 { // one was lost: the others can't be joined to it
+		return o.handleLoss(j)
+	}
+	j.parts++
+	return []Effect{{Action: Deliver, Job: j.number, Message: m}}
+}
+
+// stepEnded takes the end of the current run.
+func (o *Owner) stepEnded(j *job, m Message) []Effect {
+	switch {
+	case m.Kind == Done && m.Number == j.parts:
+		o.remove(j.number)
+		return []Effect{{Action: End, Job: j.number, Outcome: Complete, Message: m}}
+	case m.Kind == Returned && j.parts == 0:
+		j.attempts -= min(max(m.Attempts, 0), j.lentAttempts)
+		return o.requeue(j)
+	}
+	return o.handleLoss(j)
+}
+
+// mayStart reports whether an acceptance may be answered with a go-ahead. An owner that was frozen may read it before it
+// has looked at the time: what has expired by then must not begin.
+func (o *Owner) mayStart(now time.Duration, j *job, m *Message) bool {
+	if now >= j.offerExpires || now >= j.deadline {
 		return false
 	}
-	return j.stage == offered && j.to == m.Peer && j.turn == m.OfferNumber
+	return j.stage == offered && j.peer == m.Peer && j.offerNumber == m.OfferNumber
 }
 
-// Tick does what has fallen due.
+// Tick does what has become due.
 func (o *Owner) Tick(now time.Duration) (fx []Effect) {
 	for _, j := range append([]*job{}, o.jobs...) {
 		switch {
 		case now >= j.deadline:
-			fx = append(fx, o.end(j, DeadlineExceeded)...)
-		case j.stage == offered && now >= j.until:
-			fx = append(append(fx, o.drop(j)...), o.back(j)...)
-		case j.stage == gone && now-j.heard >= o.b.Lease:
-			fx = append(fx, o.lose(j)...)
-		case j.stage == gone && now-j.told >= o.b.RenewInterval:
-			j.told = now
+			fx = append(fx, o.finish(j, DeadlineExceeded)...)
+		case j.stage == offered && now >= j.offerExpires:
+			fx = append(append(fx, o.cancel(j)...), o.requeue(j)...)
+		case j.stage == remote && now-j.lastHeard >= o.bounds.Lease:
+			fx = append(fx, o.handleLoss(j)...)
+		case j.stage == remote && now-j.lastRenewed >= o.bounds.RenewInterval:
+			j.lastRenewed = now
 			fx = append(fx, Effect{Action: Send, Message: o.message(j, Go)})
 		}
 	}
 	return fx
 }
 
-// Jobs tells how many jobs are held, offered and run elsewhere.
+// Jobs counts the jobs that are pending, offered and run elsewhere.
 func (o *Owner) Jobs() (waiting, out, elsewhere int) {
 	for _, j := range o.jobs {
 		switch j.stage {
-		case held:
+		case pending:
 			waiting++
 		case offered:
 			out++
-		case gone:
+		case remote:
 			elsewhere++
 		}
 	}
@@ -212,37 +230,40 @@
 }
 
 func (o *Owner) message(j *job, k Kind) Message {
-	return Message{Kind: k, Peer: j.to, Owner: o.life, Job: j.number, OfferNumber: j.turn, Ticket: j.ticket}
+	return Message{Kind: k, Peer: j.peer, Owner: o.incarnation, Job: j.number, OfferNumber: j.offerNumber, Ticket: j.ticket}
 }
 
-func (o *Owner) drop(j *job) []Effect {
-	if j.stage != offered && j.stage != gone {
+// cancel tells the taker that the owner does not need its job any more.
+func (o *Owner) cancel(j *job) []Effect {
+	if j.stage != offered && j.stage != remote {
 		return nil
 	}
 	return []Effect{{Action: Send, Message: o.message(j, Drop)}}
 }
 
-func (o *Owner) back(j *job) []Effect {
-	j.stage, j.ticket = held, Ticket{}
+// requeue makes a job pending again, for its caller to place anew.
+func (o *Owner) requeue(j *job) []Effect {
+	j.stage, j.ticket = pending, Ticket{}
 	return []Effect{{Action: Requeue, Job: j.number}}
 }
 
-// lose deals with a run that may have begun and of which nothing more is to be expected.
-func (o *Owner) lose(j *job) []Effect {
-	fx := o.drop(j)
-	j.lost = true
-	j.shots -= j.lent
-	if j.again && j.shots > 0 {
-		return append(fx, o.back(j)...)
+// handleLoss deals with a run that may have begun and of which nothing more is to be expected.
+func (o *Owner) handleLoss(j *job) []Effect {
+	fx := o.cancel(j)
+	j.mayHaveRun = true
+	j.attempts -= j.lentAttempts
+	if j.repeatable && j.attempts > 0 {
+		return append(fx, o.requeue(j)...)
 	}
-	j.stage = held // the drop is said
-	return append(fx, o.end(j, Indeterminate)...)
+	j.stage = pending // the drop is sent
+	return append(fx, o.finish(j, Indeterminate)...)
 }
 
-func (o *Owner) end(j *job, as Outcome) []Effect {
-	o.forget(j.number)
-	fx := o.drop(j)
-	if j.stage != gone && !j.lost {
+// finish ends a job with an outcome, or as rejected if no run of it may have begun.
+func (o *Owner) finish(j *job, as Outcome) []Effect {
+	o.remove(j.number)
+	fx := o.cancel(j)
+	if j.stage != remote && !j.mayHaveRun {
 		as = Rejected
 	}
 	return append(fx, Effect{Action: End, Job: j.number, Outcome: as})
--- a/coord/handoff/queue.go
+++ b/coord/handoff/queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// QueueOptions are what the queue learns with: by measurement of prompt work, never by a fixed part of the slots.
+// QueueOptions say how a queue learns its capacity: by measurement of interactive work, never by a fixed part of the slots.
 type QueueOptions struct {
 	MaxWaiting   int           // long jobs that may wait at once
-	LateFraction float64       // a prompt answer is late if its first event took more than this part of its aim
-	MaxLateShare float64       // so many of them may be late: some are, whatever long work does
-	Weight       float64       // of the newest in that share
-	Cut          float64       // the room for long work is cut to this part when more are late
-	Grow         float64       // and grows by so much for each prompt answer in time
-	Pause        time.Duration // between two cuts: what a cut does is seen only after it
+	LateFraction float64       // an interactive response is late if its first event took more than this part of its target
+	MaxLateShare float64       // share of them that may be late: some are, whatever long work does
+	Weight       float64       // weight of the newest one in that share
+	Cut          float64       // the capacity is cut to this part when more are late
+	Grow         float64       // and grows by this for each interactive response in time
+	Pause        time.Duration // between two cuts: the effect of a cut shows only after it
 }
 
 type waiter struct {
@@ -21,42 +21,45 @@
 	until  time.Duration
 }
 
-// Queue lets long work of this process go to replicas: as much at once as leaves prompt work in time, the rest waits shortly.
+// Queue admits this process's long work to replicas: as much at once as leaves interactive work in time; the rest waits
+// shortly. Its methods must not be called concurrently.
 type Queue struct {
-	s       QueueOptions
-	next    uint64
-	room    float64 // long jobs that may run at once, learned
-	runs    int
-	waiting []waiter // by until
-	late    float64  // share of the latest prompt answers that were late
-	cutAt   time.Duration
-	cuts    int
+	options    QueueOptions
+	lastNumber uint64
+	capacity   float64 // long jobs that may run at once, learned
+	running    int
+	waiting    []waiter // by until
+	lateShare  float64  // share of the latest prompt answers that were late
+	cutAt      time.Duration
+	cuts       int
 }
 
-// NewQueue makes a queue that starts with room for so many jobs.
-func NewQueue(room float64, s QueueOptions) *Queue { return &Queue{s: s, room: room} }
+// NewQueue returns an empty queue that starts with capacity for so many jobs.
+func NewQueue(capacity float64, options QueueOptions) *Queue {
+	return &Queue{options: options, capacity: capacity}
+}
 
-// Join asks for a place until a moment. now true: it may run at once. ok false: the queue is full.
-func (q *Queue) Join(until time.Duration, idle bool) (number uint64, now, ok bool) {
-	if len(q.waiting) == 0 && (idle || float64(q.runs+1) <= q.room) {
-		q.runs++
+// Join asks for admission, up to a moment. admitted: the job may run at once. ok is false if the queue is full.
+func (q *Queue) Join(until time.Duration, idle bool) (number uint64, admitted, ok bool) {
+	if len(q.waiting) == 0 && (idle || float64(q.running+1) <= q.capacity) {
+		q.running++
 		return 0, true, true
 	}
-	if len(q.waiting) >= q.s.MaxWaiting {
+	if len(q.waiting) >= q.options.MaxWaiting {
 		return 0, false, false
 	}
-	q.next++
+	q.lastNumber++
 	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].until > until })
 	q.waiting = append(q.waiting, waiter{})
 	copy(q.waiting[at+1:], q.waiting[at:])
-	q.waiting[at] = waiter{q.next, until}
-	return q.next, false, true
+	q.waiting[at] = waiter{q.lastNumber, until}
+	return q.lastNumber, false, true
 }
 
-// Enter counts a job that may not be held back, for its run was begun elsewhere.
-func (q *Queue) Enter() { q.runs++ }
+// Enter admits a job that may not be held back, because its run was begun elsewhere.
+func (q *Queue) Enter() { q.running++ }
 
-// Leave takes a waiting job out.
+// Leave removes a waiting job.
 func (q *Queue) Leave(number uint64) {
 	for i, w := range q.waiting {
 		if w.number == number {
@@ -66,16 +69,16 @@
 	}
 }
 
-// Release notes that a job that ran has ended.
-func (q *Queue) Release() { q.runs = max(0, q.runs-1) }
+// Release records that an admitted job has ended.
+func (q *Queue) Release() { q.running = max(0, q.running-1) }
 
-// Admit names the jobs that may run now, those whose time ends first before others; what waited too long is given too, as late.
+// Admit returns the jobs that may run now, those whose time ends first before others, and those that waited too long.
 func (q *Queue) Admit(now time.Duration, idle bool) (run, late []uint64) {
 	for len(q.waiting) > 0 {
 		w := q.waiting[0]
 		switch {
-		case idle || float64(q.runs+1) <= q.room:
-			q.runs++
+		case idle || float64(q.running+1) <= q.capacity:
+			q.running++
 			run = append(run, w.number)
 		case now >= w.until:
 			late = append(late, w.number)
@@ -87,26 +90,28 @@
 	return run, late
 }
 
-// RecordPrompt takes what was measured of one prompt answer: the part of its aim that the first event took.
+// RecordPrompt takes the measurement of one interactive response: the part of its target that the first event took.
 func (q *Queue) RecordPrompt(now time.Duration, part float64) {
-	if part <= q.s.LateFraction {
-		q.late -= q.s.Weight * q.late
-		if float64(q.runs) >= q.room-1 { // room that nobody uses is not known to be there
-			q.room += q.s.Grow
+	if part <= q.options.LateFraction {
+		q.lateShare -= q.options.Weight * q.lateShare
+		if float64(q.running) >= q.capacity-1 { // unused capacity is not known to be there
+			q.capacity += q.options.Grow
 		}
 		return
 	}
-	q.late += q.s.Weight * (1 - q.late)
-	if q.late <= q.s.MaxLateShare {
+	q.lateShare += q.options.Weight * (1 - q.lateShare)
+	if q.lateShare <= q.options.MaxLateShare {
 		return
 	}
-	if q.cuts == 0 || now-q.cutAt >= q.s.Pause {
+	if q.cuts == 0 || now-q.cutAt >= q.options.Pause {
 		q.cutAt = now
-		q.late = 0 // what was seen is answered: the next cut needs new late ones
+		q.lateShare = 0 // the late ones have had their cut: the next one needs new ones
 		q.cuts++
-		q.room = max(1, min(q.room, float64(max(1, q.runs)))*q.s.Cut)
+		q.capacity = max(1, min(q.capacity, float64(max(1, q.running)))*q.options.Cut)
 	}
 }
 
-// Stats tells what runs, what waits, and the learned room.
-func (q *Queue) Stats() (runs, waiting int, room float64) { return q.runs, len(q.waiting), q.room }
+// Stats returns the numbers of jobs that run and that wait, and the learned capacity.
+func (q *Queue) Stats() (running, waiting int, capacity float64) {
+	return q.running, len(q.waiting), q.capacity
+}
--- a/coord/handoff/queue_test.go
+++ b/coord/handoff/queue_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var shares = QueueOptions{MaxWaiting: 2, LateFraction: 0.5, MaxLateShare: 0.15, Weight: 0.1, Cut: 0.7, Grow: 0.1, Pause: time.Second}
+var queueOptions = QueueOptions{MaxWaiting: 2, LateFraction: 0.5, MaxLateShare: 0.15, Weight: 0.1, Cut: 0.7, Grow: 0.1, Pause: time.Second}
 
-func TestQueueIsBounded(t *testing.T) {
-	q := NewQueue(1, shares)
+func TestQueue_Full_Rejects(t *testing.T) {
+	q := NewQueue(1, queueOptions)
 	_, now, ok := q.Join(10, false)
 	require.True(t, now && ok)
 	a, now, ok := q.Join(30, false)
@@ -24,7 +24,7 @@
 	require.Empty(t, late)
 	run, late = q.Admit(20, false)
 	require.Empty(t, run)
-	require.Equal(t, []uint64{b}, late, "what can't run in time is told at once")
+	require.Equal(t, []uint64{b}, late, "what can't run in time is said at once")
 	q.Enter()
 	q.Release()
 	run, _ = q.Admit(21, false)
@@ -34,8 +34,8 @@
 	require.Equal(t, []uint64{a}, run)
 }
 
-func TestQueueLetsAllInWhileIdle(t *testing.T) {
-	q := NewQueue(1, shares)
+func TestQueue_Idle_AdmitsAll(t *testing.T) {
+	q := NewQueue(1, queueOptions)
 	for range 50 {
 		_, now, ok := q.Join(10, true)
 		require.True(t, now && ok)
@@ -46,8 +46,8 @@
 	require.Equal(t, []uint64{n}, run, "idle replicas run what waits")
 }
 
-func TestQueueLearnsFromPromptWork(t *testing.T) {
-	q := NewQueue(20, shares)
+func TestQueue_RecordPrompt_AdjustsCapacity(t *testing.T) {
+	q := NewQueue(20, queueOptions)
 	for range 20 {
 		q.Join(0, false)
 	}
@@ -76,8 +76,8 @@
 	require.GreaterOrEqual(t, room, 1.0, "long work never starves")
 }
 
-func TestQueueGrowsOnlyWhereUsed(t *testing.T) {
-	q := NewQueue(20, shares)
+func TestQueue_RecordPrompt_GrowsOnlyUsedCapacity(t *testing.T) {
+	q := NewQueue(20, queueOptions)
 	for i := range 100 {
 		q.RecordPrompt(time.Duration(i), 0.1)
 	}
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -9,41 +9,43 @@
 type status uint8
 
 const (
-	accepted status = iota // room is kept, the go-ahead is awaited
+	accepted status = iota // capacity is reserved, the go-ahead is awaited
 	running                // the run was begun, once
-	over                   // ended; remembered so as to answer for it
+	ended                  // remembered, to answer for it
 )
 
-type place struct {
-	owner, job, turn uint64
+type offerID struct {
+	owner, job, number uint64
 }
 
 type entry struct {
-	place  place
-	peer   string
-	ticket uint64
-	status status
-	came   time.Duration // the offer came
-	until  time.Duration // accepted: the go-ahead must come before
-	heard  time.Duration // running: the owner's last word
-	parts  uint64
-	offer  Message // what was offered, until it runs
-	last   Message // over: what its owner is told
-}
-
-// Taker holds the jobs that this process runs for others.
+	offerID   offerID
+	peer      string
+	ticket    uint64
+	status    status
+	offeredAt time.Duration // the offer came
+	expires   time.Duration // accepted: the go-ahead must come before
+	lastHeard time.Duration // running: the owner's last message
+	parts     uint64
+	offer     Message // what was offered, until it runs
+	result    Message // ended: the message to its owner
+}
+
+// Taker is the state machine of the jobs that this process runs for others. It begins each accepted job at most once, and
+// only within its time to start. Its methods must not be called concurrently; now must not go back.
 type Taker struct {
-	life    uint64
-	next    uint64
-	b       Bounds
-	room    int
-	entries []*entry // by ticket
-	graves  []uint64 // tickets that are over, in the order of their ends
+	incarnation uint64
+	lastTicket  uint64
+	bounds      Bounds
+	capacity    int
+	entries     []*entry // by ticket
+	tombstones  []uint64 // tickets that are over, in the order of their ends
 }
 
-// NewTaker makes the taker's side for one life of a process.
-func NewTaker(life uint64, b Bounds) *Taker {
-	return &Taker{life: life, b: b}
+// NewTaker returns a taker without jobs and without capacity. No two processes, and no two starts of one, may use the same
+// incarnation.
+func NewTaker(incarnation uint64, bounds Bounds) *Taker {
+	return &Taker{incarnation: incarnation, bounds: bounds}
 }
 
 func (t *Taker) find(ticket uint64) *entry {
@@ -54,19 +56,19 @@
 	return nil
 }
 
-func (t *Taker) at(p place) *entry {
+func (t *Taker) findOffer(p offerID) *entry {
 	for _, e := range t.entries {
-		if e.place == p {
+		if e.offerID == p {
 			return e
 		}
 	}
 	return nil
 }
 
-// SetCapacity sets how many jobs of others may be here at once.
-func (t *Taker) SetCapacity(n int) { t.room = n }
+// SetCapacity sets how many jobs may be accepted or running at once.
+func (t *Taker) SetCapacity(jobs int) { t.capacity = jobs }
 
-// Jobs tells how many jobs await their go-ahead and how many run.
+// Jobs counts the jobs that await their go-ahead and those that run.
 func (t *Taker) Jobs() (waiting, runs int) {
 	for _, e := range t.entries {
 		switch e.status {
@@ -85,9 +87,9 @@
 		return t.offer(now, m)
 	}
 	e := t.find(m.Ticket.Number)
-	if m.Kind == Drop && m.Ticket == (Ticket{}) { // a void offer: its acceptance never reached the owner
-		e = t.at(place{m.Owner, m.Job, m.OfferNumber})
-	} else if e == nil || m.Ticket.Incarnation != t.life || e.place != (place{m.Owner, m.Job, m.OfferNumber}) {
+	if m.Kind == Drop && m.Ticket == (Ticket{}) { // an expired offer: its acceptance never reached the owner
+		e = t.findOffer(offerID{m.Owner, m.Job, m.OfferNumber})
+	} else if e == nil || m.Ticket.Incarnation != t.incarnation || e.offerID != (offerID{m.Owner, m.Job, m.OfferNumber}) {
 		e = nil
 	}
 	if e == nil {
@@ -100,59 +102,59 @@
 	e.peer = m.Peer
 	switch m.Kind {
 	case Go:
-		return t.goAhead(now, e)
+		return t.start(now, e)
 	case Drop:
-		return t.drop(e)
+		return t.cancel(e)
 	}
 	return nil
 }
 
 func (t *Taker) offer(now time.Duration, m Message) []Effect {
-	at := place{m.Owner, m.Job, m.OfferNumber}
-	e := t.at(at)
+	at := offerID{m.Owner, m.Job, m.OfferNumber}
+	e := t.findOffer(at)
 	if e == nil {
-		if w, r := t.Jobs(); w+r >= t.room {
+		if w, r := t.Jobs(); w+r >= t.capacity {
 			return []Effect{{Action: Send, Message: Message{Kind: Decline, Peer: m.Peer, Owner: m.Owner, Job: m.Job, OfferNumber: m.OfferNumber}}}
 		}
-		t.next++
-		e = &entry{place: at, peer: m.Peer, ticket: t.next, came: now, until: now + t.b.AcceptTimeout, offer: m}
+		t.lastTicket++
+		e = &entry{offerID: at, peer: m.Peer, ticket: t.lastTicket, offeredAt: now, expires: now + t.bounds.AcceptTimeout, offer: m}
 		t.entries = append(t.entries, e)
-	} else if e.status == over {
+	} else if e.status == ended {
 		return nil
 	}
 	return []Effect{{Action: Send, Message: t.message(e, Accept)}}
 }
 
-func (t *Taker) goAhead(now time.Duration, e *entry) []Effect {
+func (t *Taker) start(now time.Duration, e *entry) []Effect {
 	switch e.status {
 	case accepted:
-		if now >= e.until {
-			return t.finish(e, Returned, 0)
+		if now >= e.expires {
+			return t.conclude(e, Returned, 0)
 		}
 		m := e.offer
-		e.status, e.heard, e.offer = running, now, Message{}
-		return []Effect{{Action: Begin, Ticket: Ticket{t.life, e.ticket}, Message: m, Since: e.came}, {Action: Send, Message: t.message(e, Started)}}
+		e.status, e.lastHeard, e.offer = running, now, Message{}
+		return []Effect{{Action: Begin, Ticket: Ticket{t.incarnation, e.ticket}, Message: m, Since: e.offeredAt}, {Action: Send, Message: t.message(e, Started)}}
 	case running:
-		e.heard = now
+		e.lastHeard = now
 		return []Effect{{Action: Send, Message: t.message(e, Started)}}
 	}
-	m := e.last
+	m := e.result
 	m.Peer = e.peer
 	return []Effect{{Action: Send, Message: m}}
 }
 
-func (t *Taker) drop(e *entry) []Effect {
+func (t *Taker) cancel(e *entry) []Effect {
 	switch e.status {
 	case accepted:
-		t.finish(e, Returned, 0) // the owner does not wait for it
+		t.conclude(e, Returned, 0) // the owner does not wait for it
 	case running:
-		t.finish(e, Failed, 0)
-		return []Effect{{Action: Stop, Ticket: Ticket{t.life, e.ticket}}}
+		t.conclude(e, Failed, 0)
+		return []Effect{{Action: Stop, Ticket: Ticket{t.incarnation, e.ticket}}}
 	}
 	return nil
 }
 
-// SendPart sends a part of the answer of a run.
+// SendPart sends a part of the response of a run; nil if the run has ended.
 func (t *Taker) SendPart(ticket uint64, body []byte) []Effect {
 	e := t.find(ticket)
 	if e == nil || e.status != running {
@@ -164,8 +166,8 @@
 	return []Effect{{Action: Send, Message: m}}
 }
 
-// Finish tells how a run ended: Done, Failed, or Returned if no replica has run it. shots is how many it was sent to.
-func (t *Taker) Finish(ticket uint64, as Kind, shots int) []Effect {
+// Finish records how a run ended: Done, Failed, or Returned if no replica has run it; attempts is to how many it was sent.
+func (t *Taker) Finish(ticket uint64, as Kind, attempts int) []Effect {
 	e := t.find(ticket)
 	if e == nil || e.status != running {
 		return nil
@@ -173,49 +175,49 @@
 	if as == Returned && e.parts > 0 {
 		as = Failed
 	}
-	return t.finish(e, as, shots)
+	return t.conclude(e, as, attempts)
 }
 
-// ReturnAccepted gives back what waits for its go-ahead; a leaving node takes no more.
+// ReturnAccepted returns what awaits its go-ahead and sets the capacity to zero, for a shutdown.
 func (t *Taker) ReturnAccepted() (fx []Effect) {
-	t.room = 0
+	t.capacity = 0
 	for _, e := range append([]*entry{}, t.entries...) {
 		if e.status == accepted {
-			fx = append(fx, t.finish(e, Returned, 0)...)
+			fx = append(fx, t.conclude(e, Returned, 0)...)
 		}
 	}
 	return fx
 }
 
-// Tick does what has fallen due.
+// Tick does what has become due.
 func (t *Taker) Tick(now time.Duration) (fx []Effect) {
 	for _, e := range append([]*entry{}, t.entries...) {
 		switch {
-		case e.status == accepted && now >= e.until:
-			fx = append(fx, t.finish(e, Returned, 0)...)
-		case e.status == running && now-e.heard >= t.b.Lease:
-			fx = append(fx, t.drop(e)...)
+		case e.status == accepted && now >= e.expires:
+			fx = append(fx, t.conclude(e, Returned, 0)...)
+		case e.status == running && now-e.lastHeard >= t.bounds.Lease:
+			fx = append(fx, t.cancel(e)...)
 		}
 	}
 	return fx
 }
 
 func (t *Taker) message(e *entry, k Kind) Message {
-	return Message{Kind: k, Peer: e.peer, Owner: e.place.owner, Job: e.place.job, OfferNumber: e.place.turn, Ticket: Ticket{t.life, e.ticket}}
+	return Message{Kind: k, Peer: e.peer, Owner: e.offerID.owner, Job: e.offerID.job, OfferNumber: e.offerID.number, Ticket: Ticket{t.incarnation, e.ticket}}
 }
 
-// finish ends an entry and remembers it among the newest; a forgotten ticket is never begun.
-func (t *Taker) finish(e *entry, as Kind, shots int) []Effect {
+// conclude ends an entry and remembers it among the newest; a forgotten ticket is never begun.
+func (t *Taker) conclude(e *entry, as Kind, attempts int) []Effect {
 	m := t.message(e, as)
-	m.Attempts = shots
+	m.Attempts = attempts
 	if as == Done {
 		m.Number = e.parts
 	}
-	e.status, e.last, e.offer = over, m, Message{}
-	t.graves = append(t.graves, e.ticket)
-	for len(t.graves) > t.b.Tombstones {
-		old := t.graves[0]
-		t.graves = t.graves[1:]
+	e.status, e.result, e.offer = ended, m, Message{}
+	t.tombstones = append(t.tombstones, e.ticket)
+	for len(t.tombstones) > t.bounds.Tombstones {
+		old := t.tombstones[0]
+		t.tombstones = t.tombstones[1:]
 		t.entries = slices.DeleteFunc(t.entries, func(x *entry) bool { return x.ticket == old })
 	}
 	return []Effect{{Action: Send, Message: m}}
