--- a/coord/failuredetector/assignment.go
+++ b/coord/failuredetector/assignment.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WatchedBy lists, in order, the nodes that self watches. It is rendezvous
+// WatchedBy lists, in order, the nodes among all nodes that self watches. It is rendezvous
 // hashing: for every node, the given number of other nodes with the highest
 // weight watch it. So each node is watched by that many others, and a change of
 // the membership moves few assignments.
--- a/coord/failuredetector/constants.go
+++ b/coord/failuredetector/constants.go
@@ -1,19 +1,21 @@
 package failuredetector
 
-import (
-	"time"
-)
+import "time"
 
-// News to the routers.
 const (
-	watchersPerNode = 2 // watchers of one router: one may be lost with it
-	missesToSuspect = 3 // pings missed before a node is suspected: one or two are lost by chance
-	retriesPerRound = 3 // parts of a round after which those that missed are asked again: three misses fit into contact_ms
+	// watchersPerNode is how many others watch a node: one may be lost with it.
+	watchersPerNode = 2
+	// missesToSuspect is how many pings in a row a node misses before it is suspected: one or two are lost by chance.
+	missesToSuspect = 3
+	// retriesPerRound divides a round: nodes that missed a ping are pinged again after each part, so that they miss
+	// enough to be suspected within two rounds.
+	retriesPerRound = 3
 )
 
 const (
-	// ReportInterval is how often the fleet size and the controllers are published, if they changed.
+	// ReportInterval is how often the receiver of reports publishes who is alive, if that changed.
 	ReportInterval = 500 * time.Millisecond
-	// SuspectDivisor bounds suspicion: at most one in so many routers leaves the fleet size because others suspect it, since fairshare.BudgetMargin covers as many that still run.
+	// SuspectDivisor bounds what suspicions may do: at most one in so many nodes is taken out of the fleet size because
+	// others suspect it. As many may still run, which fairshare.BudgetMargin covers.
 	SuspectDivisor = 4
 )
--- a/coord/failuredetector/watcher.go
+++ b/coord/failuredetector/watcher.go
@@ -1,6 +1,3 @@
-// Package failuredetector lets many nodes watch each other at little cost:
-// rendezvous hashing assigns each node a few others to ping, and a node that
-// misses several pings in a row is reported as suspected.
 package failuredetector
 
 import (
@@ -14,7 +11,7 @@
 	"shaletrestle/coord/wait"
 )
 
-// Pinger asks one node whether it is alive.
+// Pinger asks one node whether it is alive. An answer that does not come in time is a no.
 type Pinger func(node string) bool
 
 // Watcher pings the nodes that are assigned to one node.
@@ -40,8 +37,8 @@
 	// Nodes lists all known nodes, Self included, in the same order as long as nothing changes. All nodes should
 	// know the same list; while they don't, some are watched by too few. Required.
 	Nodes func() []string
-	// Ping asks one node whether it is alive. It bounds its own time: a round waits for all of its
-	// pings. It is called for several nodes at a time. Required.
+	// Ping asks one node. It bounds its own time: a round waits for all of its pings. It is called for several nodes
+	// at a time. Required.
 	Ping Pinger
 	// Report is told of a node that became suspected, again in each round that it still is, and once when it came
 	// back. It is called for several nodes at a time. Required.
@@ -63,7 +60,7 @@
 }
 
 // Run pings until the context ends. Between two rounds the nodes that missed a
-// ping are asked again, so that a lost one is known soon.
+// ping are pinged again, so that a lost one is known soon.
 func (w *Watcher) Run(ctx context.Context) {
 	interval := w.options.Interval
 	nextRound := time.Now()
@@ -95,7 +92,8 @@
 	return true
 }
 
-// Round pings every assigned node once.
+// Round pings every assigned node once and waits for the results. It forgets nodes
+// that are assigned no longer. Rounds are not to run at the same time.
 func (w *Watcher) Round() {
 	assigned := w.assignment()
 	w.pingAll(assigned)
@@ -150,7 +148,7 @@
 func (w *Watcher) record(node string, alive bool) {
 	before, after := w.update(node, alive)
 	if after != before {
-		w.log.Info("watched node", "node", node, "alive", alive)
+		w.log.Info("suspicion changed", "node", node, "suspected", after)
 	}
 	if after || before {
 		w.options.Report(node, alive)
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -17,30 +17,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-func names(n int) (out []string) {
+func nodeNames(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("node-%d", i))
 	}
-	return
+	return out
 }
 
-func TestEveryNodeIsWatchedByKOthers(t *testing.T) {
+func TestWatchedBy_AnyFleetSize_EachNodeHasItsWatchers(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 12, 50} {
 		by := map[string]int{}
-		for _, s := range names(n) {
-			for _, w := range WatchedBy(s, names(n), watchersPerNode) {
+		for _, s := range nodeNames(n) {
+			for _, w := range WatchedBy(s, nodeNames(n), watchersPerNode) {
 				require.NotEqual(t, s, w)
 				by[w]++
 			}
 		}
-		for _, s := range names(n) {
+		for _, s := range nodeNames(n) {
 			require.Equal(t, min(watchersPerNode, n-1), by[s], "%s of %d", s, n)
 		}
 	}
 }
 
-// plainAssignment is WatchedBy by its definition: every weight of every node against self's.
-func plainAssignment(self string, nodes []string, k int) (out []string) {
+// assignmentByDefinition is WatchedBy by its definition: every weight of every node against self's.
+func assignmentByDefinition(self string, nodes []string, k int) (out []string) {
 	weight := func(a, b string) uint64 { return xxhash.Sum64String(a + "\x00" + b) }
 	for _, n := range nodes {
 		before := 0
@@ -54,42 +54,42 @@
 		}
 	}
 	sort.Strings(out)
-	return
+	return out
 }
 
-func TestWatchedByEqualsItsDefinition(t *testing.T) {
+func TestWatchedBy_RandomFleets_EqualsItsDefinition(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	for range 60 {
-		all := names(1 + r.IntN(90))
+		all := nodeNames(1 + r.IntN(90))
 		r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		ns, k := all[:1+r.IntN(len(all))], r.IntN(5)
 		for _, s := range all { // one that isn't known yet too
-			require.Equal(t, plainAssignment(s, ns, k), WatchedBy(s, ns, k), "%s of %v, %d watchers", s, ns, k)
+			require.Equal(t, assignmentByDefinition(s, ns, k), WatchedBy(s, ns, k), "%s of %v, %d watchers", s, ns, k)
 		}
 	}
 }
 
-func TestTheAssignmentFollowsTheNodes(t *testing.T) {
+func TestWatcherRound_NodesChanged_PingsTheNewOnes(t *testing.T) {
 	var mu sync.Mutex
-	known, asked := []string{"a", "b"}, map[string]bool{}
+	known, pinged := []string{"a", "b"}, map[string]bool{}
 	w := New(Options{
 		Self:     "a",
 		Interval: time.Second,
 		Nodes:    func() []string { return known },
-		Ping:     func(n string) bool { mu.Lock(); asked[n] = true; mu.Unlock(); return true },
+		Ping:     func(n string) bool { mu.Lock(); pinged[n] = true; mu.Unlock(); return true },
 		Report:   func(string, bool) {},
 	})
 	w.Round()
-	require.Equal(t, map[string]bool{"b": true}, asked)
+	require.Equal(t, map[string]bool{"b": true}, pinged)
 	known = []string{"a", "c"}
-	clear(asked)
+	clear(pinged)
 	w.Round()
-	require.Equal(t, map[string]bool{"c": true}, asked)
+	require.Equal(t, map[string]bool{"c": true}, pinged)
 }
 
 func BenchmarkWatchedBy(b *testing.B) {
 	for _, n := range []int{11, 88, 390} {
-		ns := names(n)
+		ns := nodeNames(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -99,14 +99,14 @@
 		b.Run(fmt.Sprint("definition-", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				plainAssignment(ns[0], ns, watchersPerNode)
+				assignmentByDefinition(ns[0], ns, watchersPerNode)
 			}
 		})
 	}
 }
 
-func TestOneNodeGoingMovesFewWatches(t *testing.T) {
-	before, after := names(50), names(49)
+func TestWatchedBy_OneNodeGone_MovesFewAssignments(t *testing.T) {
+	before, after := nodeNames(50), nodeNames(49)
 	moved := 0
 	for _, s := range after {
 		old := map[string]bool{}
@@ -122,15 +122,15 @@
 	require.LessOrEqual(t, moved, 10)
 }
 
-func TestSuspicionNeedsSeveralMissesAndEnds(t *testing.T) {
+func TestWatcherRound_SeveralMisses_SuspectedUntilAlive(t *testing.T) {
 	up := true
-	var told []string
+	var reports []string
 	w := New(Options{
 		Self:     "a",
 		Interval: time.Second,
 		Nodes:    func() []string { return []string{"a", "b"} },
 		Ping:     func(string) bool { return up },
-		Report:   func(n string, alive bool) { told = append(told, fmt.Sprint(n, alive)) },
+		Report:   func(n string, alive bool) { reports = append(reports, fmt.Sprint(n, alive)) },
 	})
 	w.Round()
 	up = false
@@ -139,39 +139,39 @@
 	}
 	up = true
 	w.Round()
-	require.Empty(t, told, "a few misses are chance")
+	require.Empty(t, reports, "a few misses are chance")
 	up = false
 	for range missesToSuspect - 1 {
 		w.Round()
 	}
-	require.Empty(t, told)
+	require.Empty(t, reports)
 	for i := range 4 { // once a round for as long as it lasts
 		w.Round()
-		require.Equal(t, slices.Repeat([]string{"bfalse"}, i+1), told)
+		require.Equal(t, slices.Repeat([]string{"bfalse"}, i+1), reports)
 	}
 	require.Equal(t, []string{"b"}, w.Suspected())
 	up = true
 	w.Round()
 	w.Round()
-	require.Equal(t, []string{"bfalse", "bfalse", "bfalse", "bfalse", "btrue"}, told)
+	require.Equal(t, []string{"bfalse", "bfalse", "bfalse", "bfalse", "btrue"}, reports)
 	require.Empty(t, w.Suspected())
 }
 
-func TestALostNodeIsKnownWithinContactAndToldEachRound(t *testing.T) {
+func TestWatcherRun_LostNode_ReportedInTimeAndEachRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(5 * time.Second) }()
 		up, every := true, 1200*time.Millisecond
 		var mu sync.Mutex
-		var told []time.Time
-		asked := map[string]int{}
+		var reports []time.Time
+		pinged := map[string]int{}
 		w := New(Options{
 			Self:     "a",
 			Interval: every,
 			Nodes:    func() []string { return []string{"a", "b", "c"} },
 			Ping: func(n string) bool {
 				mu.Lock()
-				asked[n]++
+				pinged[n]++
 				ok := up || n != "b"
 				mu.Unlock()
 				if !ok {
@@ -182,43 +182,43 @@
 			Report: func(n string, alive bool) {
 				require.Equal(t, "bfalse", fmt.Sprint(n, alive))
 				mu.Lock()
-				told = append(told, time.Now())
+				reports = append(reports, time.Now())
 				mu.Unlock()
 			},
 		})
 		go w.Run(ctx)
 		time.Sleep(8*every + 50*time.Millisecond) // just after a round: the longest way
 		mu.Lock()
-		require.LessOrEqual(t, asked["b"], 10, "a well one is asked once a round")
+		require.LessOrEqual(t, pinged["b"], 10, "a well one is pinged once a round")
 		up = false
 		mu.Unlock()
 		lost := time.Now()
 		time.Sleep(20 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		require.Less(t, told[0].Sub(lost)+ReportInterval, 4*time.Second)
-		for i := 1; i < len(told); i++ {
-			require.Less(t, told[i].Sub(told[i-1]), 2*every)
-			require.Greater(t, told[i].Sub(told[i-1]), every/retriesPerRound)
+		require.Less(t, reports[0].Sub(lost)+ReportInterval, 4*time.Second)
+		for i := 1; i < len(reports); i++ {
+			require.Less(t, reports[i].Sub(reports[i-1]), 2*every)
+			require.Greater(t, reports[i].Sub(reports[i-1]), every/retriesPerRound)
 		}
 	})
 }
 
-func TestTheAssignmentIsComputedOnlyWhenTheNodesChanged(t *testing.T) {
-	known := names(40)
+func TestWatcherAssignment_NodesUnchanged_NotComputedAgain(t *testing.T) {
+	known := nodeNames(40)
 	w := New(Options{Self: "node-7", Interval: time.Second, Nodes: func() []string { return known }})
 	first := w.assignment()
 	require.Equal(t, WatchedBy("node-7", known, watchersPerNode), first)
 	require.NotEmpty(t, first)
-	known = names(40)
+	known = nodeNames(40)
 	again := w.assignment()
 	require.Same(t, &first[0], &again[0], "nothing changed, nothing is computed")
-	known = names(60)
+	known = nodeNames(60)
 	require.Equal(t, WatchedBy("node-7", known, watchersPerNode), w.assignment())
 }
 
-func TestWatchesAreSpreadOverTheNodes(t *testing.T) {
-	ns := names(390)
+func TestWatchedBy_LargeFleet_SpreadOverTheNodes(t *testing.T) {
+	ns := nodeNames(390)
 	total := 0
 	for _, s := range ns {
 		n := len(WatchedBy(s, ns, watchersPerNode))
--- a/coord/slowness/constants.go
+++ b/coord/slowness/constants.go
@@ -2,23 +2,29 @@
 
 import "time"
 
-// A machine of our own that turns slow.
+// Interval is the time between two measurements; each costs a wake-up and some 10 us.
+const Interval = 500 * time.Millisecond
+
+// The measurement.
+const (
+	workBytes   = 8 << 10 // hashed as the piece of work: long against the clock's resolution
+	workRepeats = 3       // times it is done; the quickest counts, so that being busy isn't taken for being slow
+)
+
+// What counts as evidence. A step is one measurement.
 const (
-	levelBytes = 8 << 10                // bytes hashed as the piece of work: long against the clock's grain
-	levelTimes = 3                      // times it is done; the quickest counts, so that being busy isn't taken for being slow
-	levelFirst = 8                      // looks before a usual time is known
-	levelLearn = 1.0 / 16               // weight of a look in the usual time
-	levelEnter = 3.0                    // times the usual that is evidence; machines that are well vary by 2
-	levelLeave = 2.0                    // times the usual below which a look counts as well again
-	levelLate  = 200 * time.Millisecond // a timer this late is evidence too; well ones are late by 1 ms
-	levelBad   = 2                      // looks in a row with evidence: one is chance
-	levelGood  = 4                      // looks in a row that are well: a machine by turns slow stays out
-	levelAfter = 2                      // looks after having turned slow before another's word counts: what slows all shows at all by then
-	levelHeard = 8                      // looks for which another node's word counts: three pings
-	levelShed  = 6                      // looks out of readiness before answers close: the platform has noticed by then
+	samplesForUsual = 8                      // steps before a usual time is known
+	usualWeight     = 1.0 / 16               // weight of a step in the usual time
+	slowFactor      = 3.0                    // times the usual that is evidence; machines that are well vary by 2
+	wellFactor      = 2.0                    // times the usual below which a step counts as well again
+	lateTimer       = 200 * time.Millisecond // a timer this late is evidence too; well ones are late by 1 ms
 )
 
+// What follows from it.
 const (
-	// Interval is the time between two measurements; each costs a wake-up and some 10 us.
-	Interval = 500 * time.Millisecond
+	stepsToSlow           = 2 // steps in a row with evidence: one is chance
+	stepsToWell           = 4 // steps in a row that are well: a machine slow by turns keeps refusing
+	stepsBeforePeersCount = 2 // steps after having turned slow before a peer's report counts: what slows all shows at all by then
+	peerReportSteps       = 8 // steps for which a peer's report counts: three pings
+	stepsToShed           = 6 // steps of refusing before open connections close: the platform has noticed by then
 )
--- a/coord/slowness/detector.go
+++ b/coord/slowness/detector.go
@@ -1,7 +1,3 @@
-// Package slowness tells whether this machine has become slow. The evidence is
-// the time that a small fixed piece of work takes, compared with its usual time,
-// and how late timers fire; it is weighed against what other nodes report of
-// themselves.
 package slowness
 
 import (
@@ -18,22 +14,22 @@
 // Detector is the state of one process. It is a pure state machine: its time is
 // the number of its steps.
 type Detector struct {
-	step      int
-	samples   []float64 // of the work's time, until the usual one is known
-	usual     float64   // time of the piece of work in ns; 0: not known yet
-	badSteps  int       // steps in a row with evidence of slowness
-	goodSteps int       // steps in a row without
-	slow      bool
-	slowSince int // the step at which it became slow
-	outSteps  int // steps for which new connections have been turned away
-	peers     map[string]peerReport
+	step          int
+	samples       []float64 // of the work's time, until the usual one is known
+	usual         float64   // time of the piece of work in ns; 0: not known yet
+	badSteps      int       // steps in a row with evidence of slowness
+	goodSteps     int       // steps in a row without
+	slow          bool
+	slowSince     int // the step at which it became slow
+	refusingSteps int // steps in a row for which new connections have been refused
+	peers         map[string]peerReport
 }
 
 // NewDetector makes a detector without observations.
 func NewDetector() *Detector { return &Detector{peers: map[string]peerReport{}} }
 
-// Step takes one observation: how long the piece of work took and how late the
-// timer before it fired.
+// Step takes one observation: how long the piece of work took, and how late the
+// timer before it fired. One is expected each Interval.
 func (d *Detector) Step(work, late time.Duration) {
 	d.step++
 	d.expirePeers()
@@ -44,17 +40,17 @@
 	if !bad && !d.slow {
 		d.learn(duration)
 	}
-	if d.slow && d.othersWell() {
-		d.outSteps++
+	if d.slow && d.peersWell() {
+		d.refusingSteps++
 	} else {
-		d.outSteps = 0
+		d.refusingSteps = 0
 	}
 }
 
 // expirePeers drops reports that are too old to count.
 func (d *Detector) expirePeers() {
 	for node, report := range d.peers {
-		if d.step-report.step > levelHeard {
+		if d.step-report.step > peerReportSteps {
 			delete(d.peers, node)
 		}
 	}
@@ -62,10 +58,10 @@
 
 // isBad tells whether an observation is evidence of slowness.
 func (d *Detector) isBad(duration float64, late time.Duration) bool {
-	if late >= levelLate {
+	if late >= lateTimer {
 		return true
 	}
-	return d.usual > 0 && duration >= levelEnter*d.usual
+	return d.usual > 0 && duration >= slowFactor*d.usual
 }
 
 // isGood tells whether an observation counts as well. One between the bounds of
@@ -74,7 +70,7 @@
 	if d.usual == 0 {
 		return true
 	}
-	return duration < levelLeave*d.usual && late < levelLate/2
+	return duration < wellFactor*d.usual && late < lateTimer/2
 }
 
 // count counts the steps in a row of the same kind.
@@ -95,10 +91,10 @@
 // decide turns the state to slow or back when enough steps in a row say so.
 func (d *Detector) decide() {
 	switch {
-	case !d.slow && d.badSteps >= levelBad:
+	case !d.slow && d.badSteps >= stepsToSlow:
 		d.slow = true
 		d.slowSince = d.step
-	case d.slow && d.goodSteps >= levelGood:
+	case d.slow && d.goodSteps >= stepsToWell:
 		d.slow = false
 	}
 }
@@ -110,11 +106,11 @@
 		return
 	}
 	if d.usual > 0 {
-		d.usual += (duration - d.usual) * levelLearn
+		d.usual += (duration - d.usual) * usualWeight
 		return
 	}
 	d.samples = append(d.samples, duration)
-	if len(d.samples) < levelFirst {
+	if len(d.samples) < samplesForUsual {
 		return
 	}
 	sort.Float64s(d.samples)
@@ -122,19 +118,19 @@
 	d.samples = nil
 }
 
-// UpdatePeer takes what another node reported of itself.
+// UpdatePeer takes what another node reported of itself; it counts for some steps.
 func (d *Detector) UpdatePeer(node string, slow bool) {
 	d.peers[node] = peerReport{slow: slow, step: d.step}
 }
 
-// othersWell tells whether at least half of the other nodes are well. It counts
+// peersWell tells whether at least half of the other nodes are well. It counts
 // those that reported after this one became slow and some steps later, so that
 // whatever slows all of them has shown. If most are slow, or none reported, no
 // node is better than this one.
-func (d *Detector) othersWell() bool {
+func (d *Detector) peersWell() bool {
 	well, all := 0, 0
 	for _, report := range d.peers {
-		if report.step < d.slowSince+levelAfter {
+		if report.step < d.slowSince+stepsBeforePeersCount {
 			continue
 		}
 		all++
@@ -150,13 +146,13 @@
 func (d *Detector) Slow() bool { return d.slow }
 
 // ShouldRefuseNew tells whether new connections should go to other nodes.
-func (d *Detector) ShouldRefuseNew() bool { return d.outSteps > 0 }
+func (d *Detector) ShouldRefuseNew() bool { return d.refusingSteps > 0 }
 
-// ShouldShed tells whether open connections should move too: new ones have been turned
-// away long enough for the platform to have noticed.
-func (d *Detector) ShouldShed() bool { return d.outSteps > levelShed }
+// ShouldShed tells whether open connections should move too: new ones have
+// been refused long enough for the platform to have noticed.
+func (d *Detector) ShouldShed() bool { return d.refusingSteps > stepsToShed }
 
-// State is what the state page shows.
+// State is what a detector has found; the keys are those of the state page.
 type State struct {
 	Slow        bool    `json:"slow"`
 	RefusesNew  bool    `json:"out"`
--- a/coord/slowness/detector_test.go
+++ b/coord/slowness/detector_test.go
@@ -9,72 +9,73 @@
 	"github.com/stretchr/testify/require"
 )
 
-const us = time.Microsecond
+const microsecond = time.Microsecond
 
-// calm is a detector that knows its usual time and has heard well nodes.
-func calm(peers int) *Detector {
+// calibratedDetector knows its usual time; three peers have reported that they are well.
+func calibratedDetector() *Detector {
 	l := NewDetector()
-	for range levelFirst + 4 {
-		l.Step(10*us, time.Millisecond)
+	for range samplesForUsual + 4 {
+		l.Step(10*microsecond, time.Millisecond)
 	}
-	for i := range peers {
+	for i := range 3 {
 		l.UpdatePeer(fmt.Sprint("n", i), false)
 	}
 	return l
 }
 
-func steps(l *Detector, n int, work, late time.Duration) {
+func repeatStep(l *Detector, n int, work, late time.Duration) {
 	for range n {
 		l.Step(work, late)
 	}
 }
 
-// slowly steps a detector that is slow until the others count, and has so many of them report that they are well.
-func slowly(l *Detector, well int) {
-	steps(l, levelBad+levelAfter, 50*us, 0)
+// becomeSlow steps a detector that is slow until reports of peers count, and has so many of them report that they are
+// well.
+func becomeSlow(l *Detector, well int) {
+	repeatStep(l, stepsToSlow+stepsBeforePeersCount, 50*microsecond, 0)
 	for i := range well {
 		l.UpdatePeer(fmt.Sprint("n", i), false)
 	}
-	l.Step(50*us, 0)
+	l.Step(50*microsecond, 0)
 }
 
-func TestAMachineFiveTimesSlowerGoesOutAndComesBack(t *testing.T) {
-	l := calm(3)
-	steps(l, levelBad-1, 50*us, time.Millisecond)
-	require.False(t, l.Slow(), "one or two looks are chance")
-	l.Step(50*us, time.Millisecond)
+func TestDetector_FiveTimesSlower_RefusesNewUntilWell(t *testing.T) {
+	l := calibratedDetector()
+	repeatStep(l, stepsToSlow-1, 50*microsecond, time.Millisecond)
+	require.False(t, l.Slow(), "one or two steps are chance")
+	l.Step(50*microsecond, time.Millisecond)
 	require.True(t, l.Slow())
-	steps(l, levelAfter, 50*us, time.Millisecond)
+	repeatStep(l, stepsBeforePeersCount, 50*microsecond, time.Millisecond)
 	require.False(t, l.ShouldRefuseNew(), "what the others said before doesn't count")
 	l.UpdatePeer("n1", false)
-	l.Step(50*us, time.Millisecond)
+	l.Step(50*microsecond, time.Millisecond)
 	require.True(t, l.ShouldRefuseNew())
 	require.False(t, l.ShouldShed(), "the platform must notice first")
-	steps(l, levelGood-1, 10*us, 0)
+	repeatStep(l, stepsToWell-1, 10*microsecond, 0)
 	require.True(t, l.ShouldRefuseNew())
-	l.Step(10*us, 0)
+	l.Step(10*microsecond, 0)
 	require.False(t, l.ShouldRefuseNew())
 }
 
-func TestOpenConnectionsMoveOnceThePlatformHasNoticed(t *testing.T) {
-	l := calm(3)
-	slowly(l, 3)
-	for range levelShed {
+func TestDetector_StaysSlow_ShedsAfterThePlatformNoticed(t *testing.T) {
+	l := calibratedDetector()
+	becomeSlow(l, 3)
+	for range stepsToShed {
 		require.False(t, l.ShouldShed())
 		l.UpdatePeer("n1", false)
-		l.Step(50*us, 0)
+		l.Step(50*microsecond, 0)
 	}
 	require.True(t, l.ShouldShed())
-	steps(l, levelGood, 10*us, 0)
+	repeatStep(l, stepsToWell, 10*microsecond, 0)
 	require.False(t, l.ShouldShed())
 }
 
-func TestUsualSpreadAndSingleLateTimersAreNoEvidence(t *testing.T) {
+func TestDetector_UsualSpreadAndSingleLateTimers_NotSlow(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	l := calm(3)
+	l := calibratedDetector()
 	for i := range 4000 {
 		l.UpdatePeer("n1", false)
-		late := time.Duration(r.IntN(3000)) * us
+		late := time.Duration(r.IntN(3000)) * microsecond
 		if i%10 == 0 {
 			late = time.Second
 		}
@@ -83,68 +84,70 @@
 	}
 }
 
-func TestTimersThatStayLateAreEvidence(t *testing.T) {
-	l := calm(3)
-	steps(l, levelBad, 10*us, 2*levelLate)
+func TestDetector_TimersStayLate_Slow(t *testing.T) {
+	l := calibratedDetector()
+	repeatStep(l, stepsToSlow, 10*microsecond, 2*lateTimer)
 	require.True(t, l.Slow())
 }
 
-func TestItStaysInWhenNobodyIsBetter(t *testing.T) {
-	l := calm(3)
-	slowly(l, 0)
+func TestDetector_MajorityOfPeersSlow_RefusesNothing(t *testing.T) {
+	l := calibratedDetector()
+	becomeSlow(l, 0)
 	require.True(t, l.Slow())
-	require.False(t, l.ShouldRefuseNew(), "nobody was heard")
+	require.False(t, l.ShouldRefuseNew(), "no peer has reported")
 	for i := range 4 {
 		l.UpdatePeer(fmt.Sprint("n", i), i == 0)
 	}
-	l.Step(50*us, 0)
+	l.Step(50*microsecond, 0)
 	require.True(t, l.ShouldRefuseNew(), "three in four are well: %v", l.peers)
 	l.UpdatePeer("n1", true)
 	l.UpdatePeer("n2", true)
-	l.Step(50*us, 0)
+	l.Step(50*microsecond, 0)
 	require.False(t, l.ShouldRefuseNew(), "most are slow")
 	l.UpdatePeer("n1", false)
-	l.Step(50*us, 0)
+	l.Step(50*microsecond, 0)
 	require.True(t, l.ShouldRefuseNew(), "half are well")
-	steps(l, levelHeard, 50*us, 0)
+	repeatStep(l, peerReportSteps, 50*microsecond, 0)
 	require.False(t, l.ShouldRefuseNew(), "their report is old")
 }
 
-func TestAMachineByTurnsSlowStaysOut(t *testing.T) {
-	l := calm(3)
-	slowly(l, 3)
+func TestDetector_SlowByTurns_KeepsRefusing(t *testing.T) {
+	l := calibratedDetector()
+	becomeSlow(l, 3)
 	for range 30 {
 		l.UpdatePeer("n1", false)
-		steps(l, levelGood-2, 10*us, 0)
+		repeatStep(l, stepsToWell-2, 10*microsecond, 0)
 		require.True(t, l.ShouldRefuseNew())
-		steps(l, 2, 50*us, 0)
+		repeatStep(l, 2, 50*microsecond, 0)
 	}
 }
 
-func TestTheUsualIsLearnedAndNotFromSlowLooks(t *testing.T) {
-	l := calm(3)
-	steps(l, 400, 14*us, 0)
+func TestDetector_UsualTime_NotLearnedWhileSlow(t *testing.T) {
+	l := calibratedDetector()
+	repeatStep(l, 400, 14*microsecond, 0)
 	require.InDelta(t, 14, l.State().UsualUs, 0.1, "a machine may grow a little slower")
-	steps(l, 400, 70*us, 0)
+	repeatStep(l, 400, 70*microsecond, 0)
 	require.InDelta(t, 14, l.State().UsualUs, 0.1)
 	require.True(t, l.Slow(), "it stays slow for as long as it is")
 	l = NewDetector()
-	steps(l, 50, 0, 0)
+	repeatStep(l, 50, 0, 0)
 	require.False(t, l.Slow(), "a clock that shows nothing is no evidence")
 }
 
-// fleet steps detectors that hear two others each, as watchers' pings do; each notices up to a look later than the first. It gives the most that were out at a time.
-func fleet(r *rand.Rand, slow func(i int) bool) (most int) {
+// maxRefusing steps a fleet of detectors that get the reports of two others each, as watchers' pings do; each notices up
+// to a step later than the first. It gives how many refused at a time at most.
+func maxRefusing(r *rand.Rand, slow func(i int) bool) int {
+	largest := 0
 	var ls []*Detector
 	for range 88 {
-		ls = append(ls, calm(3))
+		ls = append(ls, calibratedDetector())
 	}
 	lag := make([]int, len(ls))
 	for i := range lag {
 		lag[i] = r.IntN(2)
 	}
 	for s := range 80 {
-		out := 0
+		refusing := 0
 		for i, l := range ls {
 			if (s+i)%3 == 0 {
 				for d := 1; d <= 2; d++ {
@@ -153,25 +156,25 @@
 					ls[j].UpdatePeer(fmt.Sprint(i), l.Slow())
 				}
 			}
-			w := 10 * us
+			w := 10 * microsecond
 			if slow(i) && s >= lag[i] {
 				w *= 5
 			}
 			l.Step(w, 0)
 			if l.ShouldRefuseNew() {
-				out++
+				refusing++
 			}
 		}
-		most = max(most, out)
+		largest = max(largest, refusing)
 	}
-	return
+	return largest
 }
 
-func TestAFleetTurnsAwayItsSlowPartAndNeverItself(t *testing.T) {
+func TestDetectors_Fleet_OnlyTheSlowPartRefuses(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		require.Equal(t, 13, fleet(r, func(i int) bool { return i%7 == 0 }))
-		require.Zero(t, fleet(r, func(int) bool { return true }), "all are slow: all stay in")
-		require.Zero(t, fleet(r, func(int) bool { return false }))
+		require.Equal(t, 13, maxRefusing(r, func(i int) bool { return i%7 == 0 }))
+		require.Zero(t, maxRefusing(r, func(int) bool { return true }), "all are slow: all stay in")
+		require.Zero(t, maxRefusing(r, func(int) bool { return false }))
 	}
 }
--- a/coord/slowness/monitor.go
+++ b/coord/slowness/monitor.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Monitor steps a detector with what this process measures of itself.
+// Monitor steps a detector with what this process measures of itself. It is safe for
+// concurrent use.
 type Monitor struct {
 	log  *slog.Logger
 	work func() time.Duration
@@ -18,8 +19,9 @@
 	lastMeasured time.Time // zero: not yet
 }
 
-// NewMonitor makes a monitor. The function work does the piece of work and gives its
-// time; nil stands for the usual piece of work.
+// NewMonitor makes a monitor, which takes no measurement by itself. The function work
+// does the piece of work and gives its time; nil stands for hashing a few kilobytes.
+// The log takes a line when ShouldRefuseNew changes.
 func NewMonitor(log *slog.Logger, work func() time.Duration) *Monitor {
 	if work == nil {
 		work = hashingWork()
@@ -30,11 +32,11 @@
 // hashingWork makes the usual piece of work: it hashes a buffer a few times and
 // gives the shortest time.
 func hashingWork() func() time.Duration {
-	buffer := make([]byte, levelBytes)
+	buffer := make([]byte, workBytes)
 	sum := uint64(0)
 	return func() time.Duration {
 		shortest := time.Duration(0)
-		for range levelTimes {
+		for range workRepeats {
 			start := time.Now()
 			sum ^= xxhash.Sum64(buffer)
 			took := time.Since(start)
@@ -47,32 +49,32 @@
 	}
 }
 
-// Measure measures once. It is to be called every LevelEvery; by how much a call is
-// late is part of the observation.
-func (w *Monitor) Measure() {
+// Measure measures once. It is to be called each Interval; by how much a call is late
+// is part of the observation.
+func (m *Monitor) Measure() {
 	now := time.Now()
-	work := w.work()
-	w.mu.Lock()
-	late := w.lateness(now)
-	outBefore := w.detector.ShouldRefuseNew()
-	w.detector.Step(work, late)
-	state := w.detector.State()
-	w.mu.Unlock()
-	if state.RefusesNew != outBefore {
-		w.log.Info("own machine",
+	work := m.work()
+	m.mu.Lock()
+	late := m.lateness(now)
+	refusedBefore := m.detector.ShouldRefuseNew()
+	m.detector.Step(work, late)
+	state := m.detector.State()
+	m.mu.Unlock()
+	if state.RefusesNew != refusedBefore {
+		m.log.Info("slowness changed",
 			"slow", state.Slow,
-			"out", state.RefusesNew,
+			"refuses_new", state.RefusesNew,
 			"work_us", work.Microseconds(),
 			"usual_us", int64(state.UsualUs),
 			"late_ms", late.Milliseconds())
 	}
 }
 
-// lateness is by how much a look is late after the one before it; the caller
+// lateness is by how much a measurement is late after the one before it; the caller
 // holds the lock.
-func (w *Monitor) lateness(now time.Time) time.Duration {
-	previous := w.lastMeasured
-	w.lastMeasured = now
+func (m *Monitor) lateness(now time.Time) time.Duration {
+	previous := m.lastMeasured
+	m.lastMeasured = now
 	if previous.IsZero() {
 		return 0
 	}
@@ -80,36 +82,36 @@
 }
 
 // UpdatePeer takes what another node reported of itself.
-func (w *Monitor) UpdatePeer(node string, slow bool) {
-	w.mu.Lock()
-	w.detector.UpdatePeer(node, slow)
-	w.mu.Unlock()
+func (m *Monitor) UpdatePeer(node string, slow bool) {
+	m.mu.Lock()
+	m.detector.UpdatePeer(node, slow)
+	m.mu.Unlock()
 }
 
 // Slow tells whether this machine is much slower than usual.
-func (w *Monitor) Slow() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.detector.Slow()
+func (m *Monitor) Slow() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.detector.Slow()
 }
 
 // ShouldRefuseNew tells whether new connections should go to other nodes.
-func (w *Monitor) ShouldRefuseNew() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.detector.ShouldRefuseNew()
+func (m *Monitor) ShouldRefuseNew() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.detector.ShouldRefuseNew()
 }
 
 // ShouldShed tells whether open connections should move too.
-func (w *Monitor) ShouldShed() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.detector.ShouldShed()
+func (m *Monitor) ShouldShed() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.detector.ShouldShed()
 }
 
-// State gives what the state page shows.
-func (w *Monitor) State() State {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.detector.State()
+// State gives what the detector has found.
+func (m *Monitor) State() State {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.detector.State()
 }
