--- a/coord/replication/compatibility_test.go
+++ b/coord/replication/compatibility_test.go
@@ -123,15 +123,15 @@
 }
 
 // bodyNumber is the number of a message's body on the wire.
-func bodyNumber(message core.Message) int { return int(bodyTable(message).Type) }
+func bodyNumber(message core.Message) int { return int(encodeBody(message).Type) }
 
-// TestRefusal_RecordedNumbers_Unchanged holds the numbers that stand for refusals in messages.
-func TestRefusal_RecordedNumbers_Unchanged(t *testing.T) {
-	for number, refusal := range []core.Rejection{
+// TestRejection_RecordedNumbers_Unchanged holds the numbers that stand for rejections in messages.
+func TestRejection_RecordedNumbers_Unchanged(t *testing.T) {
+	for number, rejection := range []core.Rejection{
 		core.Granted, core.WrongDisk, core.NoDisk, core.NewerView, core.UnknownView, core.NotJoined, core.MissingEntries,
 		core.DuplicateEntry, core.DivergedHistory, core.HigherPromise, core.NotWitness, core.Unavailable, core.Busy, core.DiskFailed,
 		core.NotPrimary, core.NoReplacement,
 	} {
-		require.Equal(t, number, int(refusal), refusal.String())
+		require.Equal(t, number, int(rejection), rejection.String())
 	}
 }
