--- a/coord/fairshare/constants.go
+++ b/coord/fairshare/constants.go
@@ -1,11 +1,11 @@
 package fairshare
 
-import (
-	"time"
-)
+import "time"
 
+// How a fleet shares a budget of retries: each node has its part of it, and the lender the rest.
 const (
-	// BudgetMargin is the fraction of the fleet's retry budget that the nodes share out.
+	// BudgetMargin is the fraction of the fleet's retry budget that the nodes share out; the rest covers nodes that
+	// still run and are not counted.
 	BudgetMargin = 0.8
 	// LentFraction is the fraction of the slack that is lent; the rest stays with the nodes, for when nobody lends.
 	LentFraction = 0.5
@@ -15,6 +15,7 @@
 	LoanLifetime = 2 * time.Second
 	// LoanTimeout is how long a request waits for a loan.
 	LoanTimeout = 100 * time.Millisecond
-	// CalmFraction is the fraction of a resource in use below which no route is held to its share.
-	CalmFraction = 0.5
 )
+
+// CalmFraction is the usual threshold of Shares: the fraction of a resource in use below which nobody is held to a share.
+const CalmFraction = 0.5
--- a/coord/fairshare/lender.go
+++ b/coord/fairshare/lender.go
@@ -11,25 +11,26 @@
 	at     time.Time
 }
 
-// Lender lends parts of a bounded budget. What is lent within any window never
-// exceeds the budget, whether it is used, lost on its way or its borrower fails.
+// Lender lends parts of a bounded budget. What is lent within any window never exceeds the budget, whether it is used,
+// lost on its way or its borrower fails. It is safe for concurrent use.
 type Lender struct {
-	mu     sync.Mutex
 	budget int64
 	window time.Duration
-	since  time.Time // when this lender became responsible
-	loans  map[string][]loan
+
+	mu    sync.Mutex        // guards what follows
+	since time.Time         // when this lender became responsible
+	loans map[string][]loan // by service, oldest first
 }
 
-// NewLender makes a lender of a budget for each service. The window is the time
-// in which use is bounded and the life of a loan together.
+// NewLender makes a lender of a budget for each service. The window is the time in which use is bounded and the lifetime
+// of a loan together.
 func NewLender(budget int64, window time.Duration) *Lender {
 	return &Lender{budget: budget, window: window, loans: map[string][]loan{}}
 }
 
-// Lend gives at most the wanted amount of a service's budget. The time since is
-// when this lender became responsible: what others lent before is not known
-// here, so nothing is lent until those loans have expired.
+// Lend gives at most the wanted amount of a service's budget, 0 if nothing is left. The time since is when this lender
+// became responsible: what others lent before is not known here, so nothing is lent until those loans have expired, and
+// loans from before an earlier time of responsibility are forgotten.
 func (l *Lender) Lend(service string, wanted int64, since, now time.Time) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coord/fairshare/shares.go
+++ b/coord/fairshare/shares.go
@@ -1,145 +1,139 @@
-// Package fairshare divides a bounded resource among its users. While there is
-// plenty, any user may take it; when it is crowded, no user takes more than a
-// fair share, so that a heavy user can't push a light one out.
 package fairshare
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"sync"
 )
 
-// Shares is one bounded resource.
+// Shares is one bounded resource, in any unit. It is safe for concurrent use.
 type Shares struct {
-	mu        sync.Mutex
-	capacity  int64
-	threshold float64 // part of the capacity below which nobody is held to a share
-	used      int64   // by all users
-	usedBy    map[string]int64
-	refusedTo map[string]int64 // number of refusals
+	threshold float64 // fraction of the capacity below which nobody is held to a share
+
+	mu         sync.Mutex // guards what follows
+	capacity   int64
+	used       int64 // by all users
+	usedBy     map[string]int64
+	rejections map[string]int64 // by user
 }
 
-// New makes a resource of a capacity. While no more than the threshold, a part
-// of the capacity, is used, nobody is held to a share.
+// New makes a resource of a capacity. While no more than the threshold, a fraction of the capacity, is used, nobody is
+// held to a share; with 1 nobody ever is.
 func New(capacity int64, threshold float64) *Shares {
 	return &Shares{
-		capacity:  capacity,
-		threshold: threshold,
-		usedBy:    map[string]int64{},
-		refusedTo: map[string]int64{},
+		threshold:  threshold,
+		capacity:   capacity,
+		usedBy:     map[string]int64{},
+		rejections: map[string]int64{},
 	}
 }
 
-// Resize changes the capacity; what is used beyond a smaller one stays until it
-// is given back.
-func (p *Shares) Resize(capacity int64) {
-	p.mu.Lock()
-	p.capacity = capacity
-	p.mu.Unlock()
+// Resize changes the capacity; what is used beyond a smaller one stays until it is released.
+func (s *Shares) Resize(capacity int64) {
+	s.mu.Lock()
+	s.capacity = capacity
+	s.mu.Unlock()
 }
 
-// TryAcquire lets a user have an amount more if there is room and, when it is crowded,
-// if that stays inside a fair share.
-func (p *Shares) TryAcquire(user string, amount int64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.allows(user, amount) {
-		p.refusedTo[user]++
+// TryAcquire gives a user an amount more if there is room and, beyond the threshold, if that stays inside a fair share.
+// It never waits; false counts as a rejection.
+func (s *Shares) TryAcquire(user string, amount int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.allows(user, amount) {
+		s.rejections[user]++
 		return false
 	}
-	p.add(user, amount)
+	s.add(user, amount)
 	return true
 }
 
-func (p *Shares) allows(user string, amount int64) bool {
-	after := p.used + amount
-	if after > p.capacity {
+func (s *Shares) allows(user string, amount int64) bool {
+	after := s.used + amount
+	if after > s.capacity {
 		return false
 	}
-	crowded := float64(after) > p.threshold*float64(p.capacity)
-	return !crowded || p.usedBy[user]+amount <= p.fairShare(user)
+	scarce := float64(after) > s.threshold*float64(s.capacity)
+	return !scarce || s.usedBy[user]+amount <= s.fairShare(user)
 }
 
-// Acquire books an amount without a check, for what is in use already.
-func (p *Shares) Acquire(user string, amount int64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.add(user, amount)
+// Acquire gives a user an amount without a check, for what is in use already.
+func (s *Shares) Acquire(user string, amount int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.add(user, amount)
 }
 
-// Release returns an amount.
-func (p *Shares) Release(user string, amount int64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.add(user, -amount)
+// Release returns an amount; a user who returns more than was taken returns what was taken.
+func (s *Shares) Release(user string, amount int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.add(user, -amount)
 }
 
-// add books an amount; a user who returns more than was taken returns what was
-// taken.
-func (p *Shares) add(user string, amount int64) {
-	p.usedBy[user] += amount
-	if p.usedBy[user] <= 0 {
-		amount -= p.usedBy[user]
-		delete(p.usedBy, user)
+// add changes what a user has, to no less than nothing.
+func (s *Shares) add(user string, amount int64) {
+	s.usedBy[user] += amount
+	if s.usedBy[user] <= 0 {
+		amount -= s.usedBy[user]
+		delete(s.usedBy, user)
 	}
-	p.used += amount
+	s.used += amount
 }
 
-// fairShare divides the capacity by one more than there are users, this one
-// included, so that a share is left for a newcomer.
-func (p *Shares) fairShare(user string) int64 {
-	shares := len(p.usedBy) + 1
-	if _, known := p.usedBy[user]; !known {
+// fairShare divides the capacity by one more than there are users, this one included, so that a share is left for a
+// newcomer. It is one at least.
+func (s *Shares) fairShare(user string) int64 {
+	shares := len(s.usedBy) + 1
+	if _, known := s.usedBy[user]; !known {
 		shares++
 	}
-	return max(1, p.capacity/int64(shares))
+	return max(1, s.capacity/int64(shares))
 }
 
 // OverCapacity tells whether more is used than the capacity.
-func (p *Shares) OverCapacity() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.used > p.capacity
+func (s *Shares) OverCapacity() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.used > s.capacity
 }
 
-// HeaviestUser names the user that holds most; among equals, the first by name.
-func (p *Shares) HeaviestUser() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	heaviest := ""
-	for user, amount := range p.usedBy {
-		most := p.usedBy[heaviest]
-		if heaviest == "" || amount > most || amount == most && user < heaviest {
-			heaviest = user
+// HeaviestUser names the user that holds the largest amount; among equals, the first by name. It is "" if nobody holds
+// anything.
+func (s *Shares) HeaviestUser() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	heaviest, largest := "", int64(0)
+	for user, amount := range s.usedBy {
+		if heaviest == "" || amount > largest || amount == largest && user < heaviest {
+			heaviest, largest = user, amount
 		}
 	}
 	return heaviest
 }
 
-// UserShare is one user's share.
+// UserShare is one user's share. The keys of its JSON are those of the state page.
 type UserShare struct {
 	User     string `json:"who"`
 	Used     int64  `json:"used"`
-	Rejected int64  `json:"turned_away"` // number of refusals
+	Rejected int64  `json:"turned_away"` // number of rejections so far
 }
 
-// UserShares lists the users, the heaviest first.
-func (p *Shares) UserShares() []UserShare {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// UserShares lists all users that hold something or were rejected, the heaviest first, equal ones by name.
+func (s *Shares) UserShares() []UserShare {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var shares []UserShare
-	for user, amount := range p.usedBy {
-		shares = append(shares, UserShare{User: user, Used: amount, Rejected: p.refusedTo[user]})
+	for user, amount := range s.usedBy {
+		shares = append(shares, UserShare{User: user, Used: amount, Rejected: s.rejections[user]})
 	}
-	for user, refusals := range p.refusedTo {
-		if _, listed := p.usedBy[user]; !listed {
-			shares = append(shares, UserShare{User: user, Rejected: refusals})
+	for user, rejections := range s.rejections {
+		if _, listed := s.usedBy[user]; !listed {
+			shares = append(shares, UserShare{User: user, Rejected: rejections})
 		}
 	}
-	sort.Slice(shares, func(i, j int) bool {
-		if shares[i].Used != shares[j].Used {
-			return shares[i].Used > shares[j].Used
-		}
-		return shares[i].User < shares[j].User
+	slices.SortFunc(shares, func(a, b UserShare) int {
+		return cmp.Or(cmp.Compare(b.Used, a.Used), cmp.Compare(a.User, b.User))
 	})
 	return shares
 }
