--- a/internal/router/budget_test.go
+++ b/internal/retrybudget/shares_test.go
@@ -1,4 +1,4 @@
-package router
+package retrybudget
 
 import (
 	"math/rand/v2"
@@ -13,21 +13,21 @@
 	"shaletrestle/coord/fairshare"
 )
 
-func TestTheFleetsSharesStayInsideTheBudget(t *testing.T) {
+func TestShares_WholeFleet_StayWithinRule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet, ratio, slack = 11, 0.2, 62.0
-		var nodes []*Budget
+		var nodes []*shares
 		for range fleet {
-			nodes = append(nodes, NewBudget(ratio, slack, 10*time.Second, 0.8))
+			nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: 10 * time.Second, Margin: 0.8}))
 		}
 		var asked, extra []time.Time
-		for step := range 400 { // 40 s, every inquiry wants two further tries
+		for step := range 400 { // 40 s, every request wants two retries
 			for i := range 1 + step%7 {
 				b := nodes[(step+i)%fleet]
-				b.RecordRequest("p")
+				b.recordRequest("p")
 				asked = append(asked, time.Now())
 				for range 2 {
-					if b.Take("p", fleet) {
+					if b.take("p", fleet) {
 						extra = append(extra, time.Now())
 					}
 				}
@@ -44,21 +44,22 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.NotEmpty(t, extra)
-		require.False(t, NewBudget(ratio, slack, time.Second, 0.8).Take("p", 1000), "a share below one is none")
+		require.False(t, newShares(Options{Ratio: ratio, Slack: slack, Window: time.Second, Margin: 0.8}).take("p", 1000), "a share below one is none")
 	})
 }
 
-// Over random schedules of demand, lost answers, dying and new nodes, lagging fleet sizes and changes of the lender, no window holds more further tries than the rule allows.
-func TestSharesAndLumpsStayInsideTheBudgetOverRandomSchedules(t *testing.T) {
+// TestSharesAndLoans_RandomSchedules_StayWithinRule has random schedules of demand, lost answers, dying and new nodes,
+// lagging fleet sizes and changes of the lender: no window holds more retries than the rule allows.
+func TestSharesAndLoans_RandomSchedules_StayWithinRule(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 77))
 			const ratio, window = 0.2, 10 * time.Second
 			fleet := []int{3, 12, 88, 390}[r.IntN(4)]
 			slack := float64(40 + r.IntN(300))
-			var nodes []*Budget
+			var nodes []*shares
 			for range fleet {
-				nodes = append(nodes, NewBudget(ratio, slack, window, fairshare.BudgetMargin))
+				nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: window, Margin: fairshare.BudgetMargin}))
 			}
 			room := int64(fairshare.BudgetMargin * fairshare.LentFraction * slack)
 			newLender := func() (*fairshare.Lender, time.Time) {
@@ -70,10 +71,10 @@
 			lent := 0
 			for range 600 { // 60 s
 				if r.IntN(120) == 0 {
-					lender, since = newLender() // another holds the duty, and knows of no loan
+					lender, since = newLender() // another one is the lender, and knows of no loan
 				}
 				if r.IntN(50) == 0 { // a node dies, a new one takes its place with an empty account
-					nodes[r.IntN(fleet)] = NewBudget(ratio, slack, window, fairshare.BudgetMargin)
+					nodes[r.IntN(fleet)] = newShares(Options{Ratio: ratio, Slack: slack, Window: window, Margin: fairshare.BudgetMargin})
 				}
 				if r.IntN(40) == 0 {
 					known = fleet - r.IntN(1+fleet/failuredetector.SuspectDivisor)
@@ -83,16 +84,16 @@
 					if r.IntN(3) == 0 {
 						b = nodes[0] // one sees more than the others
 					}
-					b.RecordRequest("p")
+					b.recordRequest("p")
 					asked = append(asked, time.Now())
 					for range r.IntN(4) {
-						if !b.Take("p", known) {
+						if !b.take("p", known) {
 							start := time.Now()
 							if n := lender.Lend("p", fairshare.LoanRetries, since, time.Now()); n > 0 && r.IntN(4) > 0 { // else the answer is lost
 								lent++
-								b.AddLoan("p", n, start.Add(fairshare.LoanLifetime))
+								b.addLoan("p", n, start.Add(fairshare.LoanLifetime))
 							}
-							if !b.Take("p", known) {
+							if !b.take("p", known) {
 								break
 							}
 						}
@@ -116,13 +117,13 @@
 	}
 }
 
-func TestALumpIsUsedFirstAndRunsOut(t *testing.T) {
+func TestShares_Loan_UsedFirstAndExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(0, 0, time.Second, 0.8)
-		b.AddLoan("p", 2, time.Now().Add(fairshare.LoanLifetime))
-		require.Equal(t, 2.0, b.Remaining("p", 88))
-		require.True(t, b.Take("p", 88))
+		b := newShares(Options{Window: time.Second, Margin: 0.8})
+		b.addLoan("p", 2, time.Now().Add(fairshare.LoanLifetime))
+		require.Equal(t, 2.0, b.remaining("p", 88))
+		require.True(t, b.take("p", 88))
 		time.Sleep(fairshare.LoanLifetime)
-		require.False(t, b.Take("p", 88))
+		require.False(t, b.take("p", 88))
 	})
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -131,7 +131,7 @@
 		return nil, true
 	}
 	if req.history.Sends() > 0 {
-		if !req.router.takeRetry(req.service.Name, left) {
+		if !req.router.budget.Take(req.service.Name, left) {
 			connection.Release()
 			req.fail(errkind.UpstreamFailure, "no further try is left")
 			return nil, false
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -124,9 +124,10 @@
 		require.NoError(t, r.store.Update(state.EncodeEvent(state.UpdateFleet{Size: len(nodes), Nodes: nodes})))
 		go r.follower.Run(ctx)
 		synctest.Wait()
-		for r.budget.Take("service-1", r.fleetSize()) { // the own share is used up first
+		for r.budget.Remaining("service-1") >= 1 { // the own share is used up first
+			require.True(t, r.budget.Take("service-1", 0))
 		}
-		require.True(t, r.takeRetry("service-1", time.Second))
+		require.True(t, r.budget.Take("service-1", time.Second))
 		go r.detector.Run(ctx)
 		time.Sleep(3 * time.Second)
 		cancel()
--- a/internal/router/constants.go
+++ b/internal/router/constants.go
@@ -35,11 +35,6 @@
 	sweepEvery = 2 // looks after which idle connections are looked through: each second
 )
 
-// Connections to replicas, shares and replica health.
-const (
-	loanPause = 400 * time.Millisecond // after a refusal no lump of that service is asked for
-)
-
 // What waits at the replicas, told through the fleet.
 const (
 	loadSumInterval = 80 * time.Millisecond  // a node tells its relay this often, if anything changed: a prompt is read in some 100 ms
--- a/internal/router/figures.go
+++ b/internal/router/figures.go
@@ -36,7 +36,7 @@
 		gauge("suspected_nodes", "Watched nodes that do not answer.", float64(len(r.detector.Suspected()))),
 	}
 	for pool := range r.table.Load().Pools {
-		out = append(out, metrics.Sample{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: r.budget.Remaining(pool, r.fleetSize()), Service: pool})
+		out = append(out, metrics.Sample{Name: "router_retry_budget_left", Help: "Further tries that this node may still make, by service.", Value: r.budget.Remaining(pool), Service: pool})
 	}
 	return out
 }
--- a/internal/router/page.go
+++ b/internal/router/page.go
@@ -56,7 +56,7 @@
 func (r *Router) budgetSection() map[string]float64 {
 	left := map[string]float64{}
 	for pool := range r.table.Load().Pools {
-		left[pool] = r.budget.Remaining(pool, r.fleetSize())
+		left[pool] = r.budget.Remaining(pool)
 	}
 	return left
 }
--- a/internal/router/retries.go
+++ b/internal/router/retries.go
@@ -1,51 +1,22 @@
 package router
 
 import (
-	"time"
-
+	"shaletrestle/coord/distribution"
 	"shaletrestle/coord/fairshare"
-
 	"shaletrestle/coord/rpc"
 )
 
-// takeRetry draws one further try; when the own share is used up, it borrows a lump, which all who wait for that service share.
-func (r *Router) takeRetry(pool string, within time.Duration) bool {
-	if r.budget.Take(pool, r.fleetSize()) {
-		return true
-	}
-	now := time.Now()
-	r.mu.Lock()
-	w := r.borrowing[pool]
-	if w == nil {
-		if now.Sub(r.loanRejectedAt[pool]) < loanPause {
-			r.mu.Unlock()
-			return false
-		}
-		w = make(chan struct{})
-		r.borrowing[pool] = w
-		go r.borrow(pool, w)
-	}
-	r.mu.Unlock()
-	select {
-	case <-w:
-	case <-time.After(min(within, fairshare.LoanTimeout)):
-	}
-	return r.budget.Take(pool, r.fleetSize())
+// controllerLender borrows retries from the controller that this process follows.
+type controllerLender struct {
+	follower *distribution.Follower
 }
 
-// borrow asks the controller for further tries of a service and wakes who waits for them.
-func (r *Router) borrow(pool string, w chan struct{}) {
-	start := time.Now()
-	a, err := r.follower.Call(&rpc.Message{Kind: rpc.Loan, Text: pool, Number: fairshare.LoanRetries}, fairshare.LoanTimeout)
-	ok := err == nil && a.OK && a.Number > 0 && a.Number <= fairshare.LoanRetries
-	if ok {
-		r.budget.AddLoan(pool, int64(a.Number), start.Add(fairshare.LoanLifetime))
-	}
-	r.mu.Lock()
-	if !ok {
-		r.loanRejectedAt[pool] = time.Now()
+// Lend asks the controller. An answer that exceeds what was asked for counts as none.
+func (l controllerLender) Lend(service string) int64 {
+	ask := &rpc.Message{Kind: rpc.Loan, Text: service, Number: fairshare.LoanRetries}
+	answer, err := l.follower.Call(ask, fairshare.LoanTimeout)
+	if err != nil || !answer.OK || answer.Number > fairshare.LoanRetries {
+		return 0
 	}
-	delete(r.borrowing, pool)
-	r.mu.Unlock()
-	close(w)
+	return int64(answer.Number)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -24,6 +24,7 @@
 	"shaletrestle/internal/frontend"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/prefixindex"
+	"shaletrestle/internal/retrybudget"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
@@ -53,7 +54,7 @@
 	machine            *slowness.Monitor
 	prefixes           *prefixindex.Index
 	placer             *placement.Placer
-	budget             *Budget
+	budget             *retrybudget.Budget
 	table              atomic.Pointer[routing.Table]
 	revisions          atomic.Pointer[modelRevisions]
 	coldShares         atomic.Pointer[coldStartShares]
@@ -67,8 +68,6 @@
 	mu                 sync.Mutex
 	pools              map[string]*upstream.Pool
 	keepAlives         map[string]*upstream.KeepAlive // by service
-	borrowing          map[string]chan struct{}       // services that a lump is being borrowed for
-	loanRejectedAt     map[string]time.Time           // when none was lent, by service
 	reportedAt         time.Time                      // when failures were told last
 	controllerIndex    int
 	controllerFailedAt map[string]time.Time // controllers and when they failed last
@@ -93,16 +92,12 @@
 		prefixes:           prefixindex.NewIndex(),
 		pools:              map[string]*upstream.Pool{},
 		keepAlives:         map[string]*upstream.KeepAlive{},
-		borrowing:          map[string]chan struct{}{},
-		loanRejectedAt:     map[string]time.Time{},
 		becameReady:        make(chan struct{}),
 		controllerFailedAt: map[string]time.Time{},
 	}
 	g.settings.Store(env)
 	g.placer = placement.NewPlacer(g.prefixes)
 	g.placer.Configure(env.Placement)
-	bounds := env.Bounds
-	g.budget = NewBudget(bounds.BudgetRatio, bounds.BudgetSlack, durations.FromSeconds(bounds.BudgetWindowS), fairshare.BudgetMargin)
 	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemoryFraction)
 	g.bodies = fairshare.New(bodyBytes, fairshare.CalmFraction)
 	g.table.Store(routing.Compile(state.EmptyView().Config))
@@ -118,6 +113,12 @@
 		AckBody:    g.reports,
 		OnMessage:  g.receiveLoadSums,
 	})
+	g.budget = retrybudget.New(retrybudget.Options{
+		Ratio:  env.Bounds.BudgetRatio,
+		Slack:  env.Bounds.BudgetSlack,
+		Window: durations.FromSeconds(env.Bounds.BudgetWindowS),
+		Margin: fairshare.BudgetMargin,
+	}, controllerLender{g.follower}, g.fleetSize)
 	g.machine = slowness.NewMonitor(log, p.SlownessProbe)
 	g.longWork = newLongWork(g)
 	g.detector = g.newDetector(self)
