--- a/coord/loadsum/constants.go
+++ b/coord/loadsum/constants.go
@@ -2,11 +2,15 @@
 
 import "time"
 
-// What waits at the replicas, told through the fleet.
 const (
-	deckStale  = 800 * time.Millisecond // a source that has said nothing this long counts no more
-	deckMost   = 96                     // piles in a note on its way up, the heaviest: under 1 KB
-	deckSpread = 32                     // and in one to all: 2.3 KB/s at a node
-	deckMean   = 1.3                    // times the service's mean, and
-	deckLeast  = 4000                   // tokens more: what waits beyond that counts
+	// staleAfter is how long the newest report of a source counts.
+	staleAfter = 800 * time.Millisecond
+	// maxTotalLoads bounds a sum, as it goes from a relay to the primary, to its heaviest loads: below 1 KB.
+	maxTotalLoads = 96
+	// maxExcessLoads bounds what goes to all nodes: 2.3 KB/s at a node.
+	maxExcessLoads = 32
+	// usualFactor and usualTokens tell what is usual at a replica: so many times the mean of its service, and so many
+	// tokens more.
+	usualFactor = 1.3
+	usualTokens = 4000
 )
--- a/coord/loadsum/encoding.go
+++ b/coord/loadsum/encoding.go
@@ -1,7 +1,3 @@
-// Package loadsum tells every node how much work waits at each replica, summed
-// over the fleet. Nodes tell their relay what they have sent and have not heard
-// of yet, relays add it up, and the sum comes back. The sum is a hint that ages
-// within a second: nothing waits for it and it has no sequence numbers.
 package loadsum
 
 import (
@@ -18,46 +14,41 @@
 	Tokens uint32 // of prompts sent there that have had no event yet
 }
 
-// Key names a replica in few bytes. Two replicas that share a key are each
-// believed to have the work of both.
+// Key names a replica in few bytes. Two replicas that share a key are each believed to have the work of both.
 func Key(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// pileBytes is the length of an encoded Pile.
-const pileBytes = 8
+// loadBytes is the length of an encoded Load.
+const loadBytes = 8
 
-// Encode gives the bytes of a list.
-func Encode(piles []Load) []byte {
-	encoded := make([]byte, 0, len(piles)*pileBytes)
-	for _, pile := range piles {
-		encoded = binary.LittleEndian.AppendUint32(encoded, pile.Key)
-		encoded = binary.LittleEndian.AppendUint32(encoded, pile.Tokens)
+// Encode gives the bytes of a list: for each load its key and its tokens, four bytes each, little-endian.
+func Encode(loads []Load) []byte {
+	encoded := make([]byte, 0, len(loads)*loadBytes)
+	for _, load := range loads {
+		encoded = binary.LittleEndian.AppendUint32(encoded, load.Key)
+		encoded = binary.LittleEndian.AppendUint32(encoded, load.Tokens)
 	}
 	return encoded
 }
 
 // Decode reads a list; an incomplete entry at the end is left out.
 func Decode(encoded []byte) []Load {
-	piles := make([]Load, 0, len(encoded)/pileBytes)
-	for ; len(encoded) >= pileBytes; encoded = encoded[pileBytes:] {
-		piles = append(piles, Load{
+	loads := make([]Load, 0, len(encoded)/loadBytes)
+	for ; len(encoded) >= loadBytes; encoded = encoded[loadBytes:] {
+		loads = append(loads, Load{
 			Key:    binary.LittleEndian.Uint32(encoded),
 			Tokens: binary.LittleEndian.Uint32(encoded[4:]),
 		})
 	}
-	return piles
+	return loads
 }
 
-// heaviest keeps the entries with most tokens waiting, at most so many of them.
-// It sorts the list only if it is longer.
-func heaviest(piles []Load, most int) []Load {
-	if len(piles) <= most {
-		return piles
+// heaviest keeps the loads with most tokens, at most so many of them. It sorts the list only if it is longer.
+func heaviest(loads []Load, limit int) []Load {
+	if len(loads) <= limit {
+		return loads
 	}
-	slices.SortFunc(piles, func(a, b Load) int {
-		if a.Tokens != b.Tokens {
-			return cmp.Compare(b.Tokens, a.Tokens)
-		}
-		return cmp.Compare(a.Key, b.Key)
+	slices.SortFunc(loads, func(a, b Load) int {
+		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Key, b.Key))
 	})
-	return piles[:most]
+	return loads[:limit]
 }
--- a/coord/loadsum/excess.go
+++ b/coord/loadsum/excess.go
@@ -1,35 +1,33 @@
 package loadsum
 
-import (
-	"math"
-)
+import "math"
 
-// Services tells which service a replica belongs to, and how many replicas each
-// service has.
+// Services tells which service a replica belongs to, and how many replicas each service has.
 type Services struct {
-	ByReplica map[uint32]string // by the replica's key
-	Replicas  map[string]int
+	ByReplica map[uint32]string // the service, by the replica's key
+	Replicas  map[string]int    // their number, by service; silent ones count
 }
 
-// Excess keeps of a sum what stands out: at each replica what is beyond the
-// usual load of its service, the most first. Unknown replicas are left out.
-func Excess(piles []Load, services *Services) []Load {
+// Excess keeps of a sum what stands out: at each replica what is beyond 1.3 times the mean of its service and 4,000
+// tokens. At most 32 replicas are kept, those with the largest excess, which then comes first; unknown replicas are left
+// out.
+func Excess(loads []Load, services *Services) []Load {
 	tokens := map[string]float64{} // by service
-	for _, pile := range piles {
-		tokens[services.ByReplica[pile.Key]] += float64(pile.Tokens)
+	for _, load := range loads {
+		tokens[services.ByReplica[load.Key]] += float64(load.Tokens)
 	}
 	var excess []Load
-	for _, pile := range piles {
-		service, known := services.ByReplica[pile.Key]
+	for _, load := range loads {
+		service, known := services.ByReplica[load.Key]
 		if !known {
 			continue
 		}
 		replicas := float64(max(1, services.Replicas[service]))
-		usual := deckMean*tokens[service]/replicas + deckLeast
-		over := float64(pile.Tokens) - usual
+		usual := usualFactor*tokens[service]/replicas + usualTokens
+		over := float64(load.Tokens) - usual
 		if over >= 1 {
-			excess = append(excess, Load{Key: pile.Key, Tokens: uint32(math.Round(over))})
+			excess = append(excess, Load{Key: load.Key, Tokens: uint32(math.Round(over))})
 		}
 	}
-	return heaviest(excess, deckSpread)
+	return heaviest(excess, maxExcessLoads)
 }
--- a/coord/loadsum/excess_test.go
+++ b/coord/loadsum/excess_test.go
@@ -6,28 +6,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhatStandsOutIsBeyondTheUsualOfItsService(t *testing.T) {
+func TestExcess_LoadBeyondTheUsualOfItsService_Retained(t *testing.T) {
 	s := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 10, "b": 2}}
-	var ps []Load
+	var loads []Load
 	for i := range uint32(10) {
 		s.ByReplica[i] = "a"
-		ps = append(ps, Load{i, 90000})
+		loads = append(loads, Load{i, 90000})
 	}
-	require.Empty(t, Excess(ps, s), "all are busy alike")
+	require.Empty(t, Excess(loads, s), "all are busy alike")
 	s.ByReplica[20], s.ByReplica[21] = "b", "b"
-	require.Equal(t, []Load{{20, uint32(90000 - deckMean*90000/2 - deckLeast)}}, Excess(append(ps, Load{20, 90000}), s), "by its own service, silent replicas counted in")
+	require.Equal(t, []Load{{20, uint32(90000 - usualFactor*90000/2 - usualTokens)}}, Excess(append(loads, Load{20, 90000}), s), "by its own service, silent replicas counted in")
 	require.Empty(t, Excess([]Load{{99, 1 << 31}}, s), "nobody knows it")
-	require.Empty(t, Excess([]Load{{20, deckLeast}}, s))
+	require.Empty(t, Excess([]Load{{20, usualTokens}}, s))
 }
 
-func TestOfManyThatStandOutTheHeaviestAreSpread(t *testing.T) {
+func TestExcess_TooManyLoads_HeaviestKept(t *testing.T) {
 	s := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 10000}}
-	var ps []Load
-	for i := range uint32(3 * deckSpread) {
+	var loads []Load
+	for i := range uint32(3 * maxExcessLoads) {
 		s.ByReplica[i] = "a"
-		ps = append(ps, Load{i, 50000 + 1000*i})
+		loads = append(loads, Load{i, 50000 + 1000*i})
 	}
-	out := Excess(ps, s)
-	require.Len(t, out, deckSpread)
-	require.Equal(t, uint32(3*deckSpread-1), out[0].Key)
+	out := Excess(loads, s)
+	require.Len(t, out, maxExcessLoads)
+	require.Equal(t, uint32(3*maxExcessLoads-1), out[0].Key)
 }
--- a/coord/loadsum/sum_bench_test.go
+++ b/coord/loadsum/sum_bench_test.go
@@ -9,11 +9,11 @@
 	now := time.Unix(0, 0)
 	sum := NewSum()
 	for source := range uint64(20) {
-		var piles []Load
+		var loads []Load
 		for key := range uint32(100) {
-			piles = append(piles, Load{key + uint32(source), 10 * key})
+			loads = append(loads, Load{key + uint32(source), 10 * key})
 		}
-		sum.Put(source, piles, now)
+		sum.Put(source, loads, now)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -23,21 +23,21 @@
 
 func BenchmarkExcess(b *testing.B) {
 	services := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 200}}
-	var piles []Load
+	var loads []Load
 	for key := range uint32(200) {
 		services.ByReplica[key] = "a"
-		piles = append(piles, Load{key, 1000 * key})
+		loads = append(loads, Load{key, 1000 * key})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Excess(piles, services)
+		Excess(loads, services)
 	}
 }
 
 func BenchmarkEncodeAndDecode(b *testing.B) {
-	piles := make([]Load, 96)
+	loads := make([]Load, 96)
 	b.ReportAllocs()
 	for b.Loop() {
-		Decode(Encode(piles))
+		Decode(Encode(loads))
 	}
 }
--- a/coord/loadsum/sum_test.go
+++ b/coord/loadsum/sum_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPilesComeBackFromTheirBytes(t *testing.T) {
-	ps := []Load{{1, 2}, {Key("i-1"), 1 << 31}}
-	require.Equal(t, ps, Decode(Encode(ps)))
-	require.Equal(t, ps[:1], Decode(Encode(ps)[:pileBytes+3]), "half a pile is none")
+func TestDecode_EncodedLoads_AreEqual(t *testing.T) {
+	loads := []Load{{1, 2}, {Key("i-1"), 1 << 31}}
+	require.Equal(t, loads, Decode(Encode(loads)))
+	require.Equal(t, loads[:1], Decode(Encode(loads)[:loadBytes+3]), "half a load is none")
 	require.Empty(t, Decode(nil))
 }
 
-func TestTheSumIsThatOfTheNewestReports(t *testing.T) {
+func TestSumTotal_RandomReports_SumsTheNewest(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	now := time.Unix(0, 0)
 	s := NewSum()
@@ -23,23 +23,23 @@
 	for range 2000 {
 		now = now.Add(time.Duration(r.IntN(100)) * time.Millisecond)
 		src := r.Uint64N(12)
-		ps := map[uint32]Load{}
+		loads := map[uint32]Load{}
 		var list []Load
 		for range r.IntN(4) {
 			p := Load{r.Uint32N(9), r.Uint32N(5000)}
-			if _, ok := ps[p.Key]; !ok {
-				ps[p.Key] = p
+			if _, ok := loads[p.Key]; !ok {
+				loads[p.Key] = p
 				list = append(list, p)
 			}
 		}
 		s.Put(src, list, now)
-		last[src], at[src] = ps, now
+		last[src], at[src] = loads, now
 		want := map[uint32]Load{}
-		for src, ps := range last {
-			if now.Sub(at[src]) > deckStale {
+		for src, loads := range last {
+			if now.Sub(at[src]) > staleAfter {
 				continue
 			}
-			for k, p := range ps {
+			for k, p := range loads {
 				w := want[k]
 				want[k] = Load{k, w.Tokens + p.Tokens}
 			}
@@ -52,16 +52,16 @@
 	}
 }
 
-func TestOfManyPilesTheHeaviestAreTold(t *testing.T) {
+func TestSumTotal_TooManyLoads_HeaviestKept(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewSum()
-	for i := range uint32(3 * deckMost) {
+	for i := range uint32(3 * maxTotalLoads) {
 		s.Put(uint64(i), []Load{{i, i}}, now)
 	}
-	ps := s.Total(now)
-	require.Len(t, ps, deckMost)
-	for _, p := range ps {
-		require.GreaterOrEqual(t, p.Tokens, uint32(2*deckMost))
+	loads := s.Total(now)
+	require.Len(t, loads, maxTotalLoads)
+	for _, p := range loads {
+		require.GreaterOrEqual(t, p.Tokens, uint32(2*maxTotalLoads))
 	}
 	s.Put(7, []Load{{7, 1 << 31}}, now)
 	s.Put(8, []Load{{7, 1 << 31}}, now)
