--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -9,24 +9,34 @@
 	"shaletrestle/coord/replication/store"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/controller"
+	"shaletrestle/internal/daemon"
 	"shaletrestle/internal/settings"
 )
 
 func main() {
-	settings.Main("controller", "Keeps configuration and evacuations, reads the platform's list and tells the routers.", settings.Need{Control: true}, func(ctx context.Context, log *slog.Logger, e *settings.Settings) (settings.Daemon, error) {
-		if !e.HasDisk() {
-			return controller.New(ctx, log, controller.Options{Settings: e, Net: rpc.TCP{}, Store: replication.NewNoDisk()})
-		}
-		st, err := store.Open(store.OSFiles{}, e.DataDir, e.Bootstrap, e.SeedMembers()...)
-		if err != nil {
-			return nil, err
-		}
-		if n := st.Damage(); n != "" {
-			log.With("part", "replication").Error("the disk was damaged and is joined anew, empty", "why", n)
-		}
-		if n := st.TruncatedBytes(); n > 0 {
-			log.With("part", "replication").Warn("torn tail cut at its last whole record", "bytes", n)
-		}
-		return controller.New(ctx, log, controller.Options{Settings: e, Net: rpc.TCP{}, Store: st})
+	daemon.Main(daemon.Program{
+		Name:        "controller",
+		Description: "Keeps configuration and evacuations, reads the platform's list and tells the routers.",
+		Roles:       settings.Roles{Control: true},
+		Build:       build,
 	})
 }
+
+// build makes a controller with the disk that the settings give it, or with none.
+func build(ctx context.Context, log *slog.Logger, env *settings.Settings) (daemon.Daemon, error) {
+	if !env.HasDisk() {
+		return controller.New(ctx, log, controller.Options{Settings: env, Net: rpc.TCP{}, Store: replication.NewNoDisk()})
+	}
+	disk, err := store.Open(store.OSFiles{}, env.DataDir, env.Bootstrap, env.SeedMembers()...)
+	if err != nil {
+		return nil, err
+	}
+	diskLog := log.With("part", "replication")
+	if damage := disk.Damage(); damage != "" {
+		diskLog.Error("disk damaged, joining anew with an empty one", "reason", damage)
+	}
+	if cut := disk.TruncatedBytes(); cut > 0 {
+		diskLog.Warn("torn tail of the log truncated", "bytes", cut)
+	}
+	return controller.New(ctx, log, controller.Options{Settings: env, Net: rpc.TCP{}, Store: disk})
+}
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -6,13 +6,19 @@
 	"log/slog"
 
 	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/daemon"
 	"shaletrestle/internal/router"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/upstream"
 )
 
 func main() {
-	settings.Main("router", "Carries clients' requests to model replicas.", settings.Need{Front: true}, func(ctx context.Context, log *slog.Logger, e *settings.Settings) (settings.Daemon, error) {
-		return router.New(ctx, log, router.Options{Settings: e, Net: rpc.TCP{}, Dialer: upstream.TCP{}}), nil
+	daemon.Main(daemon.Program{
+		Name:        "router",
+		Description: "Carries clients' requests to model replicas.",
+		Roles:       settings.Roles{Frontend: true},
+		Build: func(ctx context.Context, log *slog.Logger, env *settings.Settings) (daemon.Daemon, error) {
+			return router.New(ctx, log, router.Options{Settings: env, Net: rpc.TCP{}, Dialer: upstream.TCP{}}), nil
+		},
 	})
 }
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -39,7 +39,7 @@
 	require.Empty(t, opened.Damage())
 	t.Cleanup(opened.Close)
 	env := &settings.Settings{
-		NodeName: "c", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{7720, 7729}, Quorum: true, DataDir: dir,
+		NodeName: "c", Zone: "zone-1", IP: "10.0.0.1", Ports: []int{7720, 7729}, QuorumMember: true, DataDir: dir,
 		Zones: map[string]string{"zone-1": "east"}, Bounds: settings.Bounds{BudgetSlack: 100, BudgetWindowS: 10, GraceS: 1},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -119,7 +119,7 @@
 
 // Run serves until the context ends. An error says that an address could not be listened at.
 func (c *Controller) Run() error {
-	members, err := c.listen("member port", c.settings.Port(settings.ControlPort))
+	members, err := c.listen("member port", c.settings.Port(settings.ControlPortOffset))
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	pages, err := c.listen("state page", c.settings.Port(settings.ControlStatePort))
+	pages, err := c.listen("state page", c.settings.Port(settings.ControlStatePortOffset))
 	if err != nil {
 		return err
 	}
--- a/internal/controller/member.go
+++ b/internal/controller/member.go
@@ -33,7 +33,7 @@
 // replicationConfig tells which failures the settings want to be tolerated, and connects the member to this controller.
 func (c *Controller) replicationConfig(store replication.Store) replication.Config {
 	env := c.settings
-	losses, tolerable := env.Losses()
+	losses, tolerable := env.MaxFailures()
 	if !tolerable {
 		c.log.Warn("fault tolerance of the settings is not reachable in these zones", "zones", len(env.Zones), "max_failures", losses)
 	}
@@ -44,7 +44,7 @@
 		failureDomain = func(zone string) string { return env.Zones[zone] }
 	}
 	return replication.Config{
-		Address:           env.Port(settings.ControlPort),
+		Address:           env.Port(settings.ControlPortOffset),
 		Zone:              env.Zone,
 		Seeds:             env.SeedMembers(),
 		MaxFailures:       losses,
--- a/internal/settings/options.go
+++ b/internal/daemon/command_line.go
@@ -1,13 +1,14 @@
-package settings
+package daemon
 
 import (
 	"errors"
 	"log/slog"
 	"os"
 
-	"shaletrestle/internal/version"
-
 	"github.com/integrii/flaggy"
+
+	"shaletrestle/internal/settings"
+	"shaletrestle/internal/version"
 )
 
 // Values of --long-work.
@@ -17,25 +18,28 @@
 	longWorkAlways = "always"
 )
 
+// errLogLevel rejects a --log-level.
+var errLogLevel = errors.New("--log-level takes debug, info, warn or error")
+
 // options are what the command line asks for.
 type options struct {
-	need      Need
+	roles     settings.Roles
 	logLevel  slog.Level
-	longWork  string // empty: as the settings say
-	checkOnly bool
+	longWork  string // one of the values of --long-work; empty: as the settings say
+	checkOnly bool   // check-env: nothing is started
 	file      string // of the settings
 }
 
 // parseOptions reads the command line.
-func parseOptions(name, description string, need Need) (*options, error) {
-	parsed := &options{need: need}
-	parser := flaggy.NewParser(name)
-	parser.Description = description + " Settings are read from the file that " + FileVariable + " names."
+func parseOptions(program Program) (*options, error) {
+	parsed := &options{roles: program.Roles}
+	parser := flaggy.NewParser(program.Name)
+	parser.Description = program.Description + " Settings are read from the file that " + FileVariable + " names."
 	parser.Version = version.Number
 	parser.ShowHelpOnUnexpected = true
 	level := "info"
 	parser.String(&level, "l", "log-level", "debug, info, warn or error")
-	if need.Front {
+	if program.Roles.Frontend {
 		parser.String(&parsed.longWork, "", "long-work", "on, off or always, whatever long_work says in the settings")
 	}
 	check := flaggy.NewSubcommand("check-env")
@@ -46,7 +50,7 @@
 		return nil, err
 	}
 	if err := parsed.logLevel.UnmarshalText([]byte(level)); err != nil {
-		return nil, errors.New("--log-level takes debug, info, warn or error")
+		return nil, errLogLevel
 	}
 	if parsed.file == "" {
 		parsed.file = os.Getenv(FileVariable)
@@ -64,10 +68,10 @@
 }
 
 // load reads the settings file and applies what the command line overrides.
-func (o *options) load() (*Settings, error) {
-	env, err := LoadFile(o.file, o.need)
+func (o *options) load() (*settings.Settings, error) {
+	env, err := settings.LoadFile(o.file, o.roles)
 	if err != nil {
-		return env, err
+		return nil, err
 	}
 	if o.longWork != "" {
 		env.LongWork.Enabled = o.longWork != longWorkOff
--- /dev/null
+++ b/internal/daemon/main.go
@@ -0,0 +1,114 @@
+// Package daemon holds what the long-running programs share: the command line, the settings file and its reload, the
+// limits on memory, and the way to the end.
+//
+// A program gets SIGTERM or SIGINT: it hands over what it has ([Daemon.Shutdown]), then its context ends. On SIGHUP,
+// and when the settings file has changed, it gets the new settings ([Daemon.Reload]); settings that are invalid are
+// logged and not applied. The package owns no state that lasts.
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"runtime/debug"
+
+	"shaletrestle/internal/settings"
+)
+
+// FileVariable names the environment variable that holds the path of the settings file ("What a process is told" in
+// the deploy page).
+const FileVariable = "SHALETRESTLE_NODE_FILE"
+
+// Exit codes of a program.
+const (
+	exitOK    = 0
+	exitError = 1
+	exitUsage = 2
+)
+
+const (
+	// gcPercent is the growth of the heap, in percent, before the collector runs.
+	gcPercent = 100
+	// softMemoryShare is the part of limits.memory_mb that the collector keeps the heap within; a process over the
+	// whole of it is killed.
+	softMemoryShare = 0.8
+)
+
+// Daemon is a long-running program.
+type Daemon interface {
+	// Run serves until the program's context ends. An error says that it could not begin.
+	Run() error
+	// Shutdown hands over what the program has; it may take the grace that the settings give. The context ends after it.
+	Shutdown()
+	// Reload takes new settings, which are valid.
+	Reload(*settings.Settings)
+}
+
+// Program says what a command runs.
+type Program struct {
+	Name        string
+	Description string // a sentence for the help
+	Roles       settings.Roles
+	// Build makes the daemon. The context ends all its work.
+	Build func(ctx context.Context, log *slog.Logger, env *settings.Settings) (Daemon, error)
+}
+
+// Main runs a program with the command line and the environment of this process. It never returns; the exit code is 0,
+// 1 after an error, or 2 if the command line is wrong.
+func Main(program Program) { os.Exit(run(program, os.Stdout, os.Stderr)) }
+
+func run(program Program, stdout, stderr io.Writer) int {
+	options, err := parseOptions(program)
+	if err != nil {
+		_, _ = fmt.Fprintln(stderr, program.Name+":", err)
+		return exitUsage
+	}
+	if options.file == "" {
+		_, _ = fmt.Fprintf(stderr, "%s: %s is not set\n", program.Name, FileVariable)
+		return exitError
+	}
+	if !validLongWork(options.longWork) {
+		_, _ = fmt.Fprintln(stderr, program.Name+": --long-work takes on, off or always")
+		return exitUsage
+	}
+	env, err := options.load()
+	if err != nil {
+		_, _ = fmt.Fprintln(stderr, program.Name+":", err)
+		return exitError
+	}
+	if options.checkOnly {
+		_, _ = fmt.Fprintln(stdout, "the settings are fine")
+		return exitOK
+	}
+	return serve(program, options, env, stderr)
+}
+
+// serve runs the daemon until it ends.
+func serve(program Program, options *options, env *settings.Settings, stderr io.Writer) int {
+	handler := slog.NewTextHandler(stderr, &slog.HandlerOptions{Level: options.logLevel})
+	log := slog.New(handler).With("program", program.Name)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	limitMemory(env)
+	daemon, err := program.Build(ctx, log, env)
+	if err != nil {
+		log.Error("cannot start", "error", err.Error())
+		return exitError
+	}
+	reloader := newReloader(cancel, log, daemon, options)
+	go reloader.run(ctx) // it ends with the context, at the latest with the process
+	if err := daemon.Run(); err != nil {
+		log.Error("ended with an error", "error", err.Error())
+		return exitError
+	}
+	return exitOK
+}
+
+// limitMemory sets the collector's bounds for the memory that the settings grant.
+func limitMemory(env *settings.Settings) {
+	granted := env.Limits.MemoryMB * (1 << 20)
+	debug.SetMemoryLimit(int64(granted * softMemoryShare))
+	debug.SetGCPercent(gcPercent)
+}
--- a/internal/settings/reload.go
+++ b/internal/daemon/reload.go
@@ -1,4 +1,4 @@
-package settings
+package daemon
 
 import (
 	"context"
@@ -10,9 +10,11 @@
 	"time"
 )
 
-// reloader reacts to signals and to changes of the settings file.
+// fileCheckInterval is how often the settings file is looked at: it may change without a signal.
+const fileCheckInterval = 2 * time.Second
+
+// reloader reacts to signals and to changes of the settings file. Only run uses its fields.
 type reloader struct {
-	ctx     context.Context
 	cancel  context.CancelFunc // ends the daemon
 	log     *slog.Logger
 	daemon  Daemon
@@ -20,9 +22,8 @@
 	loaded  string // the stamp of the file that was read last
 }
 
-func newReloader(ctx context.Context, cancel context.CancelFunc, log *slog.Logger, daemon Daemon, options *options) *reloader {
+func newReloader(cancel context.CancelFunc, log *slog.Logger, daemon Daemon, options *options) *reloader {
 	return &reloader{
-		ctx:     ctx,
 		cancel:  cancel,
 		log:     log.With("part", "settings"),
 		daemon:  daemon,
@@ -30,8 +31,8 @@
 	}
 }
 
-// run reacts until the program is told to end.
-func (r *reloader) run() {
+// run reacts until the program is told to end or the context ends.
+func (r *reloader) run(ctx context.Context) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	r.loaded = fileStamp(r.options.file)
@@ -42,7 +43,7 @@
 				r.reload()
 				continue
 			}
-			r.log.Info("leaving")
+			r.log.Info("shutting down", "signal", received.String())
 			r.daemon.Shutdown()
 			r.cancel()
 			return
@@ -50,21 +51,21 @@
 			if fileStamp(r.options.file) != r.loaded {
 				r.reload()
 			}
-		case <-r.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reload gives the daemon the file's settings; bad ones are not applied.
+// reload gives the daemon the file's settings; invalid ones are not applied.
 func (r *reloader) reload() {
 	r.loaded = fileStamp(r.options.file)
 	env, err := r.options.load()
 	if err != nil {
-		r.log.Error("settings kept as they were", "err", err.Error())
+		r.log.Error("invalid settings not applied", "error", err.Error())
 		return
 	}
-	r.log.Info("settings read again")
+	r.log.Info("settings reloaded")
 	r.daemon.Reload(env)
 }
 
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -17,6 +17,11 @@
 	roleRouter     = "router"
 )
 
+// program is what a process of the fleet runs.
+type program interface {
+	Run() error // until its context ends
+}
+
 // daemon is one process of the fleet, run in this one from a settings file of its
 // own.
 type daemon struct {
@@ -28,7 +33,7 @@
 	ctx     context.Context // nil: it does not run
 	cancel  context.CancelFunc
 	log     *slog.Logger
-	program settings.Daemon
+	program program
 	done    chan error
 }
 
@@ -36,7 +41,7 @@
 // real packages, in this process.
 func (d *daemon) start(ctx context.Context, log *slog.Logger, network *network) error {
 	isController := strings.HasPrefix(d.name, roleController)
-	env, err := settings.LoadFile(d.file, settings.Need{Front: !isController, Control: isController})
+	env, err := settings.LoadFile(d.file, settings.Roles{Frontend: !isController, Control: isController})
 	if err != nil {
 		return err
 	}
@@ -56,7 +61,7 @@
 	return nil
 }
 
-func (d *daemon) newController(env *settings.Settings) (settings.Daemon, error) {
+func (d *daemon) newController(env *settings.Settings) (program, error) {
 	disk, err := store.Open(store.OSFiles{}, env.DataDir, env.Bootstrap, env.SeedMembers()...)
 	if err != nil {
 		return nil, err
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -44,7 +44,7 @@
 }
 
 func (f *hollowFleet) page(controller *daemon) (*controllerPage, error) {
-	url := "http://" + f.addresses.address(controller.ip, settings.ControlStatePort)
+	url := "http://" + f.addresses.address(controller.ip, settings.ControlStatePortOffset)
 	response, err := probes.Get(url)
 	if err != nil {
 		return nil, errkind.Wrap(errkind.Unavailable, err, "page")
@@ -80,7 +80,7 @@
 		if i == primary {
 			continue
 		}
-		role := view.roleOf(f.addresses.address(controller.ip, settings.ControlPort))
+		role := view.roleOf(f.addresses.address(controller.ip, settings.ControlPortOffset))
 		if _, found := roles[role]; !found {
 			roles[role] = i
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "readiness address")
 	}
-	pl, err := r.net.Listen(e.Port(settings.RouterStatePort))
+	pl, err := r.net.Listen(e.Port(settings.RouterStatePortOffset))
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "state page")
 	}
--- a/internal/settings/addresses.go
+++ b/internal/settings/addresses.go
@@ -8,47 +8,70 @@
 	"shaletrestle/internal/durations"
 )
 
-// Port gives the address of one of our own ports, by its offset in the range.
-func (e *Settings) Port(offset int) string {
-	return net.JoinHostPort(e.IP, strconv.Itoa(e.Ports[0]+offset))
+// Offsets of own ports into internal_port_range.
+const (
+	// ControlPortOffset is where a controller takes messages of other processes.
+	ControlPortOffset = 0
+	// ControlStatePortOffset is the controller's state page.
+	ControlStatePortOffset = 1
+	// RouterStatePortOffset is the router's state page.
+	RouterStatePortOffset = 3
+)
+
+// Limits of own HTTP servers; those of the front may be set by the configuration.
+const (
+	// HeaderTimeout bounds the reading of a header.
+	HeaderTimeout = 3 * time.Second
+	// IdleTimeout ends an idle connection.
+	IdleTimeout = 15 * time.Second
+	// HeaderBytes bounds a header.
+	HeaderBytes = 16 << 10
+)
+
+// GraceMargin is how long before the end of its grace a process that shuts down ends.
+const GraceMargin = 700 * time.Millisecond
+
+// Port gives the address of one of the process's own ports, by its offset into the range.
+func (s *Settings) Port(offset int) string {
+	return net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[0]+offset))
 }
 
-// rpcAddress turns a control address into the address for messages between own
-// processes on the same machine; empty if it can't be read.
-func (e *Settings) rpcAddress(control string) string {
+// memberAddress turns a control address into the address for messages to the controller of the same machine; empty if
+// it can't be read.
+func (s *Settings) memberAddress(control string) string {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(e.Ports[0]+ControlPort))
+	return net.JoinHostPort(host, strconv.Itoa(s.Ports[0]+ControlPortOffset))
 }
 
-// ControlAddr turns an address for messages between own processes into the
-// control address of the same machine; empty if it can't be read.
-func (e *Settings) ControlAddress(rpcAddress string) string {
-	host, _, err := net.SplitHostPort(rpcAddress)
+// ControlAddress turns the address for messages to a controller into the control address of the same machine; empty if
+// it can't be read.
+func (s *Settings) ControlAddress(member string) string {
+	host, _, err := net.SplitHostPort(member)
 	if err != nil {
 		return ""
 	}
-	_, port, err := net.SplitHostPort(e.Bind.Control)
+	_, port, err := net.SplitHostPort(s.Bind.Control)
 	if err != nil {
 		return ""
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// SeedMembers lists the seeds' addresses for messages between own processes.
-func (e *Settings) SeedMembers() []string {
+// SeedMembers lists the seeds' addresses for messages; seeds that can't be read are left out.
+func (s *Settings) SeedMembers() []string {
 	var addresses []string
-	for _, seed := range e.Seeds {
-		if address := e.rpcAddress(seed); address != "" {
+	for _, seed := range s.Seeds {
+		if address := s.memberAddress(seed); address != "" {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-// Contact is the bound contact_ms.
-func (e *Settings) ContactTimeout() time.Duration {
-	return durations.FromMilliseconds(e.Bounds.ContactMs)
+// ContactTimeout is the bound contact_ms as a duration.
+func (s *Settings) ContactTimeout() time.Duration {
+	return durations.FromMilliseconds(s.Bounds.ContactMs)
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,31 +1,26 @@
 package settings
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"net"
 	"reflect"
+	"shaletrestle/internal/placement"
 	"strconv"
-
-	"shaletrestle/internal/errkind"
 )
 
 // maxPort is the highest port number.
 const maxPort = 65535
 
-// badField is the error of a field of the settings.
-func badField(field, why string) error {
-	return errkind.New(errkind.InvalidSettings, "settings: %s %s", field, why)
-}
-
-// check refuses settings with which a program can't run, and sets defaults.
-func (e *Settings) check(need Need) error {
+// check rejects settings with which a program can't run, and sets defaults.
+func (s *Settings) check(roles Roles) error {
 	checks := []func() error{
-		e.checkMachine,
-		func() error { return e.checkControl(need) },
-		func() error { return e.checkAddresses(need) },
-		e.checkBounds,
-		e.checkPlacement,
+		s.checkMachine,
+		func() error { return s.checkControl(roles) },
+		func() error { return s.checkAddresses(roles) },
+		s.checkBounds,
+		s.checkPlacement,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -36,36 +31,41 @@
 }
 
 // checkPlacement checks the options of placement, whose ranges stand with them.
-func (e *Settings) checkPlacement() error {
-	return errkind.Wrap(errkind.InvalidSettings, e.Placement.Check(), "settings")
+func (s *Settings) checkPlacement() error {
+	err := s.Placement.Check()
+	var option *placement.OptionError
+	if errors.As(err, &option) {
+		return invalid("placement."+option.Option, "must be "+option.Want)
+	}
+	return err
 }
 
-// field is a text field of the settings with its name.
+// field is a text field of the settings with its key.
 type field struct {
-	name  string
+	key   string
 	value string
 }
 
 // checkMachine checks what tells of the machine and of its place in the fleet.
-func (e *Settings) checkMachine() error {
+func (s *Settings) checkMachine() error {
 	required := []field{
-		{"node_name", e.NodeName},
-		{"ip", e.IP},
-		{"zone", e.Zone},
+		{"node_name", s.NodeName},
+		{"ip", s.IP},
+		{"zone", s.Zone},
 	}
 	for _, field := range required {
 		if field.value == "" {
-			return badField(field.name, "is missing")
+			return invalid(field.key, "is missing")
 		}
 	}
-	if net.ParseIP(e.IP) == nil {
-		return badField("ip", "is not an address: "+strconv.Quote(e.IP))
+	if net.ParseIP(s.IP) == nil {
+		return invalid("ip", "is not an address: "+strconv.Quote(s.IP))
 	}
-	if !validPortRange(e.Ports) {
-		return badField("internal_port_range", "needs two ports at least four apart")
+	if !validPortRange(s.Ports) {
+		return invalid("internal_port_range", "needs two ports at least four apart")
 	}
-	if len(e.Seeds) == 0 {
-		return badField("seed_nodes", "is missing")
+	if len(s.Seeds) == 0 {
+		return invalid("seed_nodes", "is missing")
 	}
 	return nil
 }
@@ -75,75 +75,74 @@
 		return false
 	}
 	first, last := ports[0], ports[1]
-	return first >= 1 && last <= maxPort && last-first >= RouterStatePort
+	return first >= 1 && last <= maxPort && last-first >= RouterStatePortOffset
 }
 
 // checkControl checks what only a controller needs.
-func (e *Settings) checkControl(need Need) error {
-	if !need.Control {
+func (s *Settings) checkControl(roles Roles) error {
+	if !roles.Control {
 		return nil
 	}
-	if e.Quorum && e.DataDir == "" {
-		return badField("data_dir", "is missing")
+	if s.QuorumMember && s.DataDir == "" {
+		return invalid("data_dir", "is missing")
 	}
-	for _, losses := range []int{e.Tolerance.Machines, e.Tolerance.Zones, e.Tolerance.Regions} {
-		if losses < 0 || losses > maxLosses {
-			return badField("fault_tolerance", fmt.Sprintf("must be between 0 and %d", maxLosses))
+	for _, losses := range []int{s.Tolerance.Machines, s.Tolerance.Zones, s.Tolerance.Regions} {
+		if losses < 0 || losses > maxFailures {
+			return invalid("fault_tolerance", fmt.Sprintf("must be between 0 and %d", maxFailures))
 		}
 	}
 	return nil
 }
 
 // checkAddresses checks the addresses that a program of these roles uses.
-func (e *Settings) checkAddresses(need Need) error {
-	for _, address := range e.addresses(need) {
+func (s *Settings) checkAddresses(roles Roles) error {
+	for _, address := range s.addresses(roles) {
 		if address.value == "" {
-			return badField(address.name, "is missing")
+			return invalid(address.key, "is missing")
 		}
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return badField(address.name, "is not an address and port: "+strconv.Quote(address.value))
+			return invalid(address.key, "is not an address and port: "+strconv.Quote(address.value))
 		}
 	}
 	return nil
 }
 
-func (e *Settings) addresses(need Need) []field {
+func (s *Settings) addresses(roles Roles) []field {
 	var addresses []field
-	if need.Front {
+	if roles.Frontend {
 		addresses = append(addresses,
-			field{"bind_addresses.front", e.Bind.Front},
-			field{"bind_addresses.readiness", e.Bind.Readiness})
+			field{"bind_addresses.front", s.Bind.Front},
+			field{"bind_addresses.readiness", s.Bind.Readiness})
 	}
-	if need.Control {
+	if roles.Control {
 		addresses = append(addresses,
-			field{"bind_addresses.control", e.Bind.Control},
-			field{"cloud_api.address", e.Cloud.Address})
+			field{"bind_addresses.control", s.Bind.Control},
+			field{"cloud_api.address", s.Cloud.Address})
 	}
-	for i, seed := range e.Seeds {
+	for i, seed := range s.Seeds {
 		addresses = append(addresses, field{fmt.Sprintf("seed_nodes[%d]", i), seed})
 	}
 	return addresses
 }
 
 // checkBounds checks the numbers.
-func (e *Settings) checkBounds() error {
-	if e.Limits.MemoryMB <= 0 {
-		return badField("limits.memory_mb", "must be above 0")
+func (s *Settings) checkBounds() error {
+	if s.Limits.MemoryMB <= 0 {
+		return invalid("limits.memory_mb", "must be above 0")
 	}
-	if name := firstInvalid(e.Bounds); name != "" {
-		return badField("bounds."+name, "must be a number of 0 or more")
+	if key := firstInvalid(s.Bounds); key != "" {
+		return invalid("bounds."+key, "must be a number of 0 or more")
 	}
-	if name := e.LongWork.check(); name != "" {
-		return badField("long_work."+name, "is out of bounds")
+	if key := s.LongWork.check(); key != "" {
+		return invalid("long_work."+key, "is out of bounds")
 	}
-	if e.Bounds.ContactMs == 0 {
-		return badField("bounds.contact_ms", "is missing")
+	if s.Bounds.ContactMs == 0 {
+		return invalid("bounds.contact_ms", "is missing")
 	}
 	return nil
 }
 
-// firstInvalid names the first bound that is no number of 0 or more; empty if
-// all are.
+// firstInvalid gives the key of the first bound that is no number of 0 or more; empty if all are.
 func firstInvalid(bounds Bounds) string {
 	fields := reflect.ValueOf(bounds)
 	for i := range fields.NumField() {
@@ -157,27 +156,3 @@
 func validNumber(number float64) bool {
 	return number >= 0 && !math.IsInf(number, 1)
 }
-
-// check sets defaults and names the first field that is out of bounds; empty if
-// none is.
-func (l *LongWork) check() string {
-	if !validNumber(l.PatientTargets) {
-		return "patient"
-	}
-	if l.PatientTargets == 0 {
-		l.PatientTargets = longPatient
-	}
-	if !validNumber(l.HeavyTargets) {
-		return "heavy"
-	}
-	if l.HeavyTargets == 0 {
-		l.HeavyTargets = longHeavy
-	}
-	if l.MaxAcceptedJobs < 0 || l.MaxAcceptedJobs > AcceptedJobsLimit {
-		return "takes"
-	}
-	if l.MaxAcceptedJobs == 0 {
-		l.MaxAcceptedJobs = longTakes
-	}
-	return ""
-}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,16 +1,17 @@
 package settings
 
 import (
+	"io/fs"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/placement"
 )
 
-const good = `
+// valid are settings that any program takes.
+const valid = `
 node_name: "edge-1"
 ip: "10.1.0.13"
 zone: "north"
@@ -25,83 +26,102 @@
 a_later_field: 7
 `
 
-func TestParseTakesGoodAndUnknown(t *testing.T) {
-	e, err := Parse([]byte(good), Need{Front: true, Control: true})
+// mustParse reads settings that must be valid.
+func mustParse(t *testing.T, text string, roles Roles) *Settings {
+	t.Helper()
+	parsed, err := Parse([]byte(text), roles)
 	require.NoError(t, err)
-	require.Equal(t, "10.1.0.13:7720", e.Port(0))
-	require.Equal(t, []string{"10.1.0.13:7720", "10.2.0.30:7720"}, e.SeedMembers())
-	require.Equal(t, "10.2.0.30:83", e.ControlAddress("10.2.0.30:7720"))
+	return parsed
 }
 
-func TestPlacementOptionsHaveDefaults(t *testing.T) {
-	e, err := Parse([]byte(good), Need{})
-	require.NoError(t, err)
-	require.Equal(t, placement.Defaults(), e.Placement)
-	e, err = Parse([]byte(good+"placement: {prefill_load_scale: 3, count_active: false}\n"), Need{})
-	require.NoError(t, err)
+func TestParse_ValidSettings_UnknownKeysAreIgnored(t *testing.T) {
+	parsed := mustParse(t, valid, Roles{Frontend: true, Control: true})
+	require.Equal(t, "10.1.0.13:7720", parsed.Port(0))
+	require.Equal(t, []string{"10.1.0.13:7720", "10.2.0.30:7720"}, parsed.SeedMembers())
+	require.Equal(t, "10.2.0.30:83", parsed.ControlAddress("10.2.0.30:7720"))
+}
+
+func TestParse_PlacementLeftOut_HasDefaults(t *testing.T) {
+	require.Equal(t, placement.Defaults(), mustParse(t, valid, Roles{}).Placement)
+	parsed := mustParse(t, valid+"placement: {prefill_load_scale: 3, count_active: false}\n", Roles{})
 	want := placement.Defaults()
 	want.PrefillLoadScale, want.CountActive = 3, false
-	require.Equal(t, want, e.Placement)
+	require.Equal(t, want, parsed.Placement)
 }
 
-func TestLongWorkIsOffUnlessAskedFor(t *testing.T) {
-	e, err := Parse([]byte(good), Need{Front: true})
-	require.NoError(t, err)
-	require.Equal(t, LongWork{PatientTargets: longPatient, HeavyTargets: longHeavy, MaxAcceptedJobs: longTakes}, e.LongWork)
-	e, err = Parse([]byte(good+"long_work: {enabled: true, takes: 9, other_zones: true}\n"), Need{Front: true})
-	require.NoError(t, err)
-	require.Equal(t, LongWork{Enabled: true, PatientTargets: longPatient, HeavyTargets: longHeavy, MaxAcceptedJobs: 9, OtherZones: true}, e.LongWork)
+func TestParse_LongWork_IsOffUnlessAskedFor(t *testing.T) {
+	for _, x := range []struct {
+		name, text string
+		want       LongWork
+	}{
+		{"left out", valid, LongWork{PatientTargets: 8, HeavyTargets: 4, MaxAcceptedJobs: 4}},
+		{"asked for", valid + "long_work: {enabled: true, takes: 9, other_zones: true}\n",
+			LongWork{Enabled: true, PatientTargets: 8, HeavyTargets: 4, MaxAcceptedJobs: 9, OtherZones: true}},
+	} {
+		require.Equal(t, x.want, mustParse(t, x.text, Roles{Frontend: true}).LongWork, x.name)
+	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
-	for _, x := range []struct{ old, now, want string }{
+func TestParse_InvalidSettings_ErrorNamesTheKey(t *testing.T) {
+	for _, x := range []struct{ old, new, want string }{
 		{`node_name: "edge-1"`, ``, "node_name"},
 		{`ip: "10.1.0.13"`, `ip: "nowhere"`, "ip"},
 		{`[7720, 7735]`, `[7720]`, "internal_port_range"},
 		{`["10.1.0.13:83", "10.2.0.30:83"]`, `[]`, "seed_nodes"},
 		{`"10.2.0.30:83"`, `"10.2.0.30"`, "seed_nodes[1]"},
-		{`memory_mb: 244`, `memory_mb: 0`, "memory_mb"},
+		{`memory_mb: 244`, `memory_mb: 0`, "limits.memory_mb"},
 		{`front: "10.1.0.13:81", `, ``, "bind_addresses.front"},
-		{`contact_ms: 3000`, `contact_ms: -1`, "contact_ms"},
+		{`contact_ms: 3000`, `contact_ms: -1`, "bounds.contact_ms"},
+		{`contact_ms: 3000, `, ``, "bounds.contact_ms"},
 		{`data_dir: "/data/x"`, ``, "data_dir"},
 		{`a_later_field: 7`, `fault_tolerance: {machine_losses: -1}`, "fault_tolerance"},
 		{`a_later_field: 7`, `fault_tolerance: {zones: 99}`, "fault_tolerance"},
-		{`bounds:`, `bounds: [`, "settings file"},
 		{`a_later_field: 7`, `placement: {overlap_credit: -1}`, "placement.overlap_credit"},
 		{`a_later_field: 7`, `placement: {block_tokens: 0}`, "placement.block_tokens"},
 		{`a_later_field: 7`, `long_work: {heavy: -1}`, "long_work.heavy"},
 		{`a_later_field: 7`, `long_work: {patient: .inf}`, "long_work.patient"},
 		{`a_later_field: 7`, `long_work: {takes: 9999}`, "long_work.takes"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, x.old, x.now, 1)), Need{Front: true, Control: true})
-		require.Error(t, err, x.want)
-		require.Contains(t, err.Error(), x.want)
-		require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
+		t.Run(x.want, func(t *testing.T) {
+			text := strings.Replace(valid, x.old, x.new, 1)
+			require.NotEqual(t, valid, text)
+			_, err := Parse([]byte(text), Roles{Frontend: true, Control: true})
+			var invalid *InvalidError
+			require.ErrorAs(t, err, &invalid)
+			require.Equal(t, x.want, invalid.Key)
+			require.Contains(t, err.Error(), "settings: "+x.want+" ")
+		})
 	}
 }
 
-func TestAMachineWithoutADiskKeepsNothing(t *testing.T) {
+func TestParse_NoYAML_IsInvalid(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(valid, "bounds:", "bounds: [", 1)), Roles{Frontend: true, Control: true})
+	var invalid *InvalidError
+	require.ErrorAs(t, err, &invalid)
+	require.ErrorContains(t, err, "settings file: ")
+}
+
+func TestSettings_HasDisk_QuorumMembersOnly(t *testing.T) {
 	for _, x := range []struct {
-		yaml string
-		want bool
+		name, text string
+		want       bool
 	}{
-		{good, true},
-		{strings.NewReplacer(`data_dir: "/data/x"`, "", "quorum_member: true", "quorum_member: false").Replace(good), false},
-		{strings.Replace(good, "quorum_member: true", "quorum_member: false", 1), false},
+		{"quorum member", valid, true},
+		{"neither", strings.NewReplacer(`data_dir: "/data/x"`, "", "quorum_member: true", "quorum_member: false").Replace(valid), false},
+		{"a disk alone", strings.Replace(valid, "quorum_member: true", "quorum_member: false", 1), false},
 	} {
-		e, err := Parse([]byte(x.yaml), Need{Control: true})
-		require.NoError(t, err)
-		require.Equal(t, x.want, e.HasDisk())
+		require.Equal(t, x.want, mustParse(t, x.text, Roles{Control: true}).HasDisk(), x.name)
 	}
 }
 
-func TestLossesCoverZonesAndRegions(t *testing.T) {
-	three, five := map[string]string{"a": "r", "b": "r", "c": "r"}, map[string]string{"a": "r", "b": "r", "c": "r", "d": "r", "e": "r"}
+func TestSettings_MaxFailures_CoversZonesAndRegions(t *testing.T) {
+	three := map[string]string{"a": "r", "b": "r", "c": "r"}
+	five := map[string]string{"a": "r", "b": "r", "c": "r", "d": "r", "e": "r"}
 	for _, x := range []struct {
-		zones map[string]string
-		tol   Tolerance
-		want  int
-		ok    bool
+		zones         map[string]string
+		tolerance     Tolerance
+		want          int
+		wantTolerable bool
 	}{
 		{three, Tolerance{1, 1, 0}, 1, true},
 		{three, Tolerance{2, 1, 0}, 2, true},
@@ -114,17 +134,22 @@
 		{three, Tolerance{1, 0, 1}, 1, false},
 		{three, Tolerance{}, 0, true},
 	} {
-		n, ok := (&Settings{Zones: x.zones, Tolerance: x.tol}).Losses()
-		require.Equal(t, x.want, n, "%+v", x)
-		require.Equal(t, x.ok, ok, "%+v", x)
+		got, tolerable := (&Settings{Zones: x.zones, Tolerance: x.tolerance}).MaxFailures()
+		require.Equal(t, x.want, got, "%+v", x)
+		require.Equal(t, x.wantTolerable, tolerable, "%+v", x)
 	}
 }
 
-func TestTheExampleSettingsServeAsTheyAre(t *testing.T) {
-	e, err := LoadFile("../../docs/example/node.yaml", Need{Front: true, Control: true})
+func TestLoadFile_ExampleSettings_AreValid(t *testing.T) {
+	parsed, err := LoadFile("../../docs/example/node.yaml", Roles{Frontend: true, Control: true})
 	require.NoError(t, err)
-	require.True(t, e.HasDisk(), "one member that keeps the state")
-	n, ok := e.Losses()
-	require.True(t, ok)
-	require.Zero(t, n)
+	require.True(t, parsed.HasDisk(), "one member that keeps the state")
+	failures, tolerable := parsed.MaxFailures()
+	require.True(t, tolerable)
+	require.Zero(t, failures)
+}
+
+func TestLoadFile_NoSuchFile_Fails(t *testing.T) {
+	_, err := LoadFile("nowhere.yaml", Roles{})
+	require.ErrorIs(t, err, fs.ErrNotExist)
 }
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -172,7 +172,7 @@
 		disk = "quorum_member: false"
 	}
 	text := fmt.Sprintf(settingsTemplate, p.Name, p.ip, p.zone, seeds, bootstrap, zones, disk, sim.losses) + sim.extraSettings
-	return settings.Parse([]byte(text), settings.Need{Front: !isController(p.Name), Control: isController(p.Name)})
+	return settings.Parse([]byte(text), settings.Roles{Frontend: !isController(p.Name), Control: isController(p.Name)})
 }
 
 // Start starts a process; a controller's name begins with h, a router's with g.
