--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -148,7 +148,7 @@
 		return req.readBody()
 	case routing.SetDeadline:
 		return req.setDeadline()
-	case routing.ChooseBackend:
+	case routing.ChooseService:
 		return req.chooseService()
 	case routing.RestrictRegions:
 		req.wanted.AllowsZone = func(zone string) bool { return req.route.AllowedRegions[req.router.settings.Load().Zones[zone]] }
--- a/internal/routing/compile.go
+++ b/internal/routing/compile.go
@@ -4,13 +4,12 @@
 	"sort"
 	"strings"
 
-	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/config"
 	"shaletrestle/internal/config/configpb"
+	"shaletrestle/internal/durations"
 )
 
-// Compile makes the table of a configuration.
+// Compile makes the table of a configuration, which must have passed its checks.
 func Compile(doc *config.Document) *Table {
 	table := &Table{
 		Revision:   doc.Revision,
@@ -32,16 +31,16 @@
 	return table
 }
 
-// compileHosts groups the paths by host, the longest prefix first.
+// compileHosts groups the routes by host, the longest prefix first.
 func compileHosts(routes []*configpb.Route) map[string][]*Route {
 	hosts := map[string][]*Route{}
 	for _, route := range routes {
 		host := strings.ToLower(route.Hostname)
 		hosts[host] = append(hosts[host], compileRoute(route))
 	}
-	for _, paths := range hosts {
-		sort.SliceStable(paths, func(i, j int) bool {
-			return len(paths[i].Prefix) > len(paths[j].Prefix)
+	for _, group := range hosts {
+		sort.SliceStable(group, func(i, j int) bool {
+			return len(group[i].Prefix) > len(group[j].Prefix)
 		})
 	}
 	return hosts
@@ -76,7 +75,7 @@
 }
 
 func compileRoute(route *configpb.Route) *Route {
-	path := &Route{
+	compiled := &Route{
 		Name:            route.Name,
 		Prefix:          route.PathPrefix,
 		Kind:            kindOf(route),
@@ -90,8 +89,8 @@
 		Resumable:       route.StreamResume,
 		AllowedRegions:  compileRegions(route.AllowedRegions),
 	}
-	path.Steps = stepsOf(path)
-	return path
+	compiled.Steps = stepsOf(compiled)
+	return compiled
 }
 
 func kindOf(route *configpb.Route) Kind {
@@ -104,19 +103,19 @@
 	return AtMostOnce
 }
 
-// stepsOf lists the steps of a path whose other fields are set.
-func stepsOf(path *Route) []Step {
-	steps := []Step{ReadBody, SetDeadline, ChooseBackend}
-	if path.AllowedRegions != nil {
+// stepsOf lists the steps of a route whose other fields are set.
+func stepsOf(route *Route) []Step {
+	steps := []Step{ReadBody, SetDeadline, ChooseService}
+	if route.AllowedRegions != nil {
 		steps = append(steps, RestrictRegions)
 	}
-	if path.Kind == Streaming {
+	if route.Kind == Streaming {
 		return append(steps, RelayEvents)
 	}
 	return append(steps, RelayComplete)
 }
 
-// compileParts cumulates the weights of a path's services.
+// compileBackends cumulates the weights of a route's services.
 func compileBackends(route *configpb.Route) []Backend {
 	if len(route.WeightedBackends) == 0 {
 		return []Backend{{Pool: route.BackendPool, CumulativeShare: 1}}
@@ -125,15 +124,15 @@
 	for _, backend := range route.WeightedBackends {
 		sum += backend.Weight
 	}
-	var parts []Backend
-	upto := 0.0
+	var backends []Backend
+	share := 0.0
 	for _, backend := range route.WeightedBackends {
 		if backend.Weight > 0 {
-			upto += backend.Weight / sum
-			parts = append(parts, Backend{Pool: backend.BackendPool, CumulativeShare: upto})
+			share += backend.Weight / sum
+			backends = append(backends, Backend{Pool: backend.BackendPool, CumulativeShare: share})
 		}
 	}
-	return parts
+	return backends
 }
 
 // compileRegions gives the allowed regions, nil if all are.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,3 @@
-// Package routing compiles the operator's configuration into a table: which path
-// a request takes and the steps of its handling.
 package routing
 
 import (
@@ -10,58 +8,56 @@
 // Pool is one compiled service.
 type Pool struct {
 	Name            string
-	HealthCheckPath string  // path of the health check
-	MaxConnections  int     // connections at most
-	WarmupPerSecond float64 // requests a second that a replica takes while it warms up
-	WarmupSeconds   float64 // seconds that a replica warms up
+	HealthCheckPath string
+	MaxConnections  int     // of the whole fleet to its replicas
+	WarmupPerSecond float64 // requests a second that a replica takes while it is warming up
+	WarmupSeconds   float64 // that a replica is warming up
 	Engine          *Engine // nil: its replicas run no model
 }
 
-// Engine describes the memory of a model replica.
+// Engine describes a replica that runs models.
 type Engine struct {
-	Slots            float64
-	KVCapacityTokens float64
-	KVTokenBytes     float64
-	LinkMbps         float64
-	Stride           float64
-	Models           []string
+	Slots            float64  // requests that run at once
+	KVCapacityTokens float64  // of its memory
+	KVTokenBytes     float64  // of memory for one token
+	LinkMbps         float64  // of its link to its peers, in megabits a second
+	Stride           float64  // tokens that one event of an answer may carry
+	Models           []string // by name
 }
 
-// Limits bound what a client may send.
+// Limits bound what a client may send. A field that is 0 is not set, and the program's own default holds.
 type Limits struct {
-	MaxHeaderBytes int   // bytes
-	MaxBodyBytes   int64 // bytes
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration // until the header of a request has come
+	IdleTimeout    time.Duration // of a connection between two requests
 }
 
-// Table holds what was compiled from one revision of the configuration. It is
-// never changed after it was made.
+// Table holds what was compiled from one revision of the configuration.
 type Table struct {
-	Revision   int64               // the configuration's revision
+	Revision   int64               // of the configuration
 	hosts      map[string][]*Route // by lower-case host, longest prefix first
-	Pools      map[string]*Pool
+	Pools      map[string]*Pool    // by name
 	Limits     Limits
 	RouteCount int // routes in the configuration
 }
 
-// Match finds the path with the longest prefix for a host and a raw target, nil
-// if there is none.
+// Match finds the route with the longest prefix for a host, with or without a port, and the raw target of a request;
+// nil if there is none. It allocates only for a host that is not in lower case.
 func (t *Table) Match(host, target string) *Route {
 	host = withoutPort(host)
 	if i := strings.IndexAny(target, "?#"); i >= 0 {
 		target = target[:i]
 	}
-	for _, path := range t.hosts[strings.ToLower(host)] {
-		if strings.HasPrefix(target, path.Prefix) {
-			return path
+	for _, route := range t.hosts[strings.ToLower(host)] {
+		if strings.HasPrefix(target, route.Prefix) {
+			return route
 		}
 	}
 	return nil
 }
 
-// withoutPort cuts the port off a host; the colons of a bare IPv6 address in
-// brackets stay.
+// withoutPort cuts the port off a host; the colons of a bare IPv6 address in brackets stay.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") {
--- a/internal/routing/table_bench_test.go
+++ b/internal/routing/table_bench_test.go
@@ -17,9 +17,9 @@
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","hostname":"h.x","path_prefix":"/p%04d/","timeout_ms":1,"weighted_backends":[{"backend_pool":"s","weight":90},{"backend_pool":"u","weight":10}]}`, i, i))
 	}
 	body := `{"revision":1,"route_table":[` + strings.Join(routes, ",") + `],"backend_pools":[{"name":"s"},{"name":"u"}]}`
-	doc, err := config.Empty().Put([]byte(body))
+	document, err := config.Empty().Put([]byte(body))
 	require.NoError(b, err)
-	return Compile(doc)
+	return Compile(document)
 }
 
 func BenchmarkMatch(b *testing.B) {
@@ -30,10 +30,10 @@
 	}
 }
 
-func BenchmarkChoose(b *testing.B) {
-	path := benchmarkTable(b).Match("h.x", "/p0050/")
+func BenchmarkChooseService(b *testing.B) {
+	route := benchmarkTable(b).Match("h.x", "/p0050/")
 	b.ReportAllocs()
 	for b.Loop() {
-		path.ChooseService("session-17")
+		route.ChooseService("session-17")
 	}
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -9,41 +9,51 @@
 	"shaletrestle/internal/config"
 )
 
-func table(t *testing.T, routes string) *Table {
+func compile(t *testing.T, routes string) *Table {
 	t.Helper()
-	d, err := config.Empty().Put([]byte(`{"revision":1,"route_table":[` + routes + `],"backend_pools":[{"name":"s"},{"name":"u"}]}`))
+	document, err := config.Empty().Put([]byte(`{"revision":1,"route_table":[` + routes + `],"backend_pools":[{"name":"s"},{"name":"u"}]}`))
 	require.NoError(t, err)
-	return Compile(d)
+	return Compile(document)
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
-	tb := table(t, `{"name":"a","hostname":"h.x","path_prefix":"/a/","timeout_ms":1,"backend_pool":"s"},{"name":"ab","hostname":"h.x","path_prefix":"/a/b/","timeout_ms":1,"backend_pool":"s"},{"name":"o","hostname":"o.x","path_prefix":"/","timeout_ms":1,"backend_pool":"s"}`)
-	for _, x := range []struct{ host, target, want string }{
-		{"h.x", "/a/q", "a"}, {"h.x", "/a/b/q", "ab"}, {"H.X:80", "/a/b/", "ab"}, {"h.x", "/a/b", "a"}, {"h.x", "/a", ""}, {"h.x", "/c/", ""},
-		{"o.x", "/anything?x=/a/", "o"}, {"none", "/a/", ""}, {"h.x", "/a/%2e%2e/", "a"}, {"h.x", "/?/a/", ""},
+func TestMatch_HostsAndTargets_LongestPrefixOfTheHost(t *testing.T) {
+	table := compile(t, `{"name":"a","hostname":"h.x","path_prefix":"/a/","timeout_ms":1,"backend_pool":"s"},{"name":"ab","hostname":"h.x","path_prefix":"/a/b/","timeout_ms":1,"backend_pool":"s"},{"name":"o","hostname":"o.x","path_prefix":"/","timeout_ms":1,"backend_pool":"s"}`)
+	for _, test := range []struct{ name, host, target, want string }{
+		{"prefix", "h.x", "/a/q", "a"},
+		{"longer prefix", "h.x", "/a/b/q", "ab"},
+		{"capitals and port", "H.X:80", "/a/b/", "ab"},
+		{"longer prefix without its slash", "h.x", "/a/b", "a"},
+		{"prefix without its slash", "h.x", "/a", ""},
+		{"no prefix", "h.x", "/c/", ""},
+		{"prefix in the query only", "o.x", "/anything?x=/a/", "o"},
+		{"no host", "none", "/a/", ""},
+		{"raw target", "h.x", "/a/%2e%2e/", "a"},
+		{"query at the root", "h.x", "/?/a/", ""},
 	} {
-		got := ""
-		if p := tb.Match(x.host, x.target); p != nil {
-			got = p.Name
-		}
-		require.Equal(t, x.want, got, x.host+x.target)
+		t.Run(test.name, func(t *testing.T) {
+			got := ""
+			if route := table.Match(test.host, test.target); route != nil {
+				got = route.Name
+			}
+			require.Equal(t, test.want, got, test.host+test.target)
+		})
 	}
 }
 
-func TestSplitsFollowTheWeightsAndKeepTheirKeys(t *testing.T) {
-	p := table(t, `{"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"weighted_backends":[{"backend_pool":"s","weight":90},{"backend_pool":"u","weight":10}]}`).Match("h", "/")
+func TestChooseService_ManyKeys_WeightsFollowedAndKeysKept(t *testing.T) {
+	route := compile(t, `{"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"weighted_backends":[{"backend_pool":"s","weight":90},{"backend_pool":"u","weight":10}]}`).Match("h", "/")
 	n := map[string]int{}
 	for i := range 10000 {
 		k := fmt.Sprint("key", i)
-		n[p.ChooseService(k)]++
-		require.Equal(t, p.ChooseService(k), p.ChooseService(k))
+		n[route.ChooseService(k)]++
+		require.Equal(t, route.ChooseService(k), route.ChooseService(k))
 	}
 	require.InDelta(t, 1000, n["u"], 150)
 }
 
-func TestStepsOfAPath(t *testing.T) {
-	p := table(t, `{"name":"a","hostname":"h","path_prefix":"/","route_type":"streaming","stream_resume":true,"allowed_regions":["r"],"timeout_ms":1,"backend_pool":"s"}`).Match("h", "/")
-	require.Equal(t, []Step{ReadBody, SetDeadline, ChooseBackend, RestrictRegions, RelayEvents}, p.Steps)
-	require.True(t, p.IsRetriable())
-	require.Equal(t, 1, p.MaxAttempts)
+func TestCompile_StreamingRoute_StepsInOrder(t *testing.T) {
+	route := compile(t, `{"name":"a","hostname":"h","path_prefix":"/","route_type":"streaming","stream_resume":true,"allowed_regions":["r"],"timeout_ms":1,"backend_pool":"s"}`).Match("h", "/")
+	require.Equal(t, []Step{ReadBody, SetDeadline, ChooseService, RestrictRegions, RelayEvents}, route.Steps)
+	require.True(t, route.IsRetriable())
+	require.Equal(t, 1, route.MaxAttempts)
 }
