--- a/internal/replicamodel/queue.go
+++ b/internal/replicamodel/queue.go
@@ -7,14 +7,14 @@
 )
 
 // Queue is the model of a replica without an engine: slots, a queue served in
-// order, and a given time of work for each request.
+// order, and a given time of work for each request. It is not safe for concurrent use.
 type Queue struct {
 	slots   int
 	waiting int             // requests that may wait beyond the slots
 	ends    []time.Duration // of the requests that are not finished, earliest first
 }
 
-// NewQueue makes an idle one.
+// NewQueue makes an idle replica with so many slots, and so many places for waiting beyond them.
 func NewQueue(slots, waiting int) *Queue { return &Queue{slots: slots, waiting: waiting} }
 
 // Offer takes a request at a time and tells when it will be finished; false if
