--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,7 @@
-// Package metrics gives a daemon's counts in the Prometheus text form. Nothing is collected until somebody asks: the daemons keep the counts that they keep anyway.
+// Package metrics serves the figures of a program in the Prometheus text format.
+//
+// It owns no state: programs count what they count anyway, and the samples are made when somebody asks. Its functions
+// are safe for concurrent use.
 package metrics
 
 import (
@@ -14,53 +17,62 @@
 // Path is where metrics are served on a state port.
 const Path = "/metrics"
 
-// Figure is one metric. A count only rises within one life of the process; others go both ways.
+// serviceLabel is the one label that samples have.
+const serviceLabel = "service"
+
+// Sample is one metric and its value of the moment. Samples of the same name must agree in all but Value and Service.
 type Sample struct {
-	Name      string // with its unit, as in _total, _seconds, _bytes
+	Name      string // ends in its unit, as in _total, _seconds, _bytes
 	Help      string
-	IsCounter bool
+	IsCounter bool // it only rises while the process runs; others are gauges
 	Value     float64
 	Service   string // of its label "service"; empty: it has none
 }
 
+func (s *Sample) metric() prometheus.Metric {
+	var labels, values []string
+	if s.Service != "" {
+		labels, values = []string{serviceLabel}, []string{s.Service}
+	}
+	kind := prometheus.GaugeValue
+	if s.IsCounter {
+		kind = prometheus.CounterValue
+	}
+	return prometheus.MustNewConstMetric(prometheus.NewDesc(s.Name, s.Help, labels, nil), kind, s.Value, values...)
+}
+
+// samples is a collector of what was sampled already.
 type samples []Sample
 
-// Describe is the collector's; nothing is described in advance.
+// Describe describes nothing in advance: the collector is unchecked.
 func (samples) Describe(chan<- *prometheus.Desc) {}
 
-// Collect is the collector's.
-func (fs samples) Collect(to chan<- prometheus.Metric) {
-	for _, f := range fs {
-		var names, values []string
-		if f.Service != "" {
-			names, values = []string{"service"}, []string{f.Service}
-		}
-		kind := prometheus.GaugeValue
-		if f.IsCounter {
-			kind = prometheus.CounterValue
-		}
-		to <- prometheus.MustNewConstMetric(prometheus.NewDesc(f.Name, f.Help, names, nil), kind, f.Value, values...)
+// Collect sends the samples.
+func (s samples) Collect(metrics chan<- prometheus.Metric) {
+	for i := range s {
+		metrics <- s[i].metric()
 	}
 }
 
-// Serve writes the figures of the moment.
-func Serve(w http.ResponseWriter, fs []Sample) {
-	r := prometheus.NewRegistry()
-	if err := r.Register(samples(fs)); err != nil {
+// Serve writes samples as an answer. Samples that contradict each other, or that are there twice, make an internal
+// error. A client that is gone is not reported.
+func Serve(w http.ResponseWriter, current []Sample) {
+	registry := prometheus.NewRegistry()
+	if err := registry.Register(samples(current)); err != nil {
 		httpreply.Error(w, errkind.Wrap(errkind.Internal, err, "metrics"))
 		return
 	}
-	all, err := r.Gather()
+	families, err := registry.Gather()
 	if err != nil {
 		httpreply.Error(w, errkind.Wrap(errkind.Internal, err, "metrics"))
 		return
 	}
-	form := expfmt.NewFormat(expfmt.TypeTextPlain)
-	w.Header().Set("Content-Type", string(form))
-	e := expfmt.NewEncoder(w, form)
-	for _, m := range all {
-		if e.Encode(m) != nil {
-			return
+	format := expfmt.NewFormat(expfmt.TypeTextPlain)
+	w.Header().Set("Content-Type", string(format))
+	encoder := expfmt.NewEncoder(w, format)
+	for _, family := range families {
+		if encoder.Encode(family) != nil {
+			return // the client is gone
 		}
 	}
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFiguresAreWrittenInTheTextForm(t *testing.T) {
+func TestServe_CountersAndGauges_TextFormat(t *testing.T) {
 	w := httptest.NewRecorder()
 	Serve(w, []Sample{
 		{Name: "router_requests_total", Help: "Requests.", IsCounter: true, Value: 3},
@@ -26,7 +26,7 @@
 `, w.Body.String())
 }
 
-func TestFiguresThatContradictEachOtherAreAFault(t *testing.T) {
+func TestServe_SamplesThatContradict_InternalError(t *testing.T) {
 	w := httptest.NewRecorder()
 	Serve(w, []Sample{{Name: "a", Help: "x", Value: 1}, {Name: "a", Help: "x", Value: 2}})
 	require.Equal(t, 500, w.Code)
