--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -129,7 +129,7 @@
 	switch {
 	case s.Interrupted:
 		return interrupted
-	case !s.Whole():
+	case !s.IsComplete():
 		return notAll
 	}
 	return fine
--- a/internal/emulator/addresses.go
+++ b/internal/emulator/addresses.go
@@ -9,6 +9,13 @@
 	"shaletrestle/internal/errkind"
 )
 
+// Bounds of the addresses of an experiment.
+const (
+	portsPerMachine = 8    // ports that every emulated machine needs: six are used
+	addressAttempts = 64   // attempts to find free addresses
+	maxMachines     = 4000 // emulated machines at most
+)
+
 // Offsets of the ports of an emulated machine; the first four are
 // internal_port_range.
 const (
@@ -37,10 +44,10 @@
 // first machine's ports are free.
 func newAddressPool(address string, port int) (*addressPool, error) {
 	pool := &addressPool{port: port, zones: map[string]string{}}
-	for range yardFind {
+	for range addressAttempts {
 		pool.first = firstAddress(address)
 		if port == 0 {
-			pool.port = lowestPort + yardPorts*rand.IntN(portBlocks)
+			pool.port = lowestPort + portsPerMachine*rand.IntN(portBlocks)
 		}
 		err := pool.checkFree()
 		if err == nil {
@@ -64,9 +71,9 @@
 	return 127<<24 | second<<16 | third<<8 | 1
 }
 
-// checkFree tells whether the first machine's ports can be bound.
+// checkFree reports whether the first machine's ports can be bound.
 func (p *addressPool) checkFree() error {
-	for offset := range yardPorts {
+	for offset := range portsPerMachine {
 		listener, err := listen(p.address(p.ip(0), offset))
 		if err != nil {
 			return err
@@ -85,7 +92,7 @@
 
 // machine gives the address of a new machine in a zone.
 func (p *addressPool) machine(zone string) (string, error) {
-	if p.used >= yardHosts {
+	if p.used >= maxMachines {
 		return "", errkind.New(errkind.InvalidSettings, "experiment: too many machines")
 	}
 	ip := p.ip(p.used)
--- a/internal/emulator/await.go
+++ b/internal/emulator/await.go
@@ -12,6 +12,12 @@
 	"shaletrestle/internal/errkind"
 )
 
+// Times of what is polled and dialled.
+const (
+	pollInterval = 10 * time.Millisecond // pause between looks at something that is awaited
+	dialTimeout  = 1 * time.Second       // a client gives a new connection this long
+)
+
 const readinessPath = "/v1/readiness"
 
 var errInterrupted = errkind.New(errkind.Unavailable, "interrupted")
@@ -19,7 +25,7 @@
 // probes is the client for what is asked of the emulated machines beside the
 // traffic.
 var probes = &http.Client{
-	Timeout:   yardDial,
+	Timeout:   dialTimeout,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
@@ -42,7 +48,7 @@
 		if time.Now().After(end) {
 			return errkind.New(errkind.Unavailable, "%s within %s", complaint, timeout)
 		}
-		if !wait.Sleep(ctx, yardLook) {
+		if !wait.Sleep(ctx, pollInterval) {
 			return errInterrupted
 		}
 	}
@@ -50,7 +56,7 @@
 }
 
 // readyTimeout is the time that the experiment gives for anything to be ready.
-func (b *testbed) readyTimeout() time.Duration { return durations.FromSeconds(b.experiment.Ready) }
+func (b *testbed) readyTimeout() time.Duration { return durations.FromSeconds(b.experiment.ReadyS) }
 
 // awaitReplicas waits until every replica answers that it is healthy.
 func (b *testbed) awaitReplicas() error {
@@ -79,7 +85,7 @@
 	return nil
 }
 
-// ended tells whether a daemon in this process has ended, and why. Of one in another
+// ended reports whether a daemon in this process has ended, and why. Of one in another
 // process nothing is heard.
 func (d *daemon) ended() (bool, error) {
 	select {
--- a/internal/emulator/cell.go
+++ b/internal/emulator/cell.go
@@ -16,8 +16,11 @@
 	"shaletrestle/internal/errkind"
 )
 
+// maxCellLineBytes is the longest answer of a cell that is read.
+const maxCellLineBytes = 1 << 20
+
 // A cell is a process that holds daemons of one role, so that their processor time
-// and memory can be told apart from those of others. It is told what to do, and
+// and memory can be told apart from those of others. It gets commands, and
 // answers, in JSON lines.
 
 // The commands to a cell.
@@ -158,7 +161,7 @@
 	}
 	return &cell{
 		commands: commands,
-		answers:  bufio.NewReaderSize(answers, yardLine),
+		answers:  bufio.NewReaderSize(answers, maxCellLineBytes),
 		wait:     process.Wait,
 	}, nil
 }
@@ -171,7 +174,7 @@
 	go func() { done <- Cell(ctx, log, commandReader, answerWriter) }()
 	return &cell{
 		commands: commandWriter,
-		answers:  bufio.NewReaderSize(answerReader, yardLine),
+		answers:  bufio.NewReaderSize(answerReader, maxCellLineBytes),
 		wait:     func() error { return <-done },
 	}, nil
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -16,11 +16,14 @@
 	"shaletrestle/internal/upstream"
 )
 
+// maxClientAttempts is how often a client attempts a request within its deadline.
+const maxClientAttempts = 4
+
 // Outcomes of a request.
 const (
-	Served  = "served"  // a whole answer that a replica gave
-	Refused = "refused" // the last answer was a promise that nothing ran
-	Failed  = "failed"  // anything else
+	Served   = "served"  // a complete answer that a replica gave
+	Rejected = "refused" // the last answer said that nothing ran
+	Failed   = "failed"  // anything else
 )
 
 // Headers and values of the protocol that package upstream does not name.
@@ -34,14 +37,14 @@
 
 // Result is how one request of a client ended, over all its attempts.
 type Result struct {
-	AtMs    float64 `json:"at_ms"`
-	Kind    string  `json:"kind"`
-	Outcome string  `json:"outcome"`
-	Late    bool    `json:"late"`
-	Ms      float64 `json:"ms"` // to the whole answer, or to a stream's first event
-	GapMs   float64 `json:"gap_ms,omitempty"`
-	Tries   int     `json:"tries"`
-	Why     string  `json:"why,omitempty"`
+	AtMs     float64 `json:"at_ms"`
+	Kind     string  `json:"kind"`
+	Outcome  string  `json:"outcome"`
+	Late     bool    `json:"late"`
+	Ms       float64 `json:"ms"` // to the complete answer, or to a stream's first event
+	GapMs    float64 `json:"gap_ms,omitempty"`
+	Attempts int     `json:"tries"`
+	Why      string  `json:"why,omitempty"`
 }
 
 // clientRequest is one request of a client.
@@ -68,9 +71,9 @@
 		sentAt:   now,
 		deadline: now.Add(durations.FromMilliseconds(kind.TimeoutMs)),
 	}
-	request.body = "body of " + request.name + strings.Repeat(".", kind.Bytes)
+	request.body = "body of " + request.name + strings.Repeat(".", kind.BodyBytes)
 	if kind.Prefixes > 0 {
-		request.prefix = promptPrefix(kind.In, number, prefix)
+		request.prefix = promptPrefix(kind.TokensIn, number, prefix)
 	}
 	return request
 }
@@ -96,14 +99,14 @@
 func (t *traffic) send(kind *Kind, number, prefix, router int) Result {
 	request := t.newRequest(kind, number, prefix)
 	result := Result{
-		AtMs:    millis(request.sentAt.Sub(t.start)),
+		AtMs:    milliseconds(request.sentAt.Sub(t.start)),
 		Kind:    kind.Name,
 		Outcome: Failed,
 	}
-	for result.Tries < yardTries {
-		result.Tries++
-		next := t.routers[(router+result.Tries-1)%len(t.routers)]
-		attempt := request.try(next, result.Tries)
+	for result.Attempts < maxClientAttempts {
+		result.Attempts++
+		next := t.routers[(router+result.Attempts-1)%len(t.routers)]
+		attempt := request.sendAttempt(next, result.Attempts)
 		result.Outcome = outcomeOf(attempt.status)
 		result.Why = attempt.why
 		if result.Outcome == Served {
@@ -122,14 +125,14 @@
 	switch {
 	case status == http.StatusOK:
 		return Served
-	case isPromise(status):
-		return Refused
+	case isRejection(status):
+		return Rejected
 	}
 	return Failed
 }
 
-// isPromise tells whether a status promises that the request did not run.
-func isPromise(status int) bool {
+// isRejection reports whether a status says that the request did not run.
+func isRejection(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -146,20 +149,20 @@
 	took := time.Since(r.sentAt)
 	if !r.firstEvent.IsZero() {
 		took = r.firstEvent.Sub(r.sentAt)
-		result.GapMs = millis(r.longestGap)
+		result.GapMs = milliseconds(r.longestGap)
 	}
-	result.Ms = millis(took)
-	slow := result.Ms > r.kind.AimMs
+	result.Ms = milliseconds(took)
+	slow := result.Ms > r.kind.LatencyTargetMs
 	halting := r.kind.Type == typeStreaming && result.GapMs > r.kind.GapMs
 	result.Late = result.Outcome == Served && (slow || halting)
 }
 
-// try sends the request once, with an id of its own.
-func (r *clientRequest) try(router string, number int) attemptResult {
+// sendAttempt sends the request once, with an id of its own.
+func (r *clientRequest) sendAttempt(router string, number int) attemptResult {
 	rules := r.traffic.rules
 	id := fmt.Sprintf("%s.%d", r.name, number)
 	path := "/" + r.kind.Name + "/" + r.name
-	rules.sent(id, !r.kind.repeatable(), http.MethodPost+" "+path+" "+r.body)
+	rules.recordSent(id, !r.kind.isIdempotent(), http.MethodPost+" "+path+" "+r.body)
 	ctx, cancel := context.WithDeadline(r.traffic.ctx, r.deadline)
 	defer cancel()
 	// The body can't be read a second time, so that the transport repeats nothing.
@@ -175,7 +178,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return r.broken(err)
+		return r.incomplete(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusOK && r.kind.Type == typeStreaming {
@@ -196,7 +199,7 @@
 	streaming := r.kind.Type == typeStreaming
 	if streaming || r.prefix != "" {
 		request.Header.Set(headerModel, defaultModel)
-		request.Header.Set(headerTokenCounts, fmt.Sprintf("%d,%d", r.kind.In, r.kind.Out))
+		request.Header.Set(headerTokenCounts, fmt.Sprintf("%d,%d", r.kind.TokensIn, r.kind.TokensOut))
 	}
 	if !streaming {
 		return
@@ -207,9 +210,9 @@
 	}
 }
 
-// broken is the result of an attempt without a whole answer.
-func (r *clientRequest) broken(err error) attemptResult {
-	return attemptResult{retry: r.kind.repeatable(), wait: yardLook, why: rootCause(err)}
+// incomplete is the result of an attempt without a complete answer.
+func (r *clientRequest) incomplete(err error) attemptResult {
+	return attemptResult{retry: r.kind.isIdempotent(), wait: pollInterval, why: rootCause(err)}
 }
 
 // rootCause is the text of the innermost error.
@@ -225,27 +228,27 @@
 	rules := r.traffic.rules
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return r.broken(err)
+		return r.incomplete(err)
 	}
 	status := response.StatusCode
 	if status == http.StatusOK {
-		rules.succeeded(id, response.Header.Get(upstream.HeaderSeal), string(body) == answerTo(id))
+		rules.checkSuccess(id, response.Header.Get(upstream.HeaderSeal), string(body) == answerTo(id))
 		return attemptResult{status: status}
 	}
-	if isPromise(status) {
-		rules.refused(id)
+	if isRejection(status) {
+		rules.checkRejection(id)
 		return attemptResult{status: status, retry: true, wait: r.waitAfter(response), why: response.Status}
 	}
-	retry := r.kind.repeatable() && status >= http.StatusInternalServerError
-	return attemptResult{status: status, retry: retry, wait: yardLook, why: response.Status}
+	retry := r.kind.isIdempotent() && status >= http.StatusInternalServerError
+	return attemptResult{status: status, retry: retry, wait: pollInterval, why: response.Status}
 }
 
-// waitAfter is how long the client waits after a refusal: as long as it is told,
+// waitAfter is how long the client waits after a rejection: as long as the answer says,
 // but not over a third of the time it has.
 func (r *clientRequest) waitAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
-		return yardLook
+		return pollInterval
 	}
 	return min(durations.FromSeconds(seconds), time.Until(r.deadline)/3)
 }
--- a/internal/emulator/client_stream.go
+++ b/internal/emulator/client_stream.go
@@ -20,26 +20,26 @@
 // readStream takes an answer that is a stream.
 func (r *clientRequest) readStream(id string, response *http.Response) attemptResult {
 	if err := r.readEvents(response.Body); err != nil {
-		return r.broken(err)
+		return r.incomplete(err)
 	}
-	r.traffic.rules.succeeded(id, response.Header.Get(upstream.HeaderSeal), true)
+	r.traffic.rules.checkSuccess(id, response.Header.Get(upstream.HeaderSeal), true)
 	return attemptResult{status: response.StatusCode}
 }
 
 // readEvents reads a stream to its end. Only a stream with every token in order is
-// whole.
+// complete.
 func (r *clientRequest) readEvents(body io.Reader) error {
 	reader := bufio.NewReader(body)
 	for {
 		event, err := readEvent(reader)
-		if err == io.EOF && event == "" && r.events == r.kind.Out {
+		if err == io.EOF && event == "" && r.events == r.kind.TokensOut {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("stream cut after %d events", r.events)
 		}
 		if event != eventText(r.events+1) {
-			r.traffic.rules.outOfOrder(r.name, event, r.events)
+			r.traffic.rules.recordOutOfOrder(r.name, event, r.events)
 			return errOutOfOrder
 		}
 		r.received()
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -19,7 +19,7 @@
 	componentReplicas = 58      // of one service at the target size: 1,500 over 26
 	componentLookups  = 2000    // timed at each point
 	componentChanges  = 40      // timed at each point
-	ample             = 1 << 30 // tokens; more than is ever used
+	unlimitedTokens   = 1 << 30 // tokens; more than is ever used
 )
 
 // Units of the values.
@@ -68,7 +68,7 @@
 	for i := 0; ; i++ {
 		shared := i / 2 // every shared part is seen twice
 		chain := componentChain(shared, i)
-		index.RecordSent(componentReplica(shared%componentReplicas), ample, chain, componentRoute(shared%100))
+		index.RecordSent(componentReplica(shared%componentReplicas), unlimitedTokens, chain, componentRoute(shared%100))
 		if index.Stats().Runs >= runs-8 || i > 4*runs {
 			return index
 		}
@@ -93,7 +93,7 @@
 	routes := int(x)
 	enter := func(index *prefixindex.Index, from, to int) {
 		for i := from; i < to; i++ {
-			index.RecordSent("i-1", ample, componentChain(i/2, i), componentRoute(i%routes))
+			index.RecordSent("i-1", unlimitedTokens, componentChain(i/2, i), componentRoute(i%routes))
 		}
 	}
 	indexHeap, _ := cost(func() any {
@@ -102,7 +102,7 @@
 		return index
 	})
 	sharesHeap, _ := cost(func() any {
-		shares := fairshare.New(ample, fairshare.CalmFraction)
+		shares := fairshare.New(unlimitedTokens, fairshare.CalmFraction)
 		for i := range routes {
 			shares.Acquire(componentRoute(i), 1)
 		}
@@ -132,7 +132,7 @@
 				{ID: 1<<41 + uint64(i)*2654435761, Tokens: 256},
 			}
 			chain := prefixindex.NewChain(prefixindex.RootKey("m", 1), parts)
-			index.RecordSent(componentReplica(i%componentReplicas), ample, chain, "r")
+			index.RecordSent(componentReplica(i%componentReplicas), unlimitedTokens, chain, "r")
 		}
 		return index
 	})
@@ -243,7 +243,7 @@
 
 // patchEvent is the change of one route on top of a revision.
 func patchEvent(route routeConfig, revision int) []byte {
-	change := upsertRoute(route)
+	change := routeChange(route)
 	change.Revision = int64(revision + 1)
 	body, _ := json.Marshal(change)
 	return state.EncodeEvent(state.NewPatchConfig(int64(revision), body).WithoutDigest())
@@ -257,7 +257,7 @@
 	book.OnChange(func(_, now *state.View, _ state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
 	replicas := madeUpReplicas(int(x), targetSize.Models, targetSize.Controllers)
 	first := listEvent(replicas...)
-	heap, wholeTime := cost(func() any {
+	heap, fullTime := cost(func() any {
 		book.Update(first)
 		return []any{book, placer}
 	})
@@ -273,7 +273,7 @@
 		return nil
 	})
 	return values{
-		"whole_ms":      wholeTime * millisec,
+		"whole_ms":      fullTime * millisec,
 		"change_ms":     changeTime / componentChanges * millisec,
 		"heap_kb":       heap / kilobyte,
 		"checkpoint_kb": float64(len(book.Snapshot())) / kilobyte,
--- a/internal/emulator/configuration.go
+++ b/internal/emulator/configuration.go
@@ -2,7 +2,7 @@
 
 // Names and bounds of the configurations that are made here.
 const (
-	testHost        = "yard.example" // the host of every request of an experiment
+	testHost        = "emulator.example" // the host of every request of an experiment
 	protocolHTTP1   = "h1"
 	maxHeaderBytes  = 16384
 	maxRequestBytes = 4 << 20
@@ -12,7 +12,7 @@
 )
 
 // configuration is the body of a call that changes the operator's configuration:
-// a whole one, or one with an upsert only. The fields are in the order of their
+// a complete one, or one with an upsert only. The fields are in the order of their
 // names, so that a body has the same bytes however it was made.
 type configuration struct {
 	BackendPools []poolConfig  `json:"backend_pools,omitempty"`
@@ -73,7 +73,7 @@
 	MaxHeaderBytes  int `json:"max_header_bytes"`
 }
 
-func usualLimits() *limitsConfig {
+func defaultLimits() *limitsConfig {
 	return &limitsConfig{
 		HeaderTimeoutMs: headerTimeoutMs,
 		IdleTimeoutMs:   idleTimeoutMs,
@@ -82,14 +82,14 @@
 	}
 }
 
-// upsertRoute is a change of one route.
-func upsertRoute(route routeConfig) *configuration {
+// routeChange is a change of one route.
+func routeChange(route routeConfig) *configuration {
 	return &configuration{Upsert: &upsertConfig{RouteTable: []routeConfig{route}}}
 }
 
 // configuration is the one that serves an experiment's kinds of request.
 func (x *Experiment) configuration() *configuration {
-	config := &configuration{Limits: usualLimits()}
+	config := &configuration{Limits: defaultLimits()}
 	for i := range x.Kinds {
 		config.RouteTable = append(config.RouteTable, x.Kinds[i].route())
 	}
@@ -103,7 +103,7 @@
 	return routeConfig{
 		BackendPool:     k.Service,
 		Hostname:        testHost,
-		MaxAttempts:     k.Attempts,
+		MaxAttempts:     k.MaxAttempts,
 		Name:            "r-" + k.Name,
 		PathPrefix:      "/" + k.Name + "/",
 		Priority:        1,
@@ -111,7 +111,7 @@
 		SessionAffinity: k.Prefixes > 0,
 		StreamResume:    k.Resume,
 		TargetGapMs:     k.GapMs,
-		TargetLatencyMs: k.AimMs,
+		TargetLatencyMs: k.LatencyTargetMs,
 		TimeoutMs:       k.TimeoutMs,
 	}
 }
@@ -119,7 +119,7 @@
 func (s *Service) pool() poolConfig {
 	pool := poolConfig{
 		HealthCheckPath: healthPath,
-		MaxConnections:  s.Channels,
+		MaxConnections:  s.MaxConnections,
 		Name:            s.Name,
 		Protocol:        protocolHTTP1,
 		WarmupPerS:      s.WarmupPerS,
@@ -127,7 +127,7 @@
 	}
 	if s.Engine != nil {
 		pool.Engine = &engineConfig{
-			KvCapacityTokens: s.Engine.Memory,
+			KvCapacityTokens: s.Engine.MemoryTokens,
 			KvTokenBytes:     kvTokenBytes,
 			LinkMbps:         1000,
 			Models:           []modelConfig{{Name: s.Engine.Model}},
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -37,7 +37,7 @@
 	done    chan error
 }
 
-// start reads the settings file and runs the daemon that its name tells, with the
+// start reads the settings file and runs the daemon that its name says, with the
 // real packages, in this process.
 func (d *daemon) start(ctx context.Context, log *slog.Logger, network *network) error {
 	isController := strings.HasPrefix(d.name, roleController)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -30,10 +30,10 @@
 		Slots:                  service.Slots,
 		QueueLimit:             service.Queue,
 		StepTime:               durations.FromMilliseconds(spec.StepMs * slower),
-		StepTimePerRequest:     durations.FromMilliseconds(spec.EachMs * slower),
-		PrefillTokensPerSecond: spec.Prefill / slower,
-		ChunkTokens:            spec.Chunk,
-		MemoryTokens:           spec.Memory,
+		StepTimePerRequest:     durations.FromMilliseconds(spec.StepEachMs * slower),
+		PrefillTokensPerSecond: spec.PrefillPerS / slower,
+		ChunkTokens:            spec.ChunkTokens,
+		MemoryTokens:           spec.MemoryTokens,
 	})
 	started := &engine{
 		ctx:     ctx,
--- a/internal/emulator/experiment.go
+++ b/internal/emulator/experiment.go
@@ -1,6 +1,3 @@
-// Package emulator emulates what the fleet serves, on loopback addresses: model
-// replicas, the platform's list, the operator and clients. It starts real daemons
-// beside them, loads them and measures.
 package emulator
 
 import (
@@ -17,18 +14,18 @@
 
 // Experiment is one experiment file.
 type Experiment struct {
-	Name     string    `yaml:"name"`
-	Seed     uint64    `yaml:"seed"`
-	Duration float64   `yaml:"duration_s"`
-	Ready    float64   `yaml:"ready_s"`
-	Address  string    `yaml:"address"` // first loopback address; free ones are found if there is none
-	Port     int       `yaml:"port"`    // first port of every machine; likewise
-	Fleet    FleetSpec `yaml:"fleet"`
-	Platform ListSpec  `yaml:"platform"`
-	Services []Service `yaml:"services"`
-	Kinds    []Kind    `yaml:"kinds"`
-	Troubles []Trouble `yaml:"troubles"`
-	Changes  float64   `yaml:"changes_per_minute"`
+	Name             string    `yaml:"name"`
+	Seed             uint64    `yaml:"seed"`
+	DurationS        float64   `yaml:"duration_s"`
+	ReadyS           float64   `yaml:"ready_s"`
+	Address          string    `yaml:"address"` // first loopback address; free ones are found if there is none
+	Port             int       `yaml:"port"`    // first port of every machine; likewise
+	Fleet            FleetSpec `yaml:"fleet"`
+	Platform         ListSpec  `yaml:"platform"`
+	Services         []Service `yaml:"services"`
+	Kinds            []Kind    `yaml:"kinds"`
+	Faults           []Fault   `yaml:"troubles"`
+	ChangesPerMinute float64   `yaml:"changes_per_minute"`
 }
 
 // FleetSpec tells which daemons run.
@@ -42,52 +39,52 @@
 
 // ListSpec is the platform's list.
 type ListSpec struct {
-	LagMs float64 `yaml:"lag_ms"`
-	Rate  float64 `yaml:"rate_per_s"`
-	Page  int     `yaml:"page"`
+	LagMs    float64 `yaml:"lag_ms"`
+	RatePerS float64 `yaml:"rate_per_s"`
+	Page     int     `yaml:"page"`
 }
 
 // Service is one service and its replicas.
 type Service struct {
-	Name       string      `yaml:"name"`
-	Replicas   int         `yaml:"replicas"`
-	Slots      int         `yaml:"slots"`
-	Queue      int         `yaml:"queue"`
-	WorkMs     float64     `yaml:"work_ms"`
-	Channels   int         `yaml:"max_connections"`
-	StartS     float64     `yaml:"start_s"` // a replica answers this long after its start
-	WarmupS    float64     `yaml:"warmup_s"`
-	WarmupPerS float64     `yaml:"warmup_per_s"`
-	Engine     *EngineSpec `yaml:"engine"`
+	Name           string      `yaml:"name"`
+	Replicas       int         `yaml:"replicas"`
+	Slots          int         `yaml:"slots"`
+	Queue          int         `yaml:"queue"`
+	WorkMs         float64     `yaml:"work_ms"`
+	MaxConnections int         `yaml:"max_connections"`
+	StartS         float64     `yaml:"start_s"` // a replica answers this long after its start
+	WarmupS        float64     `yaml:"warmup_s"`
+	WarmupPerS     float64     `yaml:"warmup_per_s"`
+	Engine         *EngineSpec `yaml:"engine"`
 }
 
 // EngineSpec makes a service's replicas model replicas.
 type EngineSpec struct {
-	Model   string  `yaml:"model"`
-	Memory  int     `yaml:"memory_tokens"`
-	Prefill float64 `yaml:"prefill_per_s"`
-	StepMs  float64 `yaml:"step_ms"`
-	EachMs  float64 `yaml:"step_each_ms"`
-	Chunk   int     `yaml:"chunk_tokens"`
+	Model        string  `yaml:"model"`
+	MemoryTokens int     `yaml:"memory_tokens"`
+	PrefillPerS  float64 `yaml:"prefill_per_s"`
+	StepMs       float64 `yaml:"step_ms"`
+	StepEachMs   float64 `yaml:"step_each_ms"`
+	ChunkTokens  int     `yaml:"chunk_tokens"`
 }
 
 // Kind is one kind of request.
 type Kind struct {
-	Name      string  `yaml:"name"`
-	Service   string  `yaml:"service"`
-	Type      string  `yaml:"type"` // idempotent, non_idempotent or streaming
-	PerS      float64 `yaml:"per_s"`
-	Count     int     `yaml:"count"` // at most so many; 0: for the whole duration
-	AimMs     float64 `yaml:"aim_ms"`
-	TimeoutMs float64 `yaml:"timeout_ms"`
-	GapMs     float64 `yaml:"gap_ms"`
-	Attempts  int     `yaml:"max_attempts"`
-	Resume    bool    `yaml:"resume"`
-	Bytes     int     `yaml:"body_bytes"`
-	In        int     `yaml:"tokens_in"`
-	Out       int     `yaml:"tokens_out"`
-	Prefixes  int     `yaml:"prefixes"` // different shared prefixes, each a request's first half
-	Skew      float64 `yaml:"skew"`     // Zipf exponent of their use above 1; 0: even
+	Name            string  `yaml:"name"`
+	Service         string  `yaml:"service"`
+	Type            string  `yaml:"type"` // idempotent, non_idempotent or streaming
+	PerS            float64 `yaml:"per_s"`
+	Count           int     `yaml:"count"` // at most so many; 0: for the whole duration
+	LatencyTargetMs float64 `yaml:"aim_ms"`
+	TimeoutMs       float64 `yaml:"timeout_ms"`
+	GapMs           float64 `yaml:"gap_ms"`
+	MaxAttempts     int     `yaml:"max_attempts"`
+	Resume          bool    `yaml:"resume"`
+	BodyBytes       int     `yaml:"body_bytes"`
+	TokensIn        int     `yaml:"tokens_in"`
+	TokensOut       int     `yaml:"tokens_out"`
+	Prefixes        int     `yaml:"prefixes"` // different shared prefixes, each a request's first half
+	Skew            float64 `yaml:"skew"`     // Zipf exponent of their use above 1; 0: even
 }
 
 // The types of requests.
@@ -97,23 +94,23 @@
 	typeStreaming     = "streaming"
 )
 
-// Trouble is one fault of a replica.
-type Trouble struct {
-	AtS     float64 `yaml:"at_s"`
-	ForS    float64 `yaml:"for_s"`
-	Replica string  `yaml:"replica"` // SERVICE-NUMBER, from 1
-	How     string  `yaml:"how"`
+// Fault is one fault of a replica.
+type Fault struct {
+	AtS     float64 `yaml:"at_s" json:"AtS"`
+	ForS    float64 `yaml:"for_s" json:"ForS"`
+	Replica string  `yaml:"replica" json:"Replica"` // SERVICE-NUMBER, from 1
+	Kind    string  `yaml:"how" json:"How"`
 }
 
 // The faults that a replica can have.
 const (
-	Crash = "crash" // gone; back as a new life
+	Crash = "crash" // gone; back as a new incarnation
 	Dark  = "dark"  // takes requests and does not answer
 	Grey  = "grey"  // part of its requests fail, its health is good
 	Lying = "lying" // reports that it is idle, and is slow
 	Flap  = "flap"  // down and up in turn
 	Reset = "reset" // part of its connections are reset
-	Drain = "drain" // leaves in order, comes back as a new life
+	Drain = "drain" // shuts down gracefully, comes back as a new incarnation
 	Cold  = "cold"  // reports that it has just started
 )
 
@@ -149,7 +146,7 @@
 	return errkind.Wrap(errkind.InvalidSettings, err, "experiment")
 }
 
-func millis(duration time.Duration) float64 {
+func milliseconds(duration time.Duration) float64 {
 	return float64(duration) / float64(time.Millisecond)
 }
 
@@ -166,7 +163,7 @@
 func (x *Experiment) requestCount() int {
 	count := 0
 	for _, kind := range x.Kinds {
-		count += kind.total(x.Duration)
+		count += kind.total(x.DurationS)
 	}
 	return count
 }
@@ -180,8 +177,8 @@
 	return count
 }
 
-// repeatable tells whether a request of this kind may run more than once.
-func (k *Kind) repeatable() bool {
+// isIdempotent reports whether a request of this kind may run more than once.
+func (k *Kind) isIdempotent() bool {
 	return k.Type == typeIdempotent || k.Type == typeStreaming && k.Resume
 }
 
--- a/internal/emulator/experiment_check.go
+++ b/internal/emulator/experiment_check.go
@@ -7,15 +7,20 @@
 	"shaletrestle/internal/errkind"
 )
 
-// Bounds of an experiment that are not among the constants.
+// Bounds of the size of an experiment.
 const (
+	maxDurationS        = 600    // s; longest experiment
+	maxRequests         = 200000 // requests of one experiment at most
+	maxRatePerS         = 5000   // requests a second of one kind at most
+	maxReplicas         = 2000   // replicas at most
+	maxDaemons          = 400    // daemons at most
 	maxPort             = 65535
 	maxMachineLosses    = 2
 	maxZoneDelayMs      = 1000
 	maxChangesPerMinute = 6000
 	maxBodyBytes        = 1 << 20
 	maxSkew             = 10
-	noMost              = 0 // of a number without an upper bound
+	unbounded           = 0 // of a number without an upper bound
 
 	// nameBreakers are the characters that a name must not have: names stand in
 	// paths and in quotes.
@@ -30,15 +35,15 @@
 type number struct {
 	field string
 	value float64
-	most  float64
+	max   float64
 }
 
 func (n number) check() error {
 	if !(n.value >= 0) { // also not a number
 		return badField(n.field, "must be 0 or more")
 	}
-	if n.most > 0 && n.value > n.most {
-		return errkind.New(errkind.InvalidSettings, "experiment: %s must be at most %v", n.field, n.most)
+	if n.max > 0 && n.value > n.max {
+		return errkind.New(errkind.InvalidSettings, "experiment: %s must be at most %v", n.field, n.max)
 	}
 	return nil
 }
@@ -52,7 +57,7 @@
 	return nil
 }
 
-// check refuses what can't be, and sets defaults.
+// check rejects what can't be, and sets defaults.
 func (x *Experiment) check() error {
 	services, err := x.checkServices()
 	if err != nil {
@@ -61,7 +66,7 @@
 	if err := x.checkKinds(services); err != nil {
 		return err
 	}
-	if err := x.checkTroubles(); err != nil {
+	if err := x.checkFaults(); err != nil {
 		return err
 	}
 	if err := checkNumbers(x.numbers()); err != nil {
@@ -105,12 +110,12 @@
 	return nil
 }
 
-func (x *Experiment) checkTroubles() error {
-	for _, trouble := range x.Troubles {
-		switch trouble.How {
+func (x *Experiment) checkFaults() error {
+	for _, fault := range x.Faults {
+		switch fault.Kind {
 		case Crash, Dark, Grey, Lying, Flap, Reset, Drain, Cold:
 		default:
-			return badField("troubles.how", "is not one of crash, dark, grey, lying, flap, reset, drain, cold: "+trouble.How)
+			return badField("troubles.how", "is not one of crash, dark, grey, lying, flap, reset, drain, cold: "+fault.Kind)
 		}
 	}
 	return nil
@@ -121,15 +126,15 @@
 	if x.Fleet.MachineLosses > 0 && x.Fleet.Controllers < 3 {
 		return badField("fleet.machine_losses", "needs three controllers")
 	}
-	if x.replicaCount() > yardReplicas {
+	if x.replicaCount() > maxReplicas {
 		return badField("services", "have more replicas than are allowed")
 	}
-	if x.requestCount() > yardRequests {
+	if x.requestCount() > maxRequests {
 		return badField("kinds", "ask for more requests than are allowed")
 	}
-	for _, trouble := range x.Troubles {
-		if !x.hasReplica(trouble.Replica) {
-			return badField("troubles.replica", "names none: "+trouble.Replica)
+	for _, fault := range x.Faults {
+		if !x.hasReplica(fault.Replica) {
+			return badField("troubles.replica", "names none: "+fault.Replica)
 		}
 	}
 	if x.Address != "" && !isLoopback(x.Address) {
@@ -146,17 +151,17 @@
 // numbers lists all numbers of an experiment.
 func (x *Experiment) numbers() []number {
 	numbers := []number{
-		{"duration_s", x.Duration, yardDuration},
-		{"ready_s", x.Ready, yardDuration},
-		{"port", float64(x.Port), maxPort - yardPorts},
-		{"fleet.controllers", float64(x.Fleet.Controllers), yardNodes},
-		{"fleet.routers", float64(x.Fleet.Routers), yardNodes},
+		{"duration_s", x.DurationS, maxDurationS},
+		{"ready_s", x.ReadyS, maxDurationS},
+		{"port", float64(x.Port), maxPort - portsPerMachine},
+		{"fleet.controllers", float64(x.Fleet.Controllers), maxDaemons},
+		{"fleet.routers", float64(x.Fleet.Routers), maxDaemons},
 		{"fleet.machine_losses", float64(x.Fleet.MachineLosses), maxMachineLosses},
 		{"fleet.zone_delay_ms", x.Fleet.ZoneDelayMs, maxZoneDelayMs},
-		{"platform.lag_ms", x.Platform.LagMs, noMost},
-		{"platform.rate_per_s", x.Platform.Rate, noMost},
-		{"platform.page", float64(x.Platform.Page), noMost},
-		{"changes_per_minute", x.Changes, maxChangesPerMinute},
+		{"platform.lag_ms", x.Platform.LagMs, unbounded},
+		{"platform.rate_per_s", x.Platform.RatePerS, unbounded},
+		{"platform.page", float64(x.Platform.Page), unbounded},
+		{"changes_per_minute", x.ChangesPerMinute, maxChangesPerMinute},
 	}
 	for i := range x.Services {
 		numbers = append(numbers, x.Services[i].numbers()...)
@@ -164,11 +169,11 @@
 	for i := range x.Kinds {
 		numbers = append(numbers, x.Kinds[i].numbers()...)
 	}
-	for _, trouble := range x.Troubles {
-		prefix := "troubles[" + trouble.Replica + "]."
+	for _, fault := range x.Faults {
+		prefix := "troubles[" + fault.Replica + "]."
 		numbers = append(numbers,
-			number{prefix + "at_s", trouble.AtS, yardDuration},
-			number{prefix + "for_s", trouble.ForS, yardDuration})
+			number{prefix + "at_s", fault.AtS, maxDurationS},
+			number{prefix + "for_s", fault.ForS, maxDurationS})
 	}
 	return numbers
 }
@@ -176,40 +181,40 @@
 func (s *Service) numbers() []number {
 	prefix := "services[" + s.Name + "]."
 	numbers := []number{
-		{prefix + "replicas", float64(s.Replicas), yardReplicas},
-		{prefix + "slots", float64(s.Slots), noMost},
-		{prefix + "queue", float64(s.Queue), noMost},
-		{prefix + "work_ms", s.WorkMs, noMost},
-		{prefix + "max_connections", float64(s.Channels), noMost},
-		{prefix + "start_s", s.StartS, noMost},
-		{prefix + "warmup_s", s.WarmupS, noMost},
-		{prefix + "warmup_per_s", s.WarmupPerS, noMost},
+		{prefix + "replicas", float64(s.Replicas), maxReplicas},
+		{prefix + "slots", float64(s.Slots), unbounded},
+		{prefix + "queue", float64(s.Queue), unbounded},
+		{prefix + "work_ms", s.WorkMs, unbounded},
+		{prefix + "max_connections", float64(s.MaxConnections), unbounded},
+		{prefix + "start_s", s.StartS, unbounded},
+		{prefix + "warmup_s", s.WarmupS, unbounded},
+		{prefix + "warmup_per_s", s.WarmupPerS, unbounded},
 	}
 	engine := s.Engine
 	if engine == nil {
 		return numbers
 	}
 	return append(numbers,
-		number{prefix + "engine.memory_tokens", float64(engine.Memory), noMost},
-		number{prefix + "engine.prefill_per_s", engine.Prefill, noMost},
-		number{prefix + "engine.step_ms", engine.StepMs, noMost},
-		number{prefix + "engine.step_each_ms", engine.EachMs, noMost},
-		number{prefix + "engine.chunk_tokens", float64(engine.Chunk), noMost})
+		number{prefix + "engine.memory_tokens", float64(engine.MemoryTokens), unbounded},
+		number{prefix + "engine.prefill_per_s", engine.PrefillPerS, unbounded},
+		number{prefix + "engine.step_ms", engine.StepMs, unbounded},
+		number{prefix + "engine.step_each_ms", engine.StepEachMs, unbounded},
+		number{prefix + "engine.chunk_tokens", float64(engine.ChunkTokens), unbounded})
 }
 
 func (k *Kind) numbers() []number {
 	prefix := "kinds[" + k.Name + "]."
 	return []number{
-		{prefix + "per_s", k.PerS, yardRate},
-		{prefix + "count", float64(k.Count), yardRequests},
-		{prefix + "aim_ms", k.AimMs, noMost},
-		{prefix + "timeout_ms", k.TimeoutMs, noMost},
-		{prefix + "gap_ms", k.GapMs, noMost},
-		{prefix + "max_attempts", float64(k.Attempts), noMost},
-		{prefix + "body_bytes", float64(k.Bytes), maxBodyBytes},
-		{prefix + "tokens_in", float64(k.In), noMost},
-		{prefix + "tokens_out", float64(k.Out), noMost},
-		{prefix + "prefixes", float64(k.Prefixes), noMost},
+		{prefix + "per_s", k.PerS, maxRatePerS},
+		{prefix + "count", float64(k.Count), maxRequests},
+		{prefix + "aim_ms", k.LatencyTargetMs, unbounded},
+		{prefix + "timeout_ms", k.TimeoutMs, unbounded},
+		{prefix + "gap_ms", k.GapMs, unbounded},
+		{prefix + "max_attempts", float64(k.MaxAttempts), unbounded},
+		{prefix + "body_bytes", float64(k.BodyBytes), maxBodyBytes},
+		{prefix + "tokens_in", float64(k.TokensIn), unbounded},
+		{prefix + "tokens_out", float64(k.TokensOut), unbounded},
+		{prefix + "prefixes", float64(k.Prefixes), unbounded},
 		{prefix + "skew", k.Skew, maxSkew},
 	}
 }
--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 
@@ -25,12 +26,19 @@
 	x, err := Parse([]byte(good))
 	require.NoError(t, err)
 	require.Equal(t, 1, x.Fleet.Routers)
-	require.Positive(t, x.Services[1].Engine.Prefill)
+	require.Positive(t, x.Services[1].Engine.PrefillPerS)
 	require.Equal(t, 10, x.requestCount())
 	_, err = Demo()
 	require.NoError(t, err)
 }
 
+// The keys of the lines of results are read by others.
+func TestFault_AsJSON_KeepsItsKeys(t *testing.T) {
+	got, err := json.Marshal(Fault{AtS: 1, ForS: 2, Replica: "desk-1", Kind: Grey})
+	require.NoError(t, err)
+	require.JSONEq(t, `{"AtS":1,"ForS":2,"Replica":"desk-1","How":"grey"}`, string(got))
+}
+
 func TestABadExperimentNamesWhatIsWrong(t *testing.T) {
 	for _, c := range []struct{ old, now, want string }{
 		{"name: small", "nmae: small", "field nmae not found"},
--- a/internal/emulator/hollowfleet.go
+++ b/internal/emulator/hollowfleet.go
@@ -58,9 +58,9 @@
 // is left alone before.
 func newHollowFleet(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, window time.Duration) (*hollowFleet, error) {
 	experiment := &Experiment{
-		Name:     "plant",
-		Duration: yardDuration,
-		Ready:    readyFactor * yardReadyWait.Seconds(),
+		Name:      "plant",
+		DurationS: maxDurationS,
+		ReadyS:    readyFactor * defaultReadyTimeout.Seconds(),
 		Fleet: FleetSpec{
 			Controllers:   size.Controllers,
 			Routers:       size.Nodes,
@@ -136,8 +136,8 @@
 	f.list[i] = &changed
 }
 
-// tell has a cell start or stop daemons.
-func (f *hollowFleet) tell(cell *cell, do string, daemons []*daemon) error {
+// commandCell has a cell start or stop daemons.
+func (f *hollowFleet) commandCell(cell *cell, do string, daemons []*daemon) error {
 	sent := command{Do: do, Zones: f.addresses.zones, DelayMs: f.size.DelayMs}
 	for _, daemon := range daemons {
 		sent.Daemons = append(sent.Daemons, daemonSpec{Name: daemon.name, File: daemon.file, Zone: daemon.zone})
@@ -146,8 +146,8 @@
 	return err
 }
 
-func (f *hollowFleet) tellController(index int, do string) error {
-	return f.tell(f.controllerCells[index], do, []*daemon{f.controllers[index]})
+func (f *hollowFleet) commandController(index int, do string) error {
+	return f.commandCell(f.controllerCells[index], do, []*daemon{f.controllers[index]})
 }
 
 // startAll starts everything and waits until all nodes are ready.
@@ -156,14 +156,14 @@
 		return err
 	}
 	for i := range f.controllers {
-		if err := f.tellController(i, commandStart); err != nil {
+		if err := f.commandController(i, commandStart); err != nil {
 			return err
 		}
 	}
 	if _, err := f.operator.put(f.ctx, f.size.configuration(), f.readyTimeout()); err != nil {
 		return err
 	}
-	if err := f.tell(f.nodeCell, commandStart, f.routers); err != nil {
+	if err := f.commandCell(f.nodeCell, commandStart, f.routers); err != nil {
 		return err
 	}
 	return f.awaitRouters(f.routers)
@@ -187,7 +187,7 @@
 
 // configuration is the one of a size.
 func (s fleetSize) configuration() *configuration {
-	config := &configuration{Limits: usualLimits()}
+	config := &configuration{Limits: defaultLimits()}
 	for i := range s.Routes {
 		config.RouteTable = append(config.RouteTable, s.route(i, 10000))
 	}
--- a/internal/emulator/linearfit.go
+++ b/internal/emulator/linearfit.go
@@ -29,7 +29,7 @@
 	return fit
 }
 
-// slopeError is the standard error of a slope; 0 if it can't be told.
+// slopeError is the standard error of a slope; 0 if there are too few points.
 func slopeError(x, y []float64, intercept, slope float64) float64 {
 	mean := stat.Mean(x, nil)
 	var residuals, spread float64 // sums of squares
--- a/internal/emulator/measure.go
+++ b/internal/emulator/measure.go
@@ -14,6 +14,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
+// How a fleet is measured.
+const (
+	measurementWindow = 8 * time.Second // a hollow fleet is measured this long, some twenty heartbeats of the updates, after it was left alone for half of it
+	timedChanges      = 8               // changes whose way to every node is timed
+)
+
 // values is what one point of a series measured, by name.
 type values map[string]float64
 
@@ -71,12 +77,12 @@
 // timeChanges adds how long changes take until they are in force.
 func (f *hollowFleet) timeChanges(measured values) error {
 	var times []float64 // ms
-	for i := range yardTimed {
+	for i := range timedChanges {
 		took, err := f.timeChange(i)
 		if err != nil {
 			return err
 		}
-		times = append(times, millis(took))
+		times = append(times, milliseconds(took))
 	}
 	sort.Float64s(times)
 	measured["in_force_ms_least"] = times[0]
@@ -119,4 +125,4 @@
 }
 
 // setMillis records a time.
-func (v values) setMillis(name string, took time.Duration) { v[name] = millis(took) }
+func (v values) setMillis(name string, took time.Duration) { v[name] = milliseconds(took) }
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -18,31 +18,31 @@
 type operator struct {
 	controllers []string // control addresses
 	client      *http.Client
-	revision    int64 // newest one that was taken
+	revision    int64 // newest one that was accepted
 }
 
 func newOperator(controllers []string) *operator {
 	return &operator{
 		controllers: controllers,
 		client: &http.Client{
-			Timeout:   yardDial,
+			Timeout:   dialTimeout,
 			Transport: &http.Transport{MaxIdleConnsPerHost: 1},
 		},
 	}
 }
 
-// put replaces the whole configuration.
+// put replaces the complete configuration.
 func (o *operator) put(ctx context.Context, config *configuration, timeout time.Duration) (time.Duration, error) {
 	return o.order(ctx, http.MethodPut, config, timeout)
 }
 
 // patch changes one route.
 func (o *operator) patch(ctx context.Context, route routeConfig, timeout time.Duration) (time.Duration, error) {
-	return o.order(ctx, http.MethodPatch, upsertRoute(route), timeout)
+	return o.order(ctx, http.MethodPatch, routeChange(route), timeout)
 }
 
 // order sends one change on top of the newest revision, to one controller after
-// the other, until it is taken. It gives the time of the call that was answered.
+// the other, until it is accepted. It gives the time of the call that was answered.
 func (o *operator) order(ctx context.Context, method string, config *configuration, timeout time.Duration) (time.Duration, error) {
 	config.Revision = o.revision + 1
 	body, err := json.Marshal(config)
@@ -68,11 +68,11 @@
 				break
 			}
 		}
-		if !wait.Sleep(ctx, yardLook) {
+		if !wait.Sleep(ctx, pollInterval) {
 			return 0, errInterrupted
 		}
 	}
-	return 0, errkind.New(errkind.Unavailable, "the configuration was not taken: %s", last)
+	return 0, errkind.New(errkind.Unavailable, "the configuration was not accepted: %s", last)
 }
 
 func (o *operator) request(ctx context.Context, method, controller string, body []byte) (*http.Request, error) {
@@ -89,7 +89,7 @@
 // httpStatus is the status code of an answer.
 type httpStatus int
 
-// isClass tells whether a status is of a class, as 2 for 200 to 299.
+// isClass reports whether a status is of a class, as 2 for 200 to 299.
 func (s httpStatus) isClass(class int) bool { return int(s)/100 == class }
 
 // send gives the status of the answer, and its status line and body as text.
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -20,13 +20,13 @@
 const rateWindow = time.Second
 
 // platform is the stand-in for the platform's list: it runs behind, comes in pages
-// and takes so many calls a second.
+// and allows so many calls a second.
 type platform struct {
 	spec    ListSpec
 	current func() []*state.Replica
 
 	mu          sync.Mutex
-	snapshots   []snapshot  // oldest first; the first one is what is told
+	snapshots   []snapshot  // oldest first; the first one is what is listed
 	recentCalls []time.Time // within the window
 	calls       int
 	overRate    int // calls that got 429
@@ -41,7 +41,7 @@
 func newPlatform(ctx context.Context, spec ListSpec, current func() []*state.Replica) *platform {
 	p := &platform{spec: spec, current: current}
 	p.record()
-	interval := max(yardLook, durations.FromMilliseconds(spec.LagMs)/4)
+	interval := max(pollInterval, durations.FromMilliseconds(spec.LagMs)/4)
 	go wait.Every(ctx, interval, func() bool {
 		p.record()
 		return true
@@ -49,7 +49,7 @@
 	return p
 }
 
-// record takes a snapshot and drops those that are too old to be told.
+// record takes a snapshot and drops those that are too old to be listed.
 func (p *platform) record() {
 	replicas := p.current()
 	sort.Slice(replicas, func(i, j int) bool { return replicas[i].ID < replicas[j].ID })
@@ -93,7 +93,7 @@
 	for len(p.recentCalls) > 0 && now.Sub(p.recentCalls[0]) > rateWindow {
 		p.recentCalls = p.recentCalls[1:]
 	}
-	if float64(len(p.recentCalls)) >= p.spec.Rate {
+	if float64(len(p.recentCalls)) >= p.spec.RatePerS {
 		p.overRate++
 		return nil, false
 	}
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -38,7 +38,7 @@
 		defer cancel()
 		var n atomic.Int64
 		n.Store(5)
-		p := newPlatform(ctx, ListSpec{LagMs: 400, Rate: 3, Page: 2}, func() (out []*state.Replica) {
+		p := newPlatform(ctx, ListSpec{LagMs: 400, RatePerS: 3, Page: 2}, func() (out []*state.Replica) {
 			for i := range int(n.Load()) {
 				out = append(out, &state.Replica{ID: fmt.Sprint(i), Zone: []string{"a", "b"}[i%2]})
 			}
@@ -48,7 +48,7 @@
 		n.Store(6)
 		time.Sleep(300 * time.Millisecond)
 		l, _ := ask(t, p, "?page_token=4")
-		require.Len(t, l.Replicas, 1, "the sixth is not told yet")
+		require.Len(t, l.Replicas, 1, "the sixth is not listed yet")
 		require.Nil(t, l.Next)
 		time.Sleep(300 * time.Millisecond)
 		l, _ = ask(t, p, "")
--- a/internal/emulator/plots.go
+++ b/internal/emulator/plots.go
@@ -67,7 +67,7 @@
 	drawn.Legend.Top = true
 	counts, seconds := r.outcomesBySecond()
 	var lines []any // name and points in turn
-	for _, outcome := range []string{Served, Refused, Failed} {
+	for _, outcome := range []string{Served, Rejected, Failed} {
 		var points plotter.XYs
 		for second := range seconds {
 			points = append(points, plotter.XY{X: float64(second), Y: float64(counts[outcome][second])})
@@ -77,10 +77,10 @@
 	return drawn, plotutil.AddLinePoints(drawn, lines...)
 }
 
-// outcomesBySecond counts requests by outcome and second of sending, and tells the
+// outcomesBySecond counts requests by outcome and second of sending, and gives the
 // number of seconds.
 func (r *report) outcomesBySecond() (counts map[string]map[int]int, seconds int) {
-	counts = map[string]map[int]int{Served: {}, Refused: {}, Failed: {}}
+	counts = map[string]map[int]int{Served: {}, Rejected: {}, Failed: {}}
 	last := 0
 	for _, result := range r.results {
 		second := int(result.AtMs / 1000)
--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -13,7 +13,7 @@
 // measureTarget measures the fleet of the target size, and how long it takes to come
 // back from losses.
 func measureTarget(ctx context.Context, log *slog.Logger, start newCell, output Output) ([]Point, error) {
-	return measureWhole(ctx, log, targetSize, start, output, yardWindow)
+	return measureFleetAndRecovery(ctx, log, targetSize, start, output, measurementWindow)
 }
 
 // measureFiveControllers is the same with five controllers for the same zones, as on
@@ -22,11 +22,11 @@
 	size := targetSize
 	size.Controllers = 5
 	size.Zones = targetSize.Controllers
-	return measureWhole(ctx, log, size, start, output, yardWindow)
+	return measureFleetAndRecovery(ctx, log, size, start, output, measurementWindow)
 }
 
-// measureWhole measures a fleet in use, then its recovery from several losses.
-func measureWhole(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, output Output, window time.Duration) ([]Point, error) {
+// measureFleetAndRecovery measures a fleet in use, then its recovery from several losses.
+func measureFleetAndRecovery(ctx context.Context, log *slog.Logger, size fleetSize, start newCell, output Output, window time.Duration) ([]Point, error) {
 	startedAt := time.Now()
 	fleet, err := newHollowFleet(ctx, log, size, start, window)
 	if err != nil {
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	measured.setMillis("start_of_everything_ms", startTime)
-	output.say("aim: %v", measured.text())
+	output.printf("aim: %v", measured.text())
 	if err := fleet.measureRebuilds(measured, output); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	measured.setMillis("order_taken_after_primary_lost_ms", took)
-	output.say("aim: an order was taken %.0f ms after the primary's process was ended", millis(took))
+	output.printf("aim: a change was accepted %.0f ms after the primary's process was ended", milliseconds(took))
 	return []Point{{X: float64(size.Nodes), Size: &size, Values: measured}}, nil
 }
 
@@ -78,8 +78,8 @@
 			return err
 		}
 		measured.setMillis("rebuild_"+lost.name+"_ms", took)
-		output.say("aim: %s (%d nodes, %d controllers) rebuilt in %.0f ms",
-			lost.name, len(lost.routers), len(lost.controllers), millis(took))
+		output.printf("aim: %s (%d nodes, %d controllers) rebuilt in %.0f ms",
+			lost.name, len(lost.routers), len(lost.controllers), milliseconds(took))
 	}
 	return nil
 }
@@ -115,11 +115,11 @@
 // rebuild ends nodes and controllers, starts them again and gives the time from their
 // start until all nodes are ready. The disks are kept.
 func (f *hollowFleet) rebuild(lost loss) (time.Duration, error) {
-	if err := f.tell(f.nodeCell, commandStop, lost.routers); err != nil {
+	if err := f.commandCell(f.nodeCell, commandStop, lost.routers); err != nil {
 		return 0, err
 	}
 	for _, i := range lost.controllers {
-		if err := f.tellController(i, commandStop); err != nil {
+		if err := f.commandController(i, commandStop); err != nil {
 			return 0, err
 		}
 	}
@@ -131,11 +131,11 @@
 		if err := f.writeSettings(f.controllers[i], false); err != nil {
 			return 0, err
 		}
-		if err := f.tellController(i, commandStart); err != nil {
+		if err := f.commandController(i, commandStart); err != nil {
 			return 0, err
 		}
 	}
-	if err := f.tell(f.nodeCell, commandStart, lost.routers); err != nil {
+	if err := f.commandCell(f.nodeCell, commandStart, lost.routers); err != nil {
 		return 0, err
 	}
 	if err := f.awaitRouters(lost.routers); err != nil {
@@ -144,7 +144,7 @@
 	return time.Since(start), nil
 }
 
-// losePrimary ends the primary's process and gives the time until a change is taken
+// losePrimary ends the primary's process and gives the time until a change is accepted
 // again.
 func (f *hollowFleet) losePrimary() (time.Duration, error) {
 	if !wait.Sleep(f.ctx, f.window/2) {
@@ -154,7 +154,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := f.tellController(roles[rolePrimary], commandStop); err != nil {
+	if err := f.commandController(roles[rolePrimary], commandStop); err != nil {
 		return 0, err
 	}
 	start := time.Now()
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -17,9 +17,15 @@
 	"shaletrestle/internal/state"
 )
 
+// Times of a replica and of the list about it.
+const (
+	crashListedFor     = 2 * time.Second  // a crashed replica stays on the list this long
+	replicaIdleTimeout = 15 * time.Second // a replica closes an idle connection after this
+)
+
 const healthPath = "/health"
 
-// What the platform tells of every replica made up here.
+// What the platform lists of every replica made up here.
 const (
 	softwareVersion = "v1"
 	stageDual       = "dual" // both prefill and decode
@@ -50,7 +56,7 @@
 	zone    string
 
 	mu          sync.Mutex
-	life        int // number of starts
+	incarnation int // number of starts
 	fault       string
 	state       replicaState
 	stateSince  time.Time
@@ -62,7 +68,7 @@
 	server      *http.Server
 	connections int
 	requests    int               // received, for what fails in part
-	reported    replicamodel.Load // what its report tells
+	reported    replicamodel.Load // what its report says
 	reportedAt  time.Time
 }
 
@@ -78,7 +84,7 @@
 	}
 }
 
-// start begins a new life; the first one is warm.
+// start begins a new incarnation; the first one is warm.
 func (r *Replica) start(first bool) error {
 	listener, err := listen(r.address)
 	if err != nil {
@@ -87,7 +93,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.life++
+	r.incarnation++
 	r.fault = ""
 	r.setState(replicaReady)
 	r.startedAt = now
@@ -97,19 +103,19 @@
 	}
 	r.resetModel(1)
 	r.connections = 0
-	r.server = r.newServer(r.life)
+	r.server = r.newServer(r.incarnation)
 	server := r.server
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-func (r *Replica) newServer(life int) *http.Server {
+func (r *Replica) newServer(incarnation int) *http.Server {
 	return &http.Server{
 		Handler:           r,
 		ReadHeaderTimeout: settings.HeaderTimeout,
-		IdleTimeout:       yardKeepIdle,
+		IdleTimeout:       replicaIdleTimeout,
 		ConnState: func(connection net.Conn, state http.ConnState) {
-			r.countConnection(life, connection, state)
+			r.countConnection(incarnation, connection, state)
 		},
 	}
 }
@@ -130,23 +136,23 @@
 }
 
 // countConnection counts connections and resets those beyond what the service
-// allows. Those of earlier lives are not counted.
-func (r *Replica) countConnection(life int, connection net.Conn, state http.ConnState) {
-	if r.isOverLimit(life, state) {
+// allows. Those of earlier incarnations are not counted.
+func (r *Replica) countConnection(incarnation int, connection net.Conn, state http.ConnState) {
+	if r.isOverLimit(incarnation, state) {
 		resetConnection(connection)
 	}
 }
 
-func (r *Replica) isOverLimit(life int, state http.ConnState) bool {
+func (r *Replica) isOverLimit(incarnation int, state http.ConnState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if life != r.life {
+	if incarnation != r.incarnation {
 		return false
 	}
 	switch state {
 	case http.StateNew:
 		r.connections++
-		return r.connections > r.service.Channels
+		return r.connections > r.service.MaxConnections
 	case http.StateClosed, http.StateHijacked:
 		r.connections--
 	}
@@ -161,7 +167,7 @@
 	_ = connection.Close()
 }
 
-// stop ends the life, at once.
+// stop ends the incarnation at once.
 func (r *Replica) stop() {
 	r.mu.Lock()
 	server := r.server
@@ -173,15 +179,15 @@
 	}
 }
 
-// id names the replica's life; the caller holds the lock.
-func (r *Replica) id() string { return fmt.Sprintf("i-%s-%d", r.name, r.life) }
+// id names the replica's incarnation; the caller holds the lock.
+func (r *Replica) id() string { return fmt.Sprintf("i-%s-%d", r.name, r.incarnation) }
 
 // entry is what the platform lists, nil once it has noticed that the replica is
 // gone.
 func (r *Replica) entry() *state.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.state == replicaGone && (r.life == 0 || time.Since(r.stateSince) > yardCrashSeen) {
+	if r.state == replicaGone && (r.incarnation == 0 || time.Since(r.stateSince) > crashListedFor) {
 		return nil
 	}
 	entry := &state.Replica{
@@ -192,7 +198,7 @@
 		SoftwareRevision: softwareVersion,
 		Slots:            r.service.Slots,
 		State:            string(replicaReady),
-		WarmupLeftMs:     max(0, millis(time.Until(r.warmFrom))),
+		WarmupLeftMs:     max(0, milliseconds(time.Until(r.warmFrom))),
 	}
 	if r.state == replicaDraining {
 		entry.State = string(replicaDraining)
@@ -204,7 +210,7 @@
 	return entry
 }
 
-// load is what the replica tells of its load; the caller holds the lock.
+// load is what the replica reports as its load; the caller holds the lock.
 func (r *Replica) load() replicamodel.Load {
 	if r.fault == Lying {
 		return replicamodel.Load{}
--- a/internal/emulator/replica_faults.go
+++ b/internal/emulator/replica_faults.go
@@ -7,10 +7,18 @@
 	"shaletrestle/internal/durations"
 )
 
-// trouble gives the replica a fault and takes it away at the end.
-func (r *Replica) trouble(trouble Trouble) {
-	duration := durations.FromSeconds(trouble.ForS)
-	switch trouble.How {
+// How faults show.
+const (
+	drainTime           = 3 * time.Second        // a draining replica serves on this long
+	flapPeriod          = 700 * time.Millisecond // a flapping replica is up and down in turn for this long
+	lyingSlowdown       = 8                      // a lying replica works so many times slower than it says
+	partialFailureEvery = 3                      // a grey replica fails one request in so many, one with resets likewise
+)
+
+// applyFault gives the replica a fault and takes it away at the end.
+func (r *Replica) applyFault(fault Fault) {
+	duration := durations.FromSeconds(fault.ForS)
+	switch fault.Kind {
 	case Crash:
 		r.crash(duration)
 	case Flap:
@@ -20,9 +28,9 @@
 	case Cold:
 		r.turnCold(duration)
 	case Lying:
-		r.lie(duration)
+		r.beginLying(duration)
 	default:
-		r.setFault(trouble.How)
+		r.setFault(fault.Kind)
 		wait.Sleep(r.ctx, duration)
 		r.setFault("")
 	}
@@ -45,13 +53,13 @@
 	end := time.Now().Add(duration)
 	for time.Now().Before(end) {
 		r.stop()
-		if !wait.Sleep(r.ctx, yardFlap) {
+		if !wait.Sleep(r.ctx, flapPeriod) {
 			return
 		}
 		if r.start(false) != nil {
 			return
 		}
-		if !wait.Sleep(r.ctx, yardFlap) {
+		if !wait.Sleep(r.ctx, flapPeriod) {
 			return
 		}
 	}
@@ -61,7 +69,7 @@
 	r.mu.Lock()
 	r.setState(replicaDraining)
 	r.mu.Unlock()
-	if wait.Sleep(r.ctx, yardDrain+yardLag+yardDrain/2) {
+	if wait.Sleep(r.ctx, drainTime+defaultListLag+drainTime/2) {
 		r.stop()
 	}
 	if wait.Sleep(r.ctx, duration) {
@@ -75,8 +83,8 @@
 	r.warmFrom = time.Now().Add(duration)
 }
 
-func (r *Replica) lie(duration time.Duration) {
-	r.beginFault(Lying, yardSlow)
+func (r *Replica) beginLying(duration time.Duration) {
+	r.beginFault(Lying, lyingSlowdown)
 	wait.Sleep(r.ctx, duration)
 	r.beginFault("", 1)
 }
--- a/internal/emulator/replica_http.go
+++ b/internal/emulator/replica_http.go
@@ -16,12 +16,15 @@
 	"shaletrestle/internal/upstream"
 )
 
+// reportLag is how old a replica's report is.
+const reportLag = 200 * time.Millisecond
+
 const (
 	reportPath      = "/v1/report"
 	headerReplicaID = "Replica-Id"
 	headerSeal      = "Replica-Seal"
 	headerNotRun    = "Not-Executed"
-	usualUrgency    = 5 // of a request that names none
+	defaultUrgency  = 5 // of a request that names none
 )
 
 // replicaView is a replica's state as one request finds it.
@@ -90,8 +93,8 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	r.rules.arrived(id, request.Method+" "+request.URL.RequestURI()+" "+string(body))
-	if r.fails(w, id, view.fault) {
+	r.rules.recordArrival(id, request.Method+" "+request.URL.RequestURI()+" "+string(body))
+	if r.failsInPart(w, id, view.fault) {
 		return
 	}
 	seal := "seal-" + view.id + "-" + id
@@ -99,15 +102,15 @@
 		r.generate(w, request, view.engine, id, seal)
 		return
 	}
-	r.work(w, request, view, id, seal)
+	r.serveQueued(w, request, view, id, seal)
 }
 
-// fails counts a request and lets it fail if the replica's fault makes part of them
+// failsInPart counts a request and lets it fail if the replica's fault makes part of them
 // fail and it is one of those.
-func (r *Replica) fails(w http.ResponseWriter, id, fault string) bool {
+func (r *Replica) failsInPart(w http.ResponseWriter, id, fault string) bool {
 	r.mu.Lock()
 	r.requests++
-	failing := r.requests%yardGrey == 0
+	failing := r.requests%partialFailureEvery == 0
 	r.mu.Unlock()
 	if !failing {
 		return false
@@ -120,25 +123,25 @@
 		}
 		return true
 	case Grey:
-		r.rules.ran(id, "")
+		r.rules.recordRun(id, "")
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	}
 	return false
 }
 
-// work answers after the time that the queue gives.
-func (r *Replica) work(w http.ResponseWriter, request *http.Request, view replicaView, id, seal string) {
+// serveQueued answers after the time that the queue gives.
+func (r *Replica) serveQueued(w http.ResponseWriter, request *http.Request, view replicaView, id, seal string) {
 	work := durations.FromMilliseconds(r.service.WorkMs)
 	if view.fault == Lying {
-		work *= yardSlow
+		work *= lyingSlowdown
 	}
 	end, ok := r.offer(view, work)
 	if !ok {
-		refuseFull(w)
+		rejectFull(w)
 		return
 	}
-	r.rules.ran(id, seal)
+	r.rules.recordRun(id, seal)
 	if !waitFor(request, time.Until(end)) {
 		panic(http.ErrAbortHandler)
 	}
@@ -146,7 +149,7 @@
 	_, _ = io.WriteString(w, answerTo(id))
 }
 
-// offer queues a request and tells when it will be finished.
+// offer queues a request and gives the time at which it will be finished.
 func (r *Replica) offer(view replicaView, work time.Duration) (end time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,8 +157,8 @@
 	return r.startedAt.Add(offset), ok
 }
 
-// refuseFull turns away a request that was not run.
-func refuseFull(w http.ResponseWriter) {
+// rejectFull rejects a request that was not run.
+func rejectFull(w http.ResponseWriter) {
 	w.Header().Set(headerNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -183,11 +186,11 @@
 	job, received := jobOf(request, id)
 	tokens, ok := engine.offer(job)
 	if !ok {
-		refuseFull(w)
+		rejectFull(w)
 		return
 	}
 	defer engine.done(id)
-	r.rules.ran(id, seal)
+	r.rules.recordRun(id, seal)
 	streaming := strings.Contains(request.Header.Get(headerAccept), eventStream)
 	for {
 		select {
@@ -228,7 +231,7 @@
 	received, _ = strconv.Atoi(request.Header.Get(upstream.HeaderLastEventID))
 	urgency, err := strconv.Atoi(request.Header.Get(upstream.HeaderUrgency))
 	if err != nil {
-		urgency = usualUrgency
+		urgency = defaultUrgency
 	}
 	var parts []replicamodel.Part
 	for _, part := range prefixindex.ParseParts(request.Header.Get(headerPromptPrefix)) {
@@ -285,7 +288,7 @@
 		Stage:  stageDual,
 	}
 	if engine := r.service.Engine; engine != nil {
-		report.KvTotal = engine.Memory
+		report.KvTotal = engine.MemoryTokens
 		report.Models = append(report.Models, reportedModel{Adapters: []string{}, Name: engine.Model, Revision: firstRevision})
 	}
 	httpreply.JSON(w, http.StatusOK, report)
@@ -295,7 +298,7 @@
 func (r *Replica) delayedLoad() replicamodel.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.reportedAt) >= yardReportLag {
+	if time.Since(r.reportedAt) >= reportLag {
 		r.reported = r.load()
 		r.reportedAt = time.Now()
 	}
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -10,6 +10,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// Bounds of the histograms.
+const (
+	maxLatencyMicros = 10 * 60 * 1000000 // µs; largest value of a histogram
+	histogramDigits  = 3                 // its significant digits
+)
+
 // microsPerMilli turns a histogram's values, which are in µs, into ms.
 const microsPerMilli = 1000
 
@@ -26,7 +32,7 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, yardLatencyMost, yardDigits)
+	return hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
 }
 
 // quantile is in ms.
@@ -51,7 +57,7 @@
 // The kinds of JSON lines.
 const (
 	lineRequest = "request"
-	lineTrouble = "trouble"
+	lineFault   = "trouble"
 	lineChange  = "change"
 	lineSummary = "summary"
 )
@@ -84,10 +90,10 @@
 	r.write(lineRequest, result)
 }
 
-func (r *report) trouble(trouble Trouble) {
+func (r *report) recordFault(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.write(lineTrouble, trouble)
+	r.write(lineFault, fault)
 }
 
 // changeResult is how a change of the configuration ended.
@@ -96,10 +102,10 @@
 	Ms  float64 `json:"ms"`
 }
 
-func (r *report) change(took time.Duration, err error) {
+func (r *report) recordChange(took time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	result := changeResult{Ms: millis(took)}
+	result := changeResult{Ms: milliseconds(took)}
 	if err != nil {
 		result.Err = err.Error()
 	} else {
@@ -108,7 +114,7 @@
 	r.write(lineChange, result)
 }
 
-// progress tells how many requests have ended so far, and how many were served.
+// progress gives how many requests have ended so far, and how many were served.
 func (r *report) progress() (ended, served int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +143,7 @@
 		summary.Rows = append(summary.Rows, row)
 	}
 	summary.Broken, summary.Rules = bed.rules.result()
-	summary.ListCalls, summary.ListTurned = bed.platform.counts()
+	summary.ListCalls, summary.ListCallsOverRate = bed.platform.counts()
 	r.write(lineSummary, summary)
 	return summary
 }
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -61,7 +61,7 @@
 // controllerRoles gives one controller, by its index, of each role.
 type controllerRoles map[string]int
 
-// roles tells who is what, and gives the primary's page.
+// roles gives the controllers by role and the primary's page.
 func (f *hollowFleet) roles() (controllerRoles, *controllerPage, error) {
 	for primary, controller := range f.controllers {
 		page, err := f.page(controller)
@@ -101,7 +101,7 @@
 	return roleRelay
 }
 
-// awaitPrimary waits until there is a primary and tells who is what.
+// awaitPrimary waits until there is a primary and gives the controllers by role.
 func (f *hollowFleet) awaitPrimary() (controllerRoles, error) {
 	var roles controllerRoles
 	err := await(f.ctx, f.readyTimeout(), "there was no primary", func() bool {
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -10,10 +10,10 @@
 
 // attempt is what the checker knows of one attempt of a client.
 type attempt struct {
-	once  bool   // it must not run more than once
-	sent  string // method, target and body
-	runs  int
-	seals map[string]bool // of the answers that replicas gave
+	atMostOnce bool   // it must not run more than once
+	sent       string // method, target and body
+	runs       int
+	seals      map[string]bool // of the answers that replicas gave
 }
 
 // ruleChecker checks what replicas and clients see against the rules.
@@ -28,37 +28,37 @@
 	return &ruleChecker{attempts: map[string]*attempt{}}
 }
 
-// violated records a violation; the caller holds the lock.
-func (c *ruleChecker) violated(rule, format string, args ...any) {
+// addViolation records a violation; the caller holds the lock.
+func (c *ruleChecker) addViolation(rule, format string, args ...any) {
 	c.count++
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// sent records an attempt before it leaves the client.
-func (c *ruleChecker) sent(id string, once bool, content string) {
+// recordSent records an attempt before it leaves the client.
+func (c *ruleChecker) recordSent(id string, once bool, content string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.attempts[id] = &attempt{once: once, sent: content, seals: map[string]bool{}}
+	c.attempts[id] = &attempt{atMostOnce: once, sent: content, seals: map[string]bool{}}
 }
 
-// arrived records an attempt that reached the replica that it was meant for.
-func (c *ruleChecker) arrived(id, content string) {
+// recordArrival records an attempt that reached the replica that it was meant for.
+func (c *ruleChecker) recordArrival(id, content string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	attempt := c.attempts[id]
 	switch {
 	case attempt == nil:
-		c.violated("UNASKED", "nobody sent %q", id)
+		c.addViolation("UNASKED", "nobody sent %q", id)
 	case attempt.sent != content:
-		c.violated("UNASKED", "%s came changed", id)
+		c.addViolation("UNASKED", "%s came changed", id)
 	}
 }
 
-// ran records that a replica began to work on an attempt, and the seal of its
+// recordRun records that a replica began to work on an attempt, and the seal of its
 // answer.
-func (c *ruleChecker) ran(id, seal string) {
+func (c *ruleChecker) recordRun(id, seal string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	attempt := c.attempts[id]
@@ -67,36 +67,36 @@
 	}
 	attempt.runs++
 	attempt.seals[seal] = true
-	if attempt.once && attempt.runs > 1 {
-		c.violated("TWICE", "%s ran %d times", id, attempt.runs)
+	if attempt.atMostOnce && attempt.runs > 1 {
+		c.addViolation("TWICE", "%s ran %d times", id, attempt.runs)
 	}
 }
 
-// succeeded checks a client's good answer against what replicas answered.
-func (c *ruleChecker) succeeded(id, seal string, complete bool) {
+// checkSuccess checks a client's good answer against what replicas answered.
+func (c *ruleChecker) checkSuccess(id, seal string, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	attempt := c.attempts[id]
 	if attempt == nil || !attempt.seals[seal] || !complete {
-		c.violated("MIXED", "%s got an answer that no replica gave", id)
+		c.addViolation("MIXED", "%s got an answer that no replica gave", id)
 	}
 }
 
-// refused checks a promise that an attempt did not run.
-func (c *ruleChecker) refused(id string) {
+// checkRejection checks an answer that says that an attempt did not run.
+func (c *ruleChecker) checkRejection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	attempt := c.attempts[id]
-	if attempt != nil && attempt.once && attempt.runs > 0 {
-		c.violated("REFUSED", "%s was refused and ran", id)
+	if attempt != nil && attempt.atMostOnce && attempt.runs > 0 {
+		c.addViolation("REFUSED", "%s was rejected and ran", id)
 	}
 }
 
-// outOfOrder records an event of a stream that is not the next one.
-func (c *ruleChecker) outOfOrder(request, event string, received int) {
+// recordOutOfOrder records an event of a stream that is not the next one.
+func (c *ruleChecker) recordOutOfOrder(request, event string, received int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violated("ORDER", "%s got %q after %d", request, event, received)
+	c.addViolation("ORDER", "%s got %q after %d", request, event, received)
 }
 
 // result gives how many violations there were, and the first of them.
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -12,6 +12,9 @@
 	"shaletrestle/internal/durations"
 )
 
+// progressInterval is the pause between two lines of progress.
+const progressInterval = 1 * time.Second
+
 // secondsPerMinute turns a rate by the minute into a pause in seconds.
 const secondsPerMinute = 60
 
@@ -22,7 +25,7 @@
 	Plots    string    // folder for plots
 }
 
-func (o Output) say(format string, args ...any) {
+func (o Output) printf(format string, args ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, format+"\n", args...)
 	}
@@ -31,7 +34,7 @@
 // Run starts an experiment's fleet and stand-ins, loads them, and ends everything
 // again. It ends early, with what was measured so far, when the context does.
 func Run(ctx context.Context, log *slog.Logger, experiment *Experiment, output Output) (*Summary, error) {
-	output.say("%s: %d replicas, %d controllers, %d routers in this process",
+	output.printf("%s: %d replicas, %d controllers, %d routers in this process",
 		experiment.Name, experiment.replicaCount(), experiment.Fleet.Controllers, experiment.Fleet.Routers)
 	bed, err := newTestbed(ctx, log, experiment, nil)
 	if err != nil {
@@ -41,7 +44,7 @@
 	if err := bed.awaitReplicas(); err != nil {
 		return nil, err
 	}
-	output.say("replicas answer; settings are in %s", bed.dir)
+	output.printf("replicas answer; settings are in %s", bed.dir)
 	start := time.Now()
 	if err := bed.startDaemons(); err != nil {
 		return nil, err
@@ -50,12 +53,12 @@
 	if err != nil {
 		return nil, err
 	}
-	output.say("configuration taken in %.0f ms", millis(took))
+	output.printf("configuration accepted in %.0f ms", milliseconds(took))
 	if err := bed.awaitRouters(bed.routers); err != nil {
 		return nil, err
 	}
-	output.say("routers ready %.0f ms after their start; sending %d requests over %g s",
-		millis(time.Since(start)), experiment.requestCount(), experiment.Duration)
+	output.printf("routers ready %.0f ms after their start; sending %d requests over %g s",
+		milliseconds(time.Since(start)), experiment.requestCount(), experiment.DurationS)
 	return bed.load(output), nil
 }
 
@@ -65,13 +68,13 @@
 	besideCtx, stopBeside := context.WithCancel(b.ctx)
 	defer stopBeside()
 	var besides sync.WaitGroup
-	for _, trouble := range b.experiment.Troubles {
-		besides.Go(func() { b.giveTrouble(besideCtx, report, trouble) })
+	for _, fault := range b.experiment.Faults {
+		besides.Go(func() { b.applyFaultWhenDue(besideCtx, report, fault) })
 	}
-	if b.experiment.Changes > 0 {
+	if b.experiment.ChangesPerMinute > 0 {
 		besides.Go(func() { b.changeConfiguration(besideCtx, report) })
 	}
-	besides.Go(func() { sayProgress(besideCtx, report, output) })
+	besides.Go(func() { printProgress(besideCtx, report, output) })
 	newTraffic(b.ctx, b.experiment, b.rules, b.fronts(), report.add).run()
 	interrupted := b.ctx.Err() != nil
 	stopBeside()
@@ -79,7 +82,7 @@
 	summary := report.summary(b, interrupted)
 	if output.Plots != "" {
 		if err := report.plot(b.experiment, output.Plots); err != nil {
-			output.say("no plots: %v", err)
+			output.printf("no plots: %v", err)
 		}
 	}
 	return summary
@@ -94,31 +97,31 @@
 	return addresses
 }
 
-// giveTrouble gives a replica a fault when it is due.
-func (b *testbed) giveTrouble(ctx context.Context, report *report, trouble Trouble) {
-	if !wait.Sleep(ctx, durations.FromSeconds(trouble.AtS)) {
+// applyFaultWhenDue gives a replica a fault when it is due.
+func (b *testbed) applyFaultWhenDue(ctx context.Context, report *report, fault Fault) {
+	if !wait.Sleep(ctx, durations.FromSeconds(fault.AtS)) {
 		return
 	}
-	report.trouble(trouble)
-	b.replicas[trouble.Replica].trouble(trouble)
+	report.recordFault(fault)
+	b.replicas[fault.Replica].applyFault(fault)
 }
 
 // changeConfiguration makes a small change at regular times.
 func (b *testbed) changeConfiguration(ctx context.Context, report *report) {
 	number := 0
-	pause := durations.FromSeconds(secondsPerMinute / b.experiment.Changes)
+	pause := durations.FromSeconds(secondsPerMinute / b.experiment.ChangesPerMinute)
 	wait.Every(ctx, pause, func() bool {
 		number++
 		took, err := b.operator.patch(b.ctx, b.experiment.spareRoute(number), b.readyTimeout())
-		report.change(took, err)
+		report.recordChange(took, err)
 		return true
 	})
 }
 
-func sayProgress(ctx context.Context, report *report, output Output) {
-	wait.Every(ctx, yardProgress, func() bool {
+func printProgress(ctx context.Context, report *report, output Output) {
+	wait.Every(ctx, progressInterval, func() bool {
 		ended, served := report.progress()
-		output.say("%6.1f s: %d ended, %d served", time.Since(report.start).Seconds(), ended, served)
+		output.printf("%6.1f s: %d ended, %d served", time.Since(report.start).Seconds(), ended, served)
 		return true
 	})
 }
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -30,7 +30,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
-	x.Duration = 1
+	x.DurationS = 1
 	g, err := newAddressPool("", 0)
 	require.NoError(t, err)
 	x.Address, x.Port = g.ip(0), g.port
@@ -39,7 +39,7 @@
 	s, err := Run(t.Context(), quiet(), x, Output{Lines: &lines, Progress: &progress, Plots: plots})
 	require.NoError(t, err)
 	require.Empty(t, s.Rules)
-	require.True(t, s.Whole(), "%+v\n%s", s, lines.String())
+	require.True(t, s.IsComplete(), "%+v\n%s", s, lines.String())
 	require.Len(t, s.Rows, 3)
 	require.Equal(t, x.requestCount(), strings.Count(lines.String(), `"is":"request"`))
 	require.FileExists(t, filepath.Join(plots, "latency.svg"))
@@ -90,7 +90,7 @@
 	for _, r := range s.Rows {
 		all += r.Sent
 		served += r.Served
-		require.Equal(t, r.Sent, r.Served+r.Refused+r.Failed)
+		require.Equal(t, r.Sent, r.Served+r.Rejected+r.Failed)
 	}
 	require.Equal(t, x.requestCount(), all)
 	require.Positive(t, served)
@@ -102,7 +102,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
-	x.Duration, x.Kinds[0].Count = 300, 0
+	x.DurationS, x.Kinds[0].Count = 300, 0
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	got := make(chan struct{}, 1)
@@ -113,11 +113,11 @@
 	for _, r := range s.Rows {
 		require.Equal(t, r.Sent, r.Served, "what was cut off is not counted")
 	}
-	require.False(t, s.Whole())
+	require.False(t, s.IsComplete())
 	require.Empty(t, leftovers(t))
 }
 
-// firstRequest tells when the first result was written.
+// firstRequest signals that the first result was written.
 type firstRequest chan struct{}
 
 func (f firstRequest) Write(b []byte) (int, error) {
@@ -144,7 +144,7 @@
 
 	x, err = Parse([]byte(good))
 	require.NoError(t, err)
-	x.Services[1].StartS, x.Ready = 3600, 0.05
+	x.Services[1].StartS, x.ReadyS = 3600, 0.05
 	_, err = Run(t.Context(), quiet(), x, Output{})
 	require.ErrorContains(t, err, "replica model-1 did not start within 50ms")
 	require.Empty(t, leftovers(t))
@@ -158,7 +158,7 @@
 	require.NoError(t, err)
 	defer y.close()
 	require.NoError(t, y.startDaemons())
-	_, err = y.operator.put(y.ctx, x.configuration(), yardReadyWait)
+	_, err = y.operator.put(y.ctx, x.configuration(), defaultReadyTimeout)
 	require.NoError(t, err)
 	require.NoError(t, y.awaitRouters(y.routers))
 	page, err := os.ReadFile("../../docs/metrics.md")
@@ -183,14 +183,14 @@
 
 func TestTheRuleCheckerSeesWhatIsBroken(t *testing.T) {
 	for want, f := range map[string]func(*ruleChecker){
-		"TWICE":   func(j *ruleChecker) { j.ran("a", "s1"); j.ran("a", "s2") },
-		"MIXED":   func(j *ruleChecker) { j.ran("a", "s1"); j.succeeded("a", "s2", true) },
-		"REFUSED": func(j *ruleChecker) { j.ran("a", "s1"); j.refused("a") },
-		"UNASKED": func(j *ruleChecker) { j.arrived("a", "POST /y changed") },
+		"TWICE":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.recordRun("a", "s2") },
+		"MIXED":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.checkSuccess("a", "s2", true) },
+		"REFUSED": func(j *ruleChecker) { j.recordRun("a", "s1"); j.checkRejection("a") },
+		"UNASKED": func(j *ruleChecker) { j.recordArrival("a", "POST /y changed") },
 	} {
 		j := newRuleChecker()
-		j.sent("a", true, "POST /x body")
-		j.arrived("a", "POST /x body")
+		j.recordSent("a", true, "POST /x body")
+		j.recordArrival("a", "POST /x body")
 		n, _ := j.result()
 		require.Zero(t, n)
 		f(j)
@@ -199,10 +199,10 @@
 		require.Contains(t, what[0], want)
 	}
 	j := newRuleChecker()
-	j.sent("a", false, "")
-	j.ran("a", "s1")
-	j.ran("a", "s2")
-	j.succeeded("a", "s2", true)
+	j.recordSent("a", false, "")
+	j.recordRun("a", "s1")
+	j.recordRun("a", "s2")
+	j.checkSuccess("a", "s2", true)
 	n, _ := j.result()
 	require.Zero(t, n, "what may be repeated may run again")
 }
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -61,7 +61,7 @@
 		if len(names) > 0 && !slices.Contains(names, spec.name) {
 			continue
 		}
-		measured, err := spec.measure(ctx, log, spawnCell, output, yardWindow)
+		measured, err := spec.measure(ctx, log, spawnCell, output, measurementWindow)
 		if err != nil {
 			return err
 		}
@@ -84,8 +84,8 @@
 func (s seriesSpec) measure(ctx context.Context, log *slog.Logger, start newCell, output Output, window time.Duration) (*Series, error) {
 	startedAt := time.Now()
 	measured := &Series{Name: s.name, Grows: s.grows, Made: buildDescription(), Fits: map[string]Fit{}}
-	if s.whole != nil {
-		points, err := s.whole(ctx, log, start, output)
+	if s.custom != nil {
+		points, err := s.custom(ctx, log, start, output)
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 		if err != nil {
 			return nil, err
 		}
-		output.say("%s %g: %v", s.name, x, point.Values.text())
+		output.printf("%s %g: %v", s.name, x, point.Values.text())
 		measured.Points = append(measured.Points, point)
 		if ctx.Err() != nil {
 			return nil, errInterrupted
--- a/internal/emulator/series_list.go
+++ b/internal/emulator/series_list.go
@@ -36,7 +36,7 @@
 	at        []float64
 	set       func(size *fleetSize, x float64) // sets the size of a fleet
 	component func(x float64) values           // measures a component; no fleet is needed
-	whole     func(context.Context, *slog.Logger, newCell, Output) ([]Point, error)
+	custom    func(context.Context, *slog.Logger, newCell, Output) ([]Point, error)
 }
 
 var allSeries = []seriesSpec{
@@ -93,13 +93,13 @@
 	},
 	{
 		name:      "prefixes",
-		grows:     "runs held by one index",
+		grows:     "runs in one index",
 		at:        []float64{20000, 50000, 100000, 200000},
 		component: measurePrefixes,
 	},
 	{
 		name:      "owners",
-		grows:     "routes that share one index and one pie",
+		grows:     "routes that share one index and one table of shares",
 		at:        []float64{10, 60, 120, 250},
 		component: measureOwners,
 	},
@@ -117,24 +117,24 @@
 	},
 	{
 		name:      "folding",
-		grows:     "routes in one node's book",
+		grows:     "routes in one node's state",
 		at:        []float64{50, 150, 500, 1000, 2000},
 		component: measureFolding,
 	},
 	{
 		name:      "listing",
-		grows:     "replicas in one node's book",
+		grows:     "replicas in one node's state",
 		at:        []float64{100, 400, 800, 1500},
 		component: measureListing,
 	},
 	{
-		name:  "aim",
-		grows: "nothing: the size to come, measured whole",
-		whole: measureTarget,
+		name:   "aim",
+		grows:  "nothing: the size to come, measured with its recovery",
+		custom: measureTarget,
 	},
 	{
-		name:  "five",
-		grows: "nothing: the size to come with five controllers for its 15 zones",
-		whole: measureFiveControllers,
+		name:   "five",
+		grows:  "nothing: the size to come with five controllers for its 15 zones",
+		custom: measureFiveControllers,
 	},
 }
--- a/internal/emulator/series_test.go
+++ b/internal/emulator/series_test.go
@@ -30,7 +30,7 @@
 	defer cancel()
 	start := func() (*cell, error) { return startCellHere(ctx, quiet()) }
 	z := fleetSize{Nodes: 6, Controllers: 3, Replicas: 30, Models: 3, Routes: 9, Tenants: 3, DelayMs: 1, Changes: 600, Churn: 600}
-	points, err := measureWhole(ctx, quiet(), z, start, Output{}, 300*time.Millisecond)
+	points, err := measureFleetAndRecovery(ctx, quiet(), z, start, Output{}, 300*time.Millisecond)
 	require.NoError(t, err)
 	v := points[0].Values
 	for _, k := range []string{"node_heap_kb", "node_in_bytes_per_s", "primary_out_bytes_per_s", "backup_in_bytes_per_s", "witness_heap_kb", "in_force_ms_mean", "rebuild_zone_ms", "order_taken_after_primary_lost_ms"} {
--- a/internal/emulator/testbed.go
+++ b/internal/emulator/testbed.go
@@ -20,6 +20,9 @@
 	"shaletrestle/internal/state"
 )
 
+// daemonMemoryMB is memory_mb of the daemons' settings.
+const daemonMemoryMB = 244
+
 // maxSeeds is the number of controllers that the settings name as seeds.
 const maxSeeds = 3
 
@@ -210,21 +213,21 @@
 		Seeds:        b.controlAddresses(seeds),
 		Bootstrap:    bootstrap,
 		QuorumMember: true,
-		Limits:       settings.Limits{MemoryMB: yardMemoryMB},
+		Limits:       settings.Limits{MemoryMB: daemonMemoryMB},
 		DataDir:      filepath.Join(b.dir, d.name),
 		HeartbeatMs:  1200,
 		Tolerance:    settings.Tolerance{Machines: b.experiment.Fleet.MachineLosses},
 		Bounds:       usualBounds(),
 		Cloud: settings.CloudAPI{
 			Address:  b.listAddress,
-			RatePerS: b.experiment.Platform.Rate,
+			RatePerS: b.experiment.Platform.RatePerS,
 			MaxLagMs: b.experiment.Platform.LagMs,
 		},
 		Placement: placement.Defaults(),
 	}
 }
 
-// usualBounds are the bounds that daemons are told to keep.
+// usualBounds are the bounds in the daemons' settings.
 func usualBounds() settings.Bounds {
 	return settings.Bounds{
 		ContactMs:     3000,
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -49,7 +49,7 @@
 			DisableKeepAlives:   !keepAlive,
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: idleConnections,
-			DialContext:         (&net.Dialer{Timeout: yardDial}).DialContext,
+			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		},
 	}
 }
@@ -72,7 +72,7 @@
 	random := rand.New(rand.NewPCG(t.experiment.Seed, uint64(index)))
 	prefixes := newPrefixChooser(kind, random)
 	at := t.start
-	for number := range kind.total(t.experiment.Duration) {
+	for number := range kind.total(t.experiment.DurationS) {
 		at = at.Add(durations.FromSeconds(random.ExpFloat64() / kind.PerS))
 		prefix := prefixes.next()
 		router := random.IntN(len(t.routers))
