--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -11,142 +11,198 @@
 	"strings"
 	"syscall"
 
-	"shaletrestle/internal/version"
-
 	"github.com/integrii/flaggy"
 
 	"shaletrestle/internal/emulator"
 	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/version"
 )
 
-// Exit codes.
+// exitCode is how the command ended.
+type exitCode int
+
+// The exit codes.
 const (
-	fine        = 0
-	notAll      = 1 // something was not served, or could not be done
-	badUse      = 2 // the experiment or the command line is wrong, or could not be put up
-	interrupted = 130
+	exitOK          exitCode = 0
+	exitIncomplete  exitCode = 1 // something was not served, or could not be done
+	exitUsage       exitCode = 2 // the experiment or the command line is wrong, or could not be started
+	exitInterrupted exitCode = 130
 )
 
-func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
+// logOff is a level above all that is logged.
+const logOff = slog.LevelError + 1
+
+func main() { os.Exit(int(run(os.Args[1:], os.Stdout, os.Stderr))) }
 
 // run is main without the process around it.
-func run(args []string, out, errs io.Writer) int {
+func run(args []string, out, errs io.Writer) exitCode {
+	c := command{out: out, errs: errs}
+	if err := c.parse(args); err != nil {
+		return c.fail(exitUsage, err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if c.subcommand == subcommandCell { // it ends with its input; the process that started it hears the signals
+		signal.Ignore(syscall.SIGINT)
+		return c.cell(ctx)
+	}
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	switch c.subcommand {
+	case subcommandDemo:
+		return c.experiment(ctx, emulator.Demo)
+	case subcommandRun:
+		return c.experiment(ctx, func() (*emulator.Experiment, error) { return emulator.Load(c.file) })
+	case subcommandSlopes:
+		return c.slopes(ctx)
+	}
+	fmt.Fprintln(errs, "emulator: name a subcommand: demo, run or slopes; --help tells more")
+	return exitUsage
+}
+
+// The subcommands. A cell is hidden: slopes starts it.
+const (
+	subcommandDemo   = "demo"
+	subcommandRun    = "run"
+	subcommandSlopes = "slopes"
+	subcommandCell   = "cell"
+)
+
+// command is a command line and where its output goes.
+type command struct {
+	out, errs  io.Writer
+	log        *slog.Logger
+	subcommand string   // empty: none was named
+	file       string   // of run: the experiment
+	lines      string   // of demo and run: file for the results as JSON lines; empty: none
+	plots      string   // of demo and run: folder for plots; empty: none
+	dir        string   // of slopes: folder for the data
+	series     []string // of slopes; empty: all
+}
+
+// parse reads the command line.
+func (c *command) parse(args []string) error {
 	p := flaggy.NewParser("emulator")
 	p.Description = "Emulates replicas, the platform's list, the operator and clients on loopback addresses, starts real daemons beside them in this process, loads them and measures. Exit code 0: all was served, 1: not all, 2: could not be done as asked, 130: interrupted."
 	p.Version = version.Number
 	p.ShowHelpOnUnexpected = false
-	var file, lines, plots string
 	verbose := false
 	p.Bool(&verbose, "v", "verbose", "the daemons' logs on standard error")
-	demo := flaggy.NewSubcommand("demo")
-	demo.Description = "Start a small fleet, send a few hundred requests, print what came of them."
-	exp := flaggy.NewSubcommand("run")
-	exp.Description = "Run an experiment file (docs/emulator.md)."
-	exp.AddPositionalValue(&file, "file", 1, true, "the experiment")
-	for _, c := range []*flaggy.Subcommand{demo, exp} {
-		c.String(&lines, "j", "json", "file for the results as JSON lines")
-		c.String(&plots, "p", "plots", "folder for plots (SVG and PNG)")
-		p.AttachSubcommand(c, 1)
+	subcommands := []*flaggy.Subcommand{c.demoCommand(), c.runCommand(), c.slopesCommand(), cellCommand()}
+	for _, s := range subcommands {
+		p.AttachSubcommand(s, 1)
 	}
-	dir, names := "docs/capacity", []string{}
-	slopes := flaggy.NewSubcommand("slopes")
-	slopes.Description = "Grow one quantity of a fleet of hollow nodes at a time and write what it costs as JSON."
-	slopes.String(&dir, "o", "out", "folder for the data")
-	slopes.StringSlice(&names, "s", "series", "only these; may be given more than once: "+strings.Join(emulator.SeriesNames(), ", "))
-	p.AttachSubcommand(slopes, 1)
-	held := flaggy.NewSubcommand("cell")
-	held.Description = "Hold daemons for slopes; told what to do on standard input."
-	held.Hidden = true
-	p.AttachSubcommand(held, 1)
 	if err := p.ParseArgs(args); err != nil {
-		fmt.Fprintln(errs, "emulator:", err)
-		return badUse
+		return err
 	}
-	level := slog.LevelError + 1
-	if verbose {
-		level = slog.LevelInfo
-	}
-	log := slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	if held.Used { // it ends with its input; whoever started it hears the signals
-		signal.Ignore(syscall.SIGINT)
-		if err := emulator.Cell(ctx, log, os.Stdin, out); err != nil {
-			fmt.Fprintln(errs, "emulator:", err)
-			return notAll
+	for _, s := range subcommands {
+		if s.Used {
+			c.subcommand = s.Name
 		}
-		return fine
 	}
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
-	defer signal.Stop(stop)
-	go func() {
-		select {
-		case <-stop:
-			cancel()
-		case <-ctx.Done():
-		}
-	}()
-	switch {
-	case demo.Used:
-		x, err := emulator.Demo()
-		return experiment(ctx, log, x, err, lines, plots, out, errs)
-	case exp.Used:
-		x, err := emulator.Load(file)
-		return experiment(ctx, log, x, err, lines, plots, out, errs)
+	level := logOff
+	if verbose {
+		level = slog.LevelInfo
 	}
-	if slopes.Used {
-		err := emulator.Slopes(ctx, log, names, dir, emulator.Output{Progress: out})
-		return said(ctx, err, errs)
+	c.log = slog.New(slog.NewTextHandler(c.errs, &slog.HandlerOptions{Level: level}))
+	return nil
+}
+
+func (c *command) demoCommand() *flaggy.Subcommand {
+	s := flaggy.NewSubcommand(subcommandDemo)
+	s.Description = "Start a small fleet, send a few hundred requests, print what came of them."
+	c.addResultFlags(s)
+	return s
+}
+
+func (c *command) runCommand() *flaggy.Subcommand {
+	s := flaggy.NewSubcommand(subcommandRun)
+	s.Description = "Run an experiment file (docs/emulator.md)."
+	s.AddPositionalValue(&c.file, "file", 1, true, "the experiment")
+	c.addResultFlags(s)
+	return s
+}
+
+func (c *command) addResultFlags(s *flaggy.Subcommand) {
+	s.String(&c.lines, "j", "json", "file for the results as JSON lines")
+	s.String(&c.plots, "p", "plots", "folder for plots (SVG and PNG)")
+}
+
+func (c *command) slopesCommand() *flaggy.Subcommand {
+	c.dir = "docs/capacity"
+	s := flaggy.NewSubcommand(subcommandSlopes)
+	s.Description = "Grow one quantity of a fleet of hollow nodes at a time and write what it costs as JSON."
+	s.String(&c.dir, "o", "out", "folder for the data")
+	s.StringSlice(&c.series, "s", "series", "only these; may be given more than once: "+strings.Join(emulator.SeriesNames(), ", "))
+	return s
+}
+
+func cellCommand() *flaggy.Subcommand {
+	s := flaggy.NewSubcommand(subcommandCell)
+	s.Description = "Run daemons for slopes; commands come on standard input."
+	s.Hidden = true
+	return s
+}
+
+func (c *command) cell(ctx context.Context) exitCode {
+	if err := emulator.Cell(ctx, c.log, os.Stdin, c.out); err != nil {
+		return c.fail(exitIncomplete, err)
 	}
-	fmt.Fprintln(errs, "emulator: name a subcommand: demo, run or slopes; --help tells more")
-	return badUse
+	return exitOK
+}
+
+func (c *command) slopes(ctx context.Context) exitCode {
+	err := emulator.Slopes(ctx, c.log, c.series, c.dir, emulator.Output{Progress: c.out})
+	return c.exitCodeOf(ctx, err)
 }
 
-func experiment(ctx context.Context, log *slog.Logger, x *emulator.Experiment, err error, lines, plots string, out, errs io.Writer) int {
+// experiment loads an experiment, runs it and prints its summary.
+func (c *command) experiment(ctx context.Context, load func() (*emulator.Experiment, error)) exitCode {
+	experiment, err := load()
 	if err != nil {
-		fmt.Fprintln(errs, "emulator:", err)
-		return badUse
+		return c.fail(exitUsage, err)
 	}
-	o := emulator.Output{Progress: out, Plots: plots}
-	if lines != "" {
-		f, err := os.Create(lines)
+	output := emulator.Output{Progress: c.out, Plots: c.plots}
+	if c.lines != "" {
+		f, err := os.Create(c.lines)
 		if err != nil {
-			fmt.Fprintln(errs, "emulator:", err)
-			return badUse
+			return c.fail(exitUsage, err)
 		}
 		defer func() { _ = f.Close() }()
-		o.Lines = f
+		output.Lines = f
 	}
-	s, err := emulator.Run(ctx, log, x, o)
+	summary, err := emulator.Run(ctx, c.log, experiment, output)
 	if err != nil {
-		return said(ctx, err, errs)
+		return c.exitCodeOf(ctx, err)
 	}
-	if err := s.Write(out); err != nil {
-		fmt.Fprintln(errs, "emulator:", err)
-		return notAll
+	if err := summary.Write(c.out); err != nil {
+		return c.fail(exitIncomplete, err)
 	}
 	switch {
-	case s.Interrupted:
-		return interrupted
-	case !s.IsComplete():
-		return notAll
+	case summary.Interrupted:
+		return exitInterrupted
+	case !summary.IsComplete():
+		return exitIncomplete
 	}
-	return fine
+	return exitOK
 }
 
-// said prints an error and gives the exit code that belongs to it.
-func said(ctx context.Context, err error, errs io.Writer) int {
-	switch k := errkind.KindOf(err); {
+// exitCodeOf prints an error, if there is one, and gives the exit code that belongs to it.
+func (c *command) exitCodeOf(ctx context.Context, err error) exitCode {
+	switch kind := errkind.KindOf(err); {
 	case err == nil:
-		return fine
+		return exitOK
 	case ctx.Err() != nil:
-		fmt.Fprintln(errs, "emulator: interrupted")
-		return interrupted
-	case k == errkind.InvalidSettings || k == errkind.Unavailable:
-		fmt.Fprintln(errs, "emulator:", err)
-		return badUse
+		fmt.Fprintln(c.errs, "emulator: interrupted")
+		return exitInterrupted
+	case kind == errkind.InvalidSettings || kind == errkind.Unavailable:
+		return c.fail(exitUsage, err)
 	}
-	fmt.Fprintln(errs, "emulator:", err)
-	return notAll
+	return c.fail(exitIncomplete, err)
+}
+
+// fail prints an error and passes the exit code on.
+func (c *command) fail(code exitCode, err error) exitCode {
+	fmt.Fprintln(c.errs, "emulator:", err)
+	return code
 }
