--- a/coord/attempt/attempt.go
+++ b/coord/attempt/attempt.go
@@ -1,18 +1,15 @@
-// Package attempt keeps what is known of a call that may be allowed to run only once: the state of each
-// sending of it, and the sum over all sendings of one try. Whoever sends, repeats or hands over such a
-// call asks this package and nothing else whether the call may have run.
 package attempt
 
-// State is what is known of one sending of a call.
+// State is what is known of one send of a call.
 type State uint8
 
-// The states. They only go forward: NotSent, PartlySent, Sent, and then one of the last two.
+// The states. They only go forward: NotSent, PartlySent (which may be passed over), Sent, and then one of the last two.
 const (
 	NotSent     State = iota // not one byte of the call can have left
 	PartlySent               // some of its bytes may have left, the rest never will
-	Sent                     // all of it was handed to the network, and no whole answer has come
-	NotExecuted              // the receiver promised, in a whole answer, that it has not run the call and never will
-	Answered                 // the receiver gave a whole answer that is no such promise
+	Sent                     // all of it was handed to the network, and no complete answer has come
+	NotExecuted              // the receiver promised, in a complete answer, that it has not run the call and never will
+	Answered                 // the receiver gave a complete answer that is no such promise
 )
 
 var stateNames = [...]string{"not sent", "partly sent", "sent", "not executed", "answered"}
@@ -30,8 +27,8 @@
 	return s == PartlySent || s == Sent || s == Answered
 }
 
-// follows tells whether the state may come after another one. Only a call that was sent whole can be
-// answered, so a promise never excuses a sending that broke off.
+// follows tells whether the state may come after another one. Only a call that was sent completely can be answered, so
+// that a promise never excuses a send that broke off.
 func (s State) follows(before State) bool {
 	switch before {
 	case NotSent:
@@ -45,51 +42,52 @@
 	}
 }
 
-// History sums up the sendings of one try of a caller. Its zero value is a try that was sent nowhere.
+// History sums up the sends of one attempt of a caller. Its zero value is an attempt that was sent nowhere. It is not safe
+// for concurrent use.
 type History struct {
 	current     State
-	earlierRuns bool // a sending before the current one may have run
-	sent        int  // sendings of which a byte left
+	earlierRuns bool // a send before the current one may have run
+	sends       int  // of which a byte may have left
 }
 
-// BeginSend starts another sending.
-func (t *History) BeginSend() {
-	t.earlierRuns = t.MayHaveRun()
-	t.current = NotSent
+// BeginSend starts another send, which is NotSent. What is known of the one before it stays counted.
+func (h *History) BeginSend() {
+	h.earlierRuns = h.MayHaveRun()
+	h.current = NotSent
 }
 
-// Advance brings the current sending to a state. A state that can't follow the present one is not taken
-// over: what may have run stays so.
-func (t *History) Advance(to State) {
-	if !to.follows(t.current) {
+// Advance brings the current send to a state. A state that can't follow the present one is ignored: what may have run
+// stays so.
+func (h *History) Advance(to State) {
+	if !to.follows(h.current) {
 		return
 	}
-	if t.current == NotSent {
-		t.sent++
+	if h.current == NotSent {
+		h.sends++
 	}
-	t.current = to
+	h.current = to
 }
 
-// AddRemote adds the sendings that another process made for this try.
-func (t *History) AddRemote(sent int, mayHaveRun bool) {
-	t.sent += max(0, sent)
-	t.earlierRuns = t.earlierRuns || mayHaveRun
+// AddRemote adds the sends that another process made for this attempt, and whether any of them may have run.
+func (h *History) AddRemote(sends int, mayHaveRun bool) {
+	h.sends += max(0, sends)
+	h.earlierRuns = h.earlierRuns || mayHaveRun
 }
 
-// Sends counts the sendings of which a byte may have left.
-func (t *History) Sends() int { return t.sent }
+// Sends counts the sends of which a byte may have left.
+func (h *History) Sends() int { return h.sends }
 
-// Current is the state of the newest sending.
-func (t *History) Current() State { return t.current }
+// Current is the state of the newest send.
+func (h *History) Current() State { return h.current }
 
-// MayHaveRun tells whether any sending may have run.
-func (t *History) MayHaveRun() bool { return t.earlierRuns || t.current.MayHaveRun() }
+// MayHaveRun tells whether any send may have run.
+func (h *History) MayHaveRun() bool { return h.earlierRuns || h.current.MayHaveRun() }
 
-// MayRetry tells whether the call may be sent once more: never beyond the limit, and if it is not
-// repeatable only while no sending may have run.
-func (t *History) MayRetry(repeatable bool, limit int) bool {
-	if t.sent >= limit {
+// MayRetry tells whether the call may be sent once more: never beyond the limit, in sends, and if it is not idempotent
+// only while no send may have run.
+func (h *History) MayRetry(idempotent bool, limit int) bool {
+	if h.sends >= limit {
 		return false
 	}
-	return repeatable || !t.MayHaveRun()
+	return idempotent || !h.MayHaveRun()
 }
--- a/coord/wait/wait.go
+++ b/coord/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait has waits that end with a context.
+// Package wait has waits that end with a context. Its functions have no state and are safe for concurrent use; they
+// start no goroutine.
 package wait
 
 import (
@@ -6,8 +7,8 @@
 	"time"
 )
 
-// Sleep waits for duration. It returns false at once when the context ends
-// first; a duration of zero or less returns true unless the context has ended.
+// Sleep waits for a duration and returns true, or false at once when the context ends first. A duration of zero or less
+// doesn't wait; if the context has ended as well, the result may be either.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -19,9 +20,9 @@
 	}
 }
 
-// Every calls f once each interval, the first time after one interval, until
-// the context ends or f returns false. The interval must be positive. Ticks
-// that pass while f runs are dropped.
+// Every calls f once each interval, the first time after one interval, until the context ends or f returns false. The
+// interval must be positive. Ticks that pass while f runs are dropped, but one: f may be called again at once then. It
+// may be called once more after the context has ended.
 func Every(ctx context.Context, interval time.Duration, f func() bool) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
