--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -1,37 +1,62 @@
 package calendar
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 )
 
-const file = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//x//y//EN\r\nBEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260105T080000Z\r\nDTEND:20260105T100000Z\r\nLOCATION:north\r\nSUMMARY:new racks\r\nEND:VEVENT\r\nBEGIN:VEVENT\r\nUID:2\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260106T080000Z\r\nDTEND:20260106T100000Z\r\nLOCATION:elsewhere\r\nSUMMARY:lunch\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
+// content is a calendar with a window in zone north and one elsewhere.
+const content = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//x//y//EN\r\nBEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260105T080000Z\r\nDTEND:20260105T100000Z\r\nLOCATION:north\r\nSUMMARY:new racks\r\nEND:VEVENT\r\nBEGIN:VEVENT\r\nUID:2\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260106T080000Z\r\nDTEND:20260106T100000Z\r\nLOCATION:elsewhere\r\nSUMMARY:lunch\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
 
-func write(t *testing.T, s string) string {
+// write makes a file of a calendar and gives its path.
+func write(t *testing.T, content string) string {
 	t.Helper()
-	p := filepath.Join(t.TempDir(), "c.ics")
-	require.NoError(t, os.WriteFile(p, []byte(s), 0o600))
-	return p
+	path := filepath.Join(t.TempDir(), "c.ics")
+	require.NoError(t, os.WriteFile(path, []byte(content), 0o600))
+	return path
 }
 
-func TestWindowsOfOurLocalities(t *testing.T) {
-	ws, err := Read(write(t, file), map[string]string{"north": "r", "south": "r"})
+func TestRead_EventsOfOtherZones_AreLeftOut(t *testing.T) {
+	windows, err := Read(write(t, content), map[string]string{"north": "r", "south": "r"})
 	require.NoError(t, err)
-	require.Len(t, ws, 1)
-	require.Equal(t, "new racks", ws[0].Summary)
-	at := func(h int) int { return len(OpenAt(ws, time.Date(2026, 1, 5, h, 0, 0, 0, time.UTC))) }
-	require.Equal(t, []int{0, 1, 1, 0}, []int{at(7), at(8), at(9), at(10)})
+	require.Len(t, windows, 1)
+	require.Equal(t, "north", windows[0].Zone)
+	require.Equal(t, "new racks", windows[0].Summary)
 }
 
-func TestABrokenFileIsSaid(t *testing.T) {
-	for _, s := range []string{"nonsense", "BEGIN:VCALENDAR\r\nBEGIN:VEVENT\r\nSUMMARY:no times\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"} {
-		_, err := Read(write(t, s), map[string]string{"north": "r"})
-		require.Error(t, err)
+func TestRead_CategoriesAndLists_NameZonesToo(t *testing.T) {
+	text := strings.Replace(content, "LOCATION:elsewhere", "CATEGORIES:south, north", 1)
+	windows, err := Read(write(t, text), map[string]string{"north": "r", "south": "r"})
+	require.NoError(t, err)
+	var zones []string
+	for _, window := range windows {
+		zones = append(zones, window.Zone)
+	}
+	require.Equal(t, []string{"north", "south", "north"}, zones)
+}
+
+func TestOpenAt_WindowHasItsStartAndNotItsEnd(t *testing.T) {
+	windows, err := Read(write(t, content), map[string]string{"north": "r"})
+	require.NoError(t, err)
+	for hour, want := range map[int]int{7: 0, 8: 1, 9: 1, 10: 0} {
+		require.Len(t, OpenAt(windows, time.Date(2026, 1, 5, hour, 0, 0, 0, time.UTC)), want, "at %d", hour)
+	}
+}
+
+func TestRead_BrokenFile_Fails(t *testing.T) {
+	for _, x := range []struct{ name, content string }{
+		{"no calendar", "nonsense"},
+		{"event without times", "BEGIN:VCALENDAR\r\nBEGIN:VEVENT\r\nSUMMARY:no times\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"},
+	} {
+		_, err := Read(write(t, x.content), map[string]string{"north": "r"})
+		require.ErrorContains(t, err, "calendar: ", x.name)
 	}
 	_, err := Read("/nowhere", nil)
-	require.Error(t, err)
+	require.ErrorIs(t, err, fs.ErrNotExist)
 }
--- a/internal/configcheck/check.go
+++ b/internal/configcheck/check.go
@@ -7,8 +7,8 @@
 	"shaletrestle/internal/state"
 )
 
-// Check checks a configuration against a view of the fleet, nil for none, and
-// lists the maintenance windows that are open now.
+// Check checks a whole configuration, as it would be sent, against a view of the fleet (nil: against the rules of
+// validity alone), and notes the maintenance windows that are open now.
 func Check(body []byte, view *state.View, windows []calendar.Window) *Report {
 	report := &Report{Fleet: view != nil, Findings: []Finding{}}
 	if view == nil {
@@ -20,7 +20,7 @@
 		report.Revision = doc.Revision
 	}
 	if err != nil {
-		report.add(gradeError, "configuration", "%s", err)
+		report.add(severityError, "configuration", "%s", err)
 		return report
 	}
 	if report.Fleet {
@@ -28,7 +28,7 @@
 	}
 	for _, window := range windows {
 		until := window.End.UTC().Format(time.RFC3339)
-		report.add(gradeNote, window.Zone, "maintenance until %s: %s", until, window.Summary)
+		report.add(severityNote, window.Zone, "maintenance until %s: %s", until, window.Summary)
 	}
 	return report
 }
--- a/internal/configcheck/fetch.go
+++ b/internal/configcheck/fetch.go
@@ -2,18 +2,25 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"time"
 
-	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
 )
 
-// Fetch gets a controller's view of the fleet from its state page; dial may be
-// nil for the real network.
-func FetchView(page string, timeout time.Duration, dial func(string, time.Duration) (net.Conn, error)) (*state.View, error) {
+// maxAnswerBytes bounds one answer held in memory.
+const maxAnswerBytes = 32 << 20
+
+// ErrFleetUnreachable says that the fleet's view could not be had; the error around it says why.
+var ErrFleetUnreachable = errors.New("the fleet could not be asked")
+
+// FetchView gets a controller's view of the fleet from its state page, a host and a port. dial may be nil for the real
+// network. It fails with ErrFleetUnreachable, or with an error of [state.DecodeView] if the answer is no view.
+func FetchView(page string, timeout time.Duration, dial func(address string, timeout time.Duration) (net.Conn, error)) (*state.View, error) {
 	transport := &http.Transport{DisableKeepAlives: true}
 	if dial != nil {
 		transport.DialContext = func(_ context.Context, _, address string) (net.Conn, error) {
@@ -23,15 +30,15 @@
 	client := &http.Client{Timeout: timeout, Transport: transport}
 	response, err := client.Get("http://" + page + "/fleet")
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unavailable, err, "the fleet could not be asked")
+		return nil, fmt.Errorf("%w: %w", ErrFleetUnreachable, err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unavailable, err, "the fleet could not be asked")
+		return nil, fmt.Errorf("%w: %w", ErrFleetUnreachable, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errkind.New(errkind.Unavailable, "the fleet could not be asked: answer %d", response.StatusCode)
+		return nil, fmt.Errorf("%w: answer %d", ErrFleetUnreachable, response.StatusCode)
 	}
 	return state.DecodeView(body)
 }
--- a/internal/configcheck/fleet.go
+++ b/internal/configcheck/fleet_findings.go
@@ -22,7 +22,7 @@
 		checkConnections(report, pools[name], capacity, view.FleetSize)
 	}
 	for _, zone := range sortedKeys(view.Evacuated) {
-		report.add(gradeNote, "locality "+zone, "is evacuated")
+		report.add(severityNote, "locality "+zone, "is evacuated")
 	}
 	report.sortBySubject()
 }
@@ -38,23 +38,23 @@
 		delete(removed, route.Name)
 	}
 	for name := range removed {
-		report.add(gradeWarning, "route "+name, "is removed")
+		report.add(severityWarning, "route "+name, "is removed")
 	}
 }
 
 // compareRoute reports how a route differs from its current form, nil if it is new.
 func compareRoute(report *Report, current, proposed *configpb.Route) {
-	about := "route " + proposed.Name
+	subject := "route " + proposed.Name
 	if current == nil {
-		report.add(gradeNote, about, "is new")
+		report.add(severityNote, subject, "is new")
 		return
 	}
 	before, after := servicesOf(current), servicesOf(proposed)
 	switch {
 	case fmt.Sprint(before) != fmt.Sprint(after):
-		report.add(gradeWarning, about, "changes service from %v to %v", sortedKeys(before), sortedKeys(after))
+		report.add(severityWarning, subject, "changes service from %v to %v", sortedKeys(before), sortedKeys(after))
 	case current.Hostname != proposed.Hostname || current.PathPrefix != proposed.PathPrefix:
-		report.add(gradeWarning, about, "moves from %s%s to %s%s",
+		report.add(severityWarning, subject, "moves from %s%s to %s%s",
 			current.Hostname, current.PathPrefix, proposed.Hostname, proposed.PathPrefix)
 	}
 }
@@ -110,27 +110,26 @@
 func checkReady(report *Report, service string, capacity serviceCapacity) {
 	switch {
 	case capacity.ready == 0:
-		report.add(gradeError, "service "+service, "has no ready replica")
+		report.add(severityError, "service "+service, "has no ready replica")
 	case capacity.open == 0:
-		report.add(gradeError, "service "+service, "has ready replicas in evacuated localities only")
+		report.add(severityError, "service "+service, "has ready replicas in evacuated localities only")
 	}
 }
 
-// checkConnections reports a bound of connections that is too low for the nodes
-// that share it.
+// checkConnections reports a bound of connections that is too low for the nodes that share it.
 func checkConnections(report *Report, pool *configpb.Service, capacity serviceCapacity, nodes int) {
 	bounded := capacity.open > 0 && nodes > 0 && pool.MaxConnections > 0
 	if !bounded {
 		return
 	}
-	about := "service " + pool.Name
+	subject := "service " + pool.Name
 	share := int(pool.MaxConnections) / nodes
 	slots := capacity.slots / capacity.open
 	switch {
 	case share < 1:
-		report.add(gradeError, about, "max_connections %.0f is below the %d nodes that share it", pool.MaxConnections, nodes)
+		report.add(severityError, subject, "max_connections %.0f is below the %d nodes that share it", pool.MaxConnections, nodes)
 	case share*nodes < slots:
-		report.add(gradeWarning, about, "%d connections a node to each replica cannot fill its %d slots", share, slots)
+		report.add(severityWarning, subject, "%d connections a node to each replica cannot fill its %d slots", share, slots)
 	}
 }
 
--- a/internal/configcheck/report.go
+++ b/internal/configcheck/report.go
@@ -1,5 +1,5 @@
-// Package configcheck checks a configuration against the rules of validity and
-// against the current state of the fleet.
+// Package configcheck checks a configuration against the rules of validity (package config) and against the current
+// state of the fleet, for people and programs that are about to send it. It changes nothing and keeps no state.
 package configcheck
 
 import (
@@ -9,55 +9,57 @@
 	"sort"
 )
 
-// The grades of a finding.
+// Severity tells how bad a finding is.
+type Severity string
+
+// The severities. Everything but a note is a problem.
 const (
-	gradeError   = "error"
-	gradeWarning = "warning"
-	gradeNote    = "note"
+	severityError   Severity = "error"
+	severityWarning Severity = "warning"
+	severityNote    Severity = "note"
 )
 
 // Finding is one thing that is wrong or worth knowing.
 type Finding struct {
-	Severity string `json:"grade"` // error, warning or note
-	Subject  string `json:"about"`
-	Text     string `json:"text"`
+	Severity Severity `json:"grade"`
+	Subject  string   `json:"about"` // as in "route a" or "service s"
+	Text     string   `json:"text"`
 }
 
 // Report is the result of a check.
 type Report struct {
-	Revision int64     `json:"revision"`
-	Current  int64     `json:"current_revision"`
+	Revision int64     `json:"revision"`         // of the configuration checked; 0 if it can't be read
+	Current  int64     `json:"current_revision"` // of the fleet
 	Fleet    bool      `json:"checked_against_fleet"`
 	Findings []Finding `json:"findings"`
 }
 
-// Bad tells whether there is a finding that is more than a note.
+// HasProblems tells whether there is a finding that is more than a note.
 func (r *Report) HasProblems() bool {
 	for _, finding := range r.Findings {
-		if finding.Severity != gradeNote {
+		if finding.Severity != severityNote {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Report) add(grade, about, format string, args ...any) {
+func (r *Report) add(severity Severity, subject, format string, args ...any) {
 	r.Findings = append(r.Findings, Finding{
-		Severity: grade,
-		Subject:  about,
+		Severity: severity,
+		Subject:  subject,
 		Text:     fmt.Sprintf(format, args...),
 	})
 }
 
-// sortBySubject orders the findings by what they are about and keeps the order
-// of those about the same.
+// sortBySubject orders the findings by their subject and keeps the order of those with the same.
 func (r *Report) sortBySubject() {
 	sort.SliceStable(r.Findings, func(i, j int) bool {
 		return r.Findings[i].Subject < r.Findings[j].Subject
 	})
 }
 
-// Write prints a report for people or, as JSON, for programs.
+// Write prints a report for people or, as JSON, for programs. The error is the writer's.
 func (r *Report) Write(w io.Writer, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(w)
--- a/internal/discovery/differ.go
+++ b/internal/discovery/differ.go
@@ -1,10 +1,12 @@
 package discovery
 
-import (
-	"shaletrestle/internal/state"
-)
+import "shaletrestle/internal/state"
 
-// Differ turns whole listings into changes.
+// missesUntilGone is the number of whole listings without a replica before it counts as gone: one may have been read
+// while the list changed between two pages.
+const missesUntilGone = 2
+
+// Differ turns whole listings into changes. It is for one goroutine at a time.
 type Differ struct {
 	missed map[string]int // listings in a row without a known replica, by its id
 }
@@ -12,10 +14,9 @@
 // NewDiffer makes a differ.
 func NewDiffer() *Differ { return &Differ{missed: map[string]int{}} }
 
-// Diff gives the event that turns the known replicas into the listed ones, nil
-// if nothing changed. A replica counts as gone at its second whole listing
-// without it; an empty listing changes nothing. The argument initialized tells
-// whether a listing was applied before: the first one is an event in any case.
+// Diff gives the event that turns the known replicas into the listed ones, nil if nothing changed. A replica counts as
+// gone at its second whole listing without it; an empty listing changes nothing. initialized tells whether a listing
+// was applied before: the first one is an event in any case.
 func (d *Differ) Diff(known map[string]*state.Replica, initialized bool, listed []*state.Replica) *state.UpdateReplicas {
 	if len(listed) == 0 && len(known) > 0 {
 		return nil
@@ -35,8 +36,7 @@
 	return event
 }
 
-// gone counts the listings without each known replica and gives the ids of those
-// that have been missing often enough.
+// gone counts the listings without each known replica and gives the ids of those that have been missing often enough.
 func (d *Differ) gone(known map[string]*state.Replica, seen map[string]bool) []string {
 	var gone []string
 	for id := range known {
@@ -45,7 +45,7 @@
 			continue
 		}
 		d.missed[id]++
-		if d.missed[id] >= vanishTwice {
+		if d.missed[id] >= missesUntilGone {
 			delete(d.missed, id)
 			gone = append(gone, id)
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"context"
 	"net"
 	"net/http"
 	"testing"
@@ -12,87 +11,105 @@
 	"shaletrestle/internal/state"
 )
 
-// platform answers calls over in-memory connections.
-type platform struct {
-	c     chan net.Conn
-	calls []string
-	page  func(token string) (int, string)
+// fakePlatform answers calls over in-memory connections.
+type fakePlatform struct {
+	connections chan net.Conn
+	calls       []string // request URIs
+	page        func(token string) (status int, body string)
 }
 
-func (p *platform) Accept() (net.Conn, error) {
-	if c, ok := <-p.c; ok {
-		return c, nil
+func (p *fakePlatform) Accept() (net.Conn, error) {
+	if connection, ok := <-p.connections; ok {
+		return connection, nil
 	}
 	return nil, net.ErrClosed
 }
-func (p *platform) Close() error   { return nil }
-func (p *platform) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *fakePlatform) Close() error   { return nil }
+func (p *fakePlatform) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.calls = append(p.calls, r.URL.RequestURI())
-	st, b := p.page(r.URL.Query().Get("page_token"))
-	w.WriteHeader(st)
-	_, _ = w.Write([]byte(b))
+	status, body := p.page(r.URL.Query().Get("page_token"))
+	w.WriteHeader(status)
+	_, _ = w.Write([]byte(body))
 }
 
-func read(t *testing.T, page func(string) (int, string)) ([]*state.Replica, []string, error) {
+// read reads the list of a platform with these pages and gives the calls that it took.
+func read(t *testing.T, page func(token string) (status int, body string)) (replicas []*state.Replica, calls []string, err error) {
 	t.Helper()
-	p := &platform{c: make(chan net.Conn, 4), page: page}
-	s := &http.Server{Handler: p}
-	go func() { _ = s.Serve(p) }()
-	defer func() { close(p.c); _ = s.Close() }()
-	r := NewReader("10.0.0.1:1", func(string, time.Duration) (net.Conn, error) {
-		a, b := net.Pipe()
-		p.c <- b
-		return a, nil
+	platform := &fakePlatform{connections: make(chan net.Conn, 4), page: page}
+	server := &http.Server{Handler: platform}
+	go func() { _ = server.Serve(platform) }()
+	t.Cleanup(func() { close(platform.connections); _ = server.Close() })
+	reader := NewReader("10.0.0.1:1", func(string, time.Duration) (net.Conn, error) {
+		near, far := net.Pipe()
+		platform.connections <- far
+		return near, nil
 	})
-	out, err := r.Read(context.Background())
-	return out, p.calls, err
+	replicas, err = reader.Read(t.Context())
+	return replicas, platform.calls, err
 }
 
-const one = `{"replica_id":"a","backend_pool":"p","address":"x:1","zone":"z","slots":3,"state":"ready","warmup_left_ms":0,"unknown":1}`
+const entry = `{"replica_id":"a","backend_pool":"p","address":"x:1","zone":"z","slots":3,"state":"ready","warmup_left_ms":0,"unknown":1}`
 
-func TestPagesAreReadWhole(t *testing.T) {
-	out, calls, err := read(t, func(tok string) (int, string) {
-		if tok == "" {
-			return 200, `{"replicas":[` + one + `],"next_token":"p 2"}`
+func TestReader_Pages_AreOneList(t *testing.T) {
+	replicas, calls, err := read(t, func(token string) (int, string) {
+		if token == "" {
+			return 200, `{"replicas":[` + entry + `],"next_token":"p 2"}`
 		}
 		return 200, `{"replicas":[],"next_token":null}`
 	})
 	require.NoError(t, err)
-	require.Len(t, out, 1)
+	require.Len(t, replicas, 1)
 	require.Equal(t, []string{"/replicas", "/replicas?page_token=p+2"}, calls)
 }
 
-func TestWhatCanNotBeReadIsNoList(t *testing.T) {
+func TestReader_UnusableAnswer_IsNoList(t *testing.T) {
 	for _, x := range []struct {
-		st int
-		b  string
-	}{{429, "{}"}, {500, ""}, {200, "nonsense"}, {200, "{}"}, {200, `{"replicas":null}`}, {200, `{"replicas":[{}]}`}, {200, `{"replicas":[null]}`}, {200, `{"replicas":[` + one + `],"next_token":"again"}`}} {
-		_, _, err := read(t, func(string) (int, string) { return x.st, x.b })
-		require.Error(t, err, x.b)
+		name   string
+		status int
+		body   string
+		want   error
+	}{
+		{"too many calls", 429, "{}", &StatusError{Status: 429}},
+		{"broken", 500, "", &StatusError{Status: 500}},
+		{"no JSON", 200, "nonsense", ErrInvalidPage},
+		{"no list", 200, "{}", ErrInvalidPage},
+		{"null for a list", 200, `{"replicas":null}`, ErrInvalidPage},
+		{"empty entry", 200, `{"replicas":[{}]}`, ErrIncompleteEntry},
+		{"null for an entry", 200, `{"replicas":[null]}`, ErrIncompleteEntry},
+		{"endless", 200, `{"replicas":[` + entry + `],"next_token":"again"}`, ErrEndless},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			replicas, _, err := read(t, func(string) (int, string) { return x.status, x.body })
+			require.Equal(t, x.want, err)
+			require.Nil(t, replicas)
+		})
 	}
 }
 
-func TestDiff(t *testing.T) {
-	d := NewDiffer()
+func TestDiffer_Listings_GiveTheirChanges(t *testing.T) {
+	differ := NewDiffer()
 	a, b := &state.Replica{ID: "a", State: "ready"}, &state.Replica{ID: "b", State: "ready"}
 	known := map[string]*state.Replica{}
-	e := d.Diff(known, false, []*state.Replica{a, b})
-	require.Len(t, e.Changed, 2)
+	require.Len(t, differ.Diff(known, false, []*state.Replica{a, b}).Changed, 2)
 	known["a"], known["b"] = a, b
-	require.Nil(t, d.Diff(known, true, []*state.Replica{a, b}))
-	require.Nil(t, d.Diff(known, true, nil), "an empty listing changes nothing")
-	require.Nil(t, d.Diff(known, true, []*state.Replica{a}), "missed once")
-	require.Nil(t, d.Diff(known, true, []*state.Replica{a, b}), "and back")
-	require.Nil(t, d.Diff(known, true, []*state.Replica{a}))
-	e = d.Diff(known, true, []*state.Replica{a})
-	require.Equal(t, []string{"b"}, e.Removed)
-	warm := *a
-	warm.WarmupLeftMs = 900
-	require.Len(t, d.Diff(known, true, []*state.Replica{&warm, b}).Changed, 1)
-	cooler := warm
-	cooler.WarmupLeftMs = 100
-	known["a"] = &warm
-	require.Nil(t, d.Diff(known, true, []*state.Replica{&cooler, b}), "still cold is no news")
+	require.Nil(t, differ.Diff(known, true, []*state.Replica{a, b}))
+	require.Nil(t, differ.Diff(known, true, nil), "an empty listing changes nothing")
+	require.Nil(t, differ.Diff(known, true, []*state.Replica{a}), "missed once")
+	require.Nil(t, differ.Diff(known, true, []*state.Replica{a, b}), "and back")
+	require.Nil(t, differ.Diff(known, true, []*state.Replica{a}))
+	require.Equal(t, []string{"b"}, differ.Diff(known, true, []*state.Replica{a}).Removed)
+}
+
+func TestDiffer_WarmUp_IsAChangeWhenItBeginsAndEnds(t *testing.T) {
+	differ := NewDiffer()
+	ready, b := &state.Replica{ID: "a", State: "ready"}, &state.Replica{ID: "b", State: "ready"}
+	warming, later := *ready, *ready
+	warming.WarmupLeftMs, later.WarmupLeftMs = 900, 100
+	known := map[string]*state.Replica{"a": ready, "b": b}
+	require.Len(t, differ.Diff(known, true, []*state.Replica{&warming, b}).Changed, 1)
+	known["a"] = &warming
+	require.Nil(t, differ.Diff(known, true, []*state.Replica{&later, b}), "still warming up is no change")
+	require.Len(t, differ.Diff(known, true, []*state.Replica{ready, b}).Changed, 1)
 }
--- /dev/null
+++ b/internal/discovery/errors.go
@@ -0,0 +1,21 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors of a listing that can't be used.
+var (
+	// ErrInvalidPage says that a page is not of the list's form.
+	ErrInvalidPage = errors.New("platform: page can't be read")
+	// ErrIncompleteEntry says that an entry has no id, address or service.
+	ErrIncompleteEntry = errors.New("platform: entry without id, address or service")
+	// ErrEndless says that a listing has over maxPages pages.
+	ErrEndless = errors.New("platform: the list has no end")
+)
+
+// StatusError says that the platform answered with another status than 200.
+type StatusError struct{ Status int }
+
+func (e *StatusError) Error() string { return fmt.Sprintf("platform answered %d", e.Status) }
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -1,31 +1,41 @@
-// Package discovery reads the platform's list of replicas and turns it into
-// changes of the known state.
 package discovery
 
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/url"
 	"time"
 
-	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/state"
 )
 
-// maxPages is the most pages of one listing; more is taken for an endless loop.
-const maxPages = 1000
+// ListInterval is the time between two readings of the list: the bound drain_ms, less the list's lag and the time of an
+// update, leaves room for three.
+const ListInterval = 900 * time.Millisecond
 
-// Reader calls the platform.
+const (
+	// pageTimeout bounds the call for one page.
+	pageTimeout = 700 * time.Millisecond
+	// dialTimeout bounds a dial of the platform.
+	dialTimeout = 200 * time.Millisecond
+	// maxAnswerBytes bounds one answer held in memory.
+	maxAnswerBytes = 32 << 20
+	// maxPages is the most pages of one listing; more is taken for an endless loop.
+	maxPages = 1000
+)
+
+// Reader calls the platform for its list ("GET /replicas", in pages). It holds one idle connection and may be used by
+// many goroutines.
 type Reader struct {
 	url    string
 	client *http.Client
 }
 
-// NewReader makes a reader of the list at an address; dial may be nil for the
-// real network.
+// NewReader makes a reader of the list at an address, a host and a port. dial may be nil for the real network.
 func NewReader(address string, dial func(address string, timeout time.Duration) (net.Conn, error)) *Reader {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	if dial != nil {
@@ -35,7 +45,7 @@
 	}
 	return &Reader{
 		url:    "http://" + address + "/replicas",
-		client: &http.Client{Transport: transport, Timeout: listWait},
+		client: &http.Client{Transport: transport, Timeout: pageTimeout},
 	}
 }
 
@@ -48,7 +58,8 @@
 // isLast tells whether no page follows.
 func (p *page) isLast() bool { return p.Next == nil || *p.Next == "" }
 
-// Read gives the whole list; it is an error if any page fails.
+// Read gives the whole list. If any page fails it gives none: the error is that of the call, a [StatusError], or one of
+// this package's for a list that can't be used.
 func (r *Reader) Read(ctx context.Context) ([]*state.Replica, error) {
 	var replicas []*state.Replica
 	token := ""
@@ -67,7 +78,7 @@
 		}
 		token = *page.Next
 	}
-	return nil, errkind.New(errkind.InvalidInput, "platform: the list has no end")
+	return nil, ErrEndless
 }
 
 // fetch gets the page with a token, the first one if it is empty.
@@ -78,19 +89,19 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Internal, err, "platform")
+		return nil, fmt.Errorf("platform: %w", err)
 	}
 	response, err := r.client.Do(request)
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unavailable, err, "platform")
+		return nil, fmt.Errorf("platform: %w", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	_ = response.Body.Close()
 	if err != nil {
-		return nil, errkind.Wrap(errkind.Unavailable, err, "platform")
+		return nil, fmt.Errorf("platform: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, errkind.New(errkind.Unavailable, "platform answered %d", response.StatusCode)
+		return nil, &StatusError{Status: response.StatusCode}
 	}
 	return body, nil
 }
@@ -99,11 +110,11 @@
 func parsePage(body []byte) (*page, error) {
 	parsed := &page{}
 	if err := json.Unmarshal(body, parsed); err != nil || parsed.Replicas == nil {
-		return nil, errkind.New(errkind.InvalidInput, "platform: page can't be read")
+		return nil, ErrInvalidPage
 	}
 	for _, replica := range *parsed.Replicas {
 		if replica == nil || replica.ID == "" || replica.Address == "" || replica.Pool == "" {
-			return nil, errkind.New(errkind.InvalidInput, "platform: entry without id, address or service")
+			return nil, ErrIncompleteEntry
 		}
 	}
 	return parsed, nil
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,4 +1,5 @@
-// Package errkind is the closed list of error kinds and the table from kind to answer.
+// Package errkind is the table from kinds of errors to HTTP statuses and short texts, for the edges where errors become
+// answers. What went wrong is said by typed errors of the packages where it arises; an edge gives them a kind ([With]).
 package errkind
 
 import (
@@ -7,33 +8,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is one of the closed list of error kinds.
+// Kind is one of the closed list of error kinds. It decides the status of an answer.
 type Kind int
 
-// The kinds.
+// The kinds. Overloaded, Unavailable and NotPrimary promise that nothing was run for the request.
 const (
-	None             Kind = iota
-	InvalidInput          // what was sent can't be read or is invalid
-	NoRoute               // no path for this host and target
-	BodyTooLarge          // body over the limit
-	HeaderTooLarge        // head over the limit
-	ClientTimeout         // client too slow
-	VersionConflict       // another version is current
-	NotPrimary            // another member answers this
-	Unavailable           // nobody can answer this now; nothing was run
-	Overloaded            // refused early; nothing was run
-	UpstreamFailure       // a replica failed and may have run
-	DeadlineExceeded      // the time ran out and a replica may have run
-	Internal              // our own failure
-	InvalidSettings       // settings are missing or wrong
+	None             Kind = iota // no error
+	InvalidInput                 // 400: what was sent can't be read or is invalid
+	NoRoute                      // 404: no route or call has this host and path
+	BodyTooLarge                 // 413: the body is over the limit
+	HeaderTooLarge               // 431: the header is over the limit
+	ClientTimeout                // 408: the client sends too slowly
+	VersionConflict              // 412: another revision is current
+	NotPrimary                   // 307: another member answers this
+	Unavailable                  // 503: nobody can answer this now
+	Overloaded                   // 503: rejected early by load shedding
+	UpstreamFailure              // 502: a replica failed and may have run the request
+	DeadlineExceeded             // 504: the time ran out and a replica may have run the request
+	Internal                     // 500: our own failure
+	InvalidSettings              // 500: settings are missing or wrong
 )
 
-type row struct {
+// answer is what belongs to a kind. The texts are those of answers: they stay as they are.
+type answer struct {
 	status int
-	word   string
+	text   string
 }
 
-var table = map[Kind]row{
+var answers = map[Kind]answer{
 	InvalidInput:     {http.StatusBadRequest, "bad input"},
 	NoRoute:          {http.StatusNotFound, "no such path"},
 	BodyTooLarge:     {http.StatusRequestEntityTooLarge, "body too large"},
@@ -49,59 +51,60 @@
 	InvalidSettings:  {http.StatusInternalServerError, "bad settings"},
 }
 
-type kinded struct {
+// kindedError is an error with its kind.
+type kindedError struct {
 	kind Kind
 	err  error
 }
 
-func (k *kinded) Error() string { return k.err.Error() }
-func (k *kinded) Unwrap() error { return k.err }
+func (e *kindedError) Error() string { return e.err.Error() }
+func (e *kindedError) Unwrap() error { return e.err }
 
 // New makes an error of a kind.
-func New(k Kind, format string, args ...any) error {
-	return &kinded{k, errors.Newf(format, args...)}
+func New(kind Kind, format string, args ...any) error {
+	return &kindedError{kind, errors.Newf(format, args...)}
 }
 
-// Wrap gives an error a kind and a note.
-func Wrap(k Kind, err error, note string) error {
+// Wrap gives an error a kind and puts a note before its text; nil stays nil.
+func Wrap(kind Kind, err error, note string) error {
 	if err == nil {
 		return nil
 	}
-	return &kinded{k, errors.Wrap(err, note)}
+	return &kindedError{kind, errors.Wrap(err, note)}
 }
 
-// With gives an error a kind and leaves its text as it is.
-func With(k Kind, err error) error {
+// With gives an error a kind and leaves its text as it is; nil stays nil.
+func With(kind Kind, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &kinded{k, err}
+	return &kindedError{kind, err}
 }
 
-// KindOf tells an error's kind; errors from elsewhere are Internal.
+// KindOf is the outermost kind that an error was given: None for nil, Internal for an error without one.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
 	}
-	var k *kinded
-	if errors.As(err, &k) {
-		return k.kind
+	var kinded *kindedError
+	if errors.As(err, &kinded) {
+		return kinded.kind
 	}
 	return Internal
 }
 
-// Status is the answer that belongs to a kind.
+// Status is the HTTP status that belongs to a kind.
 func (k Kind) Status() int {
-	if r, ok := table[k]; ok {
-		return r.status
+	if answer, ok := answers[k]; ok {
+		return answer.status
 	}
 	return http.StatusInternalServerError
 }
 
-// Word is the short text that belongs to a kind.
+// Text is the short text that belongs to a kind.
 func (k Kind) Text() string {
-	if r, ok := table[k]; ok {
-		return r.word
+	if answer, ok := answers[k]; ok {
+		return answer.text
 	}
 	return "unknown"
 }
--- a/internal/httpreply/httpreply.go
+++ b/internal/httpreply/httpreply.go
@@ -1,4 +1,5 @@
-// Package httpreply writes the project's own answers.
+// Package httpreply writes the project's own answers: JSON bodies, and errors with the status of their kind (package
+// errkind). Failures to write are the client's and are not reported.
 package httpreply
 
 import (
@@ -9,34 +10,31 @@
 	"shaletrestle/internal/errkind"
 )
 
-// Writer is what an answer is written to.
-type Writer = http.ResponseWriter
-
-// Fault answers an error by its kind.
-func Error(w Writer, err error) {
-	k := errkind.KindOf(err)
-	JSON(w, k.Status(), map[string]string{"error": err.Error()})
+// Error answers an error: the status of its kind, and its text under the key "error".
+func Error(w http.ResponseWriter, err error) {
+	JSON(w, errkind.KindOf(err).Status(), map[string]string{"error": err.Error()})
 }
 
-// Refuse answers with a promise that nothing was run and when to come back.
-func Reject(w Writer, k errkind.Kind, after float64) {
-	w.Header().Set("Retry-After", strconv.FormatFloat(after, 'f', -1, 64))
-	JSON(w, k.Status(), map[string]string{"error": k.Text()})
+// Reject answers with the status and text of a kind that promises that nothing was run, and says with Retry-After, in
+// seconds, when to come back.
+func Reject(w http.ResponseWriter, kind errkind.Kind, retryAfterS float64) {
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfterS, 'f', -1, 64))
+	JSON(w, kind.Status(), map[string]string{"error": kind.Text()})
 }
 
-// JSON answers with a value.
-func JSON(w Writer, status int, v any) {
-	b, err := json.Marshal(v)
+// JSON answers with a value; one that has no JSON form is a 500.
+func JSON(w http.ResponseWriter, status int, value any) {
+	body, err := json.Marshal(value)
 	if err != nil {
-		status, b = http.StatusInternalServerError, []byte(`{"error":"internal"}`)
+		status, body = http.StatusInternalServerError, []byte(`{"error":"internal"}`)
 	}
-	Bytes(w, status, b)
+	Bytes(w, status, body)
 }
 
-// Bytes answers with JSON bytes as they are.
-func Bytes(w Writer, status int, b []byte) {
+// Bytes answers with a body that is JSON already.
+func Bytes(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(b)
+	_, _ = w.Write(body)
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,5 +1,5 @@
 // Package version holds the version of the programs.
 package version
 
-// Number is what --version prints.
+// Number is the version that --version prints and that state pages show.
 const Number = "0.1.0"
