--- a/coord/outlier/aggregator_test.go
+++ b/coord/outlier/aggregator_test.go
@@ -64,14 +64,14 @@
 }
 
 func TestEvaluate_RandomFaults_NeverMoreThanPartSuspect(t *testing.T) {
-	r := rand.New(rand.NewPCG(7, 7))
+	random := rand.New(rand.NewPCG(7, 7))
 	for range 50 {
-		n := 1 + r.IntN(40)
+		n := 1 + random.IntN(40)
 		aggregator, size := NewAggregator(), map[string]int{"p": n}
 		for step := range 100 {
 			now := at(float64(step) * 0.4)
-			for range r.IntN(30) {
-				aggregator.AddReports([]Report{{fmt.Sprintf("r%d", r.IntN(n)), uint64(r.IntN(6)), r.Float64() * 3, r.Float64() * 10 * float64(r.IntN(2))}}, serviceOf, now)
+			for range random.IntN(30) {
+				aggregator.AddReports([]Report{{fmt.Sprintf("r%d", random.IntN(n)), uint64(random.IntN(6)), random.Float64() * 3, random.Float64() * 10 * float64(random.IntN(2))}}, serviceOf, now)
 			}
 			suspects := aggregator.Evaluate(size, now)
 			require.LessOrEqual(t, len(suspects.IDs), max(1, n/ejectableOneIn))
--- a/coord/outlier/detector_test.go
+++ b/coord/outlier/detector_test.go
@@ -23,12 +23,14 @@
 
 func TestRecordFailure_Timeouts_EjectionGrowsWithEpisodesAndFades(t *testing.T) {
 	detector := newTestDetector(9)
-	out := func(s float64) (d time.Duration) {
-		detector.RecordFailure("r1", Timeout, at(s))
-		for d = 0; detector.Fitness("r1", false, at(s).Add(d)) == Ejected; d += 10 * time.Millisecond {
+	out := func(second float64) time.Duration {
+		detector.RecordFailure("r1", Timeout, at(second))
+		length := time.Duration(0)
+		for detector.Fitness("r1", false, at(second).Add(length)) == Ejected {
+			length += 10 * time.Millisecond
 		}
 		detector.RecordSuccess("r1", Answer{Took: time.Millisecond, Predicted: time.Second})
-		return
+		return length
 	}
 	first, second, third := out(0), out(2), out(5)
 	require.Equal(t, FirstEjectionTime, first)
@@ -110,35 +112,35 @@
 func TestSetSuspects_OneReplica_NotEjectedButLessEvidenceNeeded(t *testing.T) {
 	detector := newTestDetector(9)
 	detector.SetSuspects([]string{"r1"}, at(0))
-	n := map[Fitness]int{}
+	counts := map[Fitness]int{}
 	for range 4000 {
-		n[detector.Fitness("r1", false, at(0.1))]++
+		counts[detector.Fitness("r1", false, at(0.1))]++
 	}
-	require.Zero(t, n[Ejected])
-	require.InDelta(t, 4000*suspectShare, n[Fit], 150)
-	clear(n)
+	require.Zero(t, counts[Ejected])
+	require.InDelta(t, 4000*suspectShare, counts[Fit], 150)
+	clear(counts)
 	for range 4000 {
-		n[detector.Fitness("r1", true, at(0.1))]++
+		counts[detector.Fitness("r1", true, at(0.1))]++
 	}
-	require.Zero(t, n[Ejected])
-	require.InDelta(t, 4000*suspectRetriableShare, n[Fit], 200)
+	require.Zero(t, counts[Ejected])
+	require.InDelta(t, 4000*suspectRetriableShare, counts[Fit], 200)
 	detector.RecordFailure("r2", Rejected, at(0.2))
 	require.Equal(t, Fit, detector.Fitness("r2", false, at(0.2)))
 	detector.RecordFailure("r1", Rejected, at(0.2))
 	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.3)))
-	h := newTestDetector(9)
-	h.SetSuspects([]string{"r1"}, at(0))
-	require.Equal(t, Fit, h.Fitness("r1", false, at(0).Add(suspicionLifetime)), "not repeated, it ends")
-	h.SetSuspects([]string{"r1"}, at(0))
-	h.SetSuspects(nil, at(0))
-	require.Equal(t, Fit, h.Fitness("r1", false, at(0.1)))
+	suspecting := newTestDetector(9)
+	suspecting.SetSuspects([]string{"r1"}, at(0))
+	require.Equal(t, Fit, suspecting.Fitness("r1", false, at(0).Add(suspicionLifetime)), "not repeated, it ends")
+	suspecting.SetSuspects([]string{"r1"}, at(0))
+	suspecting.SetSuspects(nil, at(0))
+	require.Equal(t, Fit, suspecting.Fitness("r1", false, at(0.1)))
 }
 
 func TestOverdueAfter_PredictionOrMean_FactorOfIt(t *testing.T) {
 	detector := newTestDetector(9)
-	d, ok := detector.OverdueAfter("r1", 400*time.Millisecond, time.Second)
+	after, ok := detector.OverdueAfter("r1", 400*time.Millisecond, time.Second)
 	require.True(t, ok)
-	require.Equal(t, 1600*time.Millisecond+overdueMargin, d)
+	require.Equal(t, 1600*time.Millisecond+overdueMargin, after)
 	_, ok = detector.OverdueAfter("nobody", time.Second, 0)
 	require.False(t, ok)
 	_, ok = detector.OverdueAfter("r1", 0, 0)
@@ -146,11 +148,11 @@
 	for i := range 200 {
 		detector.RecordSuccess(fmt.Sprintf("r%d", i%4), Answer{Took: 40 * time.Millisecond})
 	}
-	d, ok = detector.OverdueAfter("r8", 0, 0)
+	after, ok = detector.OverdueAfter("r8", 0, 0)
 	require.True(t, ok)
-	require.InDelta(t, 160*time.Millisecond+overdueMargin, d, float64(time.Millisecond))
-	d, _ = detector.OverdueAfter("r8", 0, time.Second)
-	require.Equal(t, 1500*time.Millisecond, d, "not before the aim is missed by half")
+	require.InDelta(t, 160*time.Millisecond+overdueMargin, after, float64(time.Millisecond))
+	after, _ = detector.OverdueAfter("r8", 0, time.Second)
+	require.Equal(t, 1500*time.Millisecond, after, "not before the aim is missed by half")
 	for range 3 {
 		detector.RecordFailure("r8", Overdue, at(0))
 		detector.RecordSuccess("r8", Answer{Took: time.Second, Predicted: time.Millisecond, Overdue: true})
@@ -200,10 +202,10 @@
 	}
 	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.5)))
 	require.Equal(t, Fit, all.Fitness("r1", false, at(0.5)))
-	h := newTestDetector(9)
-	h.RecordFailure("r1", Timeout, at(0))
-	h.RequestSent("r1")
-	h.RecordFailure("r1", StaleConnection, at(1))
-	h.RequestEnded("r1")
-	require.Equal(t, Fit, h.Fitness("r1", false, at(1)), "a trial on a stale connection says nothing")
+	trial := newTestDetector(9)
+	trial.RecordFailure("r1", Timeout, at(0))
+	trial.RequestSent("r1")
+	trial.RecordFailure("r1", StaleConnection, at(1))
+	trial.RequestEnded("r1")
+	require.Equal(t, Fit, trial.Fitness("r1", false, at(1)), "a trial on a stale connection says nothing")
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"shaletrestle/internal/prefixindex"
 	"testing"
+
+	"shaletrestle/internal/prefixindex"
 )
 
 func BenchmarkPlace(b *testing.B) {
@@ -14,28 +15,28 @@
 				index := prefixindex.NewIndex()
 				placer := NewPlacer(index)
 				placer.SetReplicas(fleet(n), nil, 0)
-				r := rand.New(rand.NewPCG(1, 2))
-				var as []*Request
+				random := rand.New(rand.NewPCG(1, 2))
+				var requests []*Request
 				for i := range 4096 {
-					a := ask(nil)
+					request := ask(nil)
 					if kind == "prompt" {
-						first := r.Uint64N(20)
-						a = ask(prefixindex.NewChain(prefixindex.RootKey("m", 1), []prefixindex.Part{{ID: first, Tokens: 340}, {ID: 100 + first*100 + r.Uint64N(100), Tokens: 500}, {ID: 1e9 + uint64(i), Tokens: 2000}}))
+						first := random.Uint64N(20)
+						request = ask(prefixindex.NewChain(prefixindex.RootKey("m", 1), []prefixindex.Part{{ID: first, Tokens: 340}, {ID: 100 + first*100 + random.Uint64N(100), Tokens: 500}, {ID: 1e9 + uint64(i), Tokens: 2000}}))
 					}
-					as = append(as, a)
+					requests = append(requests, request)
 				}
-				for _, a := range as { // homes and index as they are after a while
-					if c, ok := placer.Place(a); ok {
-						index.RecordSent(c.Replica.ID, 400000, a.Chain, "p")
-						placer.Release(&Attempt{ReplicaID: c.Replica.ID, Chain: a.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: a.MaxOutputTokens})
+				for _, request := range requests { // homes and index as they are after a while
+					if choice, ok := placer.Place(request); ok {
+						index.RecordSent(choice.Replica.ID, 400000, request.Chain, "p")
+						placer.Release(&Attempt{ReplicaID: choice.Replica.ID, Chain: request.Chain, MatchedTokens: choice.MatchedTokens, MaxOutputTokens: request.MaxOutputTokens})
 					}
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					a := as[i%len(as)]
-					c, _ := placer.Place(a)
-					placer.Release(&Attempt{ReplicaID: c.Replica.ID, Chain: a.Chain, MatchedTokens: c.MatchedTokens, MaxOutputTokens: a.MaxOutputTokens})
+					request := requests[i%len(requests)]
+					choice, _ := placer.Place(request)
+					placer.Release(&Attempt{ReplicaID: choice.Replica.ID, Chain: request.Chain, MatchedTokens: choice.MatchedTokens, MaxOutputTokens: request.MaxOutputTokens})
 				}
 			})
 		}
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -96,7 +96,7 @@
 
 func (s *selection) mayHold(id string) bool {
 	replica := s.replicas[id]
-	return replica != nil && replica.replica.Pool == s.request.Pool && s.isWarm(replica)
+	return replica != nil && replica.listed.Pool == s.request.Pool && s.isWarm(replica)
 }
 
 // addRandom adds replicas drawn from the own zone and from all, in turns.
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -29,7 +29,7 @@
 		}
 		weighed := &candidate{
 			replica:        replica,
-			matchedTokens:  placer.index.Matched(replica.replica.ID, request.Chain),
+			matchedTokens:  placer.index.Matched(replica.listed.ID, request.Chain),
 			expectedTokens: expected[replica],
 		}
 		weighed.cost = choosing.cost(weighed)
@@ -60,7 +60,7 @@
 
 // shift takes a request's own weight off a replica or puts it back.
 func shift(placer *Placer, request *Request, replica *replicaState, by int) {
-	unread := float64(request.Chain.Tokens() - placer.index.Matched(replica.replica.ID, request.Chain))
+	unread := float64(request.Chain.Tokens() - placer.index.Matched(replica.listed.ID, request.Chain))
 	replica.sent.requests += by
 	replica.sent.unreadTokens += float64(by) * unread
 	replica.sent.reservedTokens += float64(by) * float64(request.Chain.Tokens()+request.MaxOutputTokens)
@@ -168,47 +168,47 @@
 func TestPlace_HardlyAnyWarm_WarmBeforeWarmingUp(t *testing.T) {
 	placer := NewPlacer(prefixindex.NewIndex())
 	replicas := fleet(300)
-	for id, r := range replicas {
+	for id, listed := range replicas {
 		if id != "r123" {
-			r.WarmupLeftMs = 1000
+			listed.WarmupLeftMs = 1000
 		}
 	}
 	placer.SetReplicas(replicas, nil, 0)
 	for i := range 30 {
-		a := ask(nil)
+		request := ask(nil)
 		if i%2 == 0 {
-			a = ask(chain(uint64(i), 50))
+			request = ask(chain(uint64(i), 50))
 		}
-		c, ok := placer.Place(a)
+		choice, ok := placer.Place(request)
 		require.True(t, ok)
-		require.Equal(t, "r123", c.Replica.ID)
-		require.False(t, c.WarmingUp)
+		require.Equal(t, "r123", choice.Replica.ID)
+		require.False(t, choice.WarmingUp)
 	}
 	placer.Health().RecordFailure("r123", outlier.Timeout, time.Now())
-	c, ok := placer.Place(ask(chain(1, 50)))
+	choice, ok := placer.Place(ask(chain(1, 50)))
 	require.True(t, ok)
-	require.True(t, c.WarmingUp)
+	require.True(t, choice.WarmingUp)
 }
 
 func TestPlace_AllOthersExcluded_TheOneLeftIsFound(t *testing.T) {
 	placer := NewPlacer(prefixindex.NewIndex())
 	placer.SetReplicas(fleet(500), nil, 0)
-	for _, c := range []*prefixindex.Chain{nil, chain(3, 50)} {
-		a := ask(c)
+	for _, prompt := range []*prefixindex.Chain{nil, chain(3, 50)} {
+		request := ask(prompt)
 		for id := range fleet(500) {
 			if id != "r77" {
-				a.Excluded[id] = true
+				request.Excluded[id] = true
 			}
 		}
-		got, ok := placer.Place(a)
+		got, ok := placer.Place(request)
 		require.True(t, ok)
 		require.Equal(t, "r77", got.Replica.ID)
-		a.Excluded["r77"] = true
-		_, ok = placer.Place(a)
+		request.Excluded["r77"] = true
+		_, ok = placer.Place(request)
 		require.False(t, ok)
-		a.Excluded = nil
-		a.AllowsZone = func(zone string) bool { return zone == "b" }
-		got, ok = placer.Place(a)
+		request.Excluded = nil
+		request.AllowsZone = func(zone string) bool { return zone == "b" }
+		got, ok = placer.Place(request)
 		require.True(t, ok)
 		require.Equal(t, "b", got.Replica.Zone)
 	}
@@ -218,12 +218,12 @@
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(3), nil, 0)
-	c := chain(7, 100)
+	prompt := chain(7, 100)
 	hold := func(id string) {
 		for range prefixindex.MinSightings {
-			index.RecordSent(id, 100000, c, "p")
+			index.RecordSent(id, 100000, prompt, "p")
 		}
-		require.NotZero(t, index.Matched(id, c))
+		require.NotZero(t, index.Matched(id, prompt))
 	}
 	for _, id := range []string{"r0", "r1", "r2"} {
 		hold(id)
@@ -232,37 +232,37 @@
 	replicas["r0"].Models = []state.Model{{Name: "m", Revision: 2}}
 	replicas["r1"].State = "draining"
 	placer.SetReplicas(replicas, map[string]bool{"c": true}, 0)
-	require.Zero(t, index.Matched("r0", c), "other weights")
-	require.Zero(t, index.Matched("r1", c), "it will not come back")
-	require.NotZero(t, index.Matched("r2", c), "an evacuated zone comes back with what it held")
+	require.Zero(t, index.Matched("r0", prompt), "other weights")
+	require.Zero(t, index.Matched("r1", prompt), "it will not come back")
+	require.NotZero(t, index.Matched("r2", prompt), "an evacuated zone comes back with what it held")
 	placer.Health().RecordFailure("r2", outlier.Timeout, time.Now())
-	require.NotZero(t, index.Matched("r2", c), "a failure says nothing of what is held")
+	require.NotZero(t, index.Matched("r2", prompt), "a failure says nothing of what is held")
 	placer.MarkMisaddressed("r2")
-	require.Zero(t, index.Matched("r2", c), "another is at its address")
+	require.Zero(t, index.Matched("r2", prompt), "another is at its address")
 	require.Equal(t, 1, placer.OpenCount("p"))
 	hold("r0")
 	delete(replicas, "r0")
 	replicas["r0b"] = &state.Replica{ID: "r0b", Pool: "p", State: "ready", Zone: "a", Slots: 8}
 	placer.SetReplicas(replicas, nil, 0)
-	require.Zero(t, index.Matched("r0", c))
-	require.Zero(t, index.Matched("r0b", c), "a new incarnation holds nothing")
+	require.Zero(t, index.Matched("r0", prompt))
+	require.Zero(t, index.Matched("r0b", prompt), "a new incarnation holds nothing")
 }
 
 func TestUpdateLoad_MemoryTaken_IndexEvicts(t *testing.T) {
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(1), nil, 0)
-	c := chain(7, 100)
+	prompt := chain(7, 100)
 	for range prefixindex.MinSightings {
-		_, _ = placer.Place(ask(c))
-		index.RecordSent("r0", 4000, c, "p")
+		_, _ = placer.Place(ask(prompt))
+		index.RecordSent("r0", 4000, prompt, "p")
 	}
-	require.NotZero(t, index.Matched("r0", c))
+	require.NotZero(t, index.Matched("r0", prompt))
 	placer.mu.Lock()
 	placer.pools["p"].meanHeldTokens = 600
 	placer.mu.Unlock()
 	placer.UpdateLoad("r0", LoadReport{Running: 2, Slots: 8})
-	require.NotZero(t, index.Matched("r0", c))
+	require.NotZero(t, index.Matched("r0", prompt))
 	placer.UpdateLoad("r0", LoadReport{Running: 8, Slots: 8})
-	require.Zero(t, index.Matched("r0", c))
+	require.Zero(t, index.Matched("r0", prompt))
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -57,7 +57,7 @@
 		terms.ActiveRequest = s.options.ActiveWeight * (running + waiting)
 	}
 	terms.PrefillScale = s.options.PrefillLoadScale * replica.speed.relativePrefillTime()
-	if replica.replica.Zone != s.request.Zone {
+	if replica.listed.Zone != s.request.Zone {
 		terms.ActivePrefill += s.options.OtherZoneBlocks
 	}
 	return terms
--- a/internal/placement/fleetload_test.go
+++ b/internal/placement/fleetload_test.go
@@ -22,9 +22,9 @@
 		require.True(t, ok)
 		here.Release(&Attempt{ReplicaID: home.Replica.ID, Chain: short().Chain})
 		for range 40 { // another node's prompts, all for the same home
-			a := ask(chain(7, 6000))
-			a.CapacityTokens = 1 << 30
-			there.replicas[home.Replica.ID].sent.unreadTokens += float64(a.Chain.Tokens())
+			request := ask(chain(7, 6000))
+			request.CapacityTokens = 1 << 30
+			there.replicas[home.Replica.ID].sent.unreadTokens += float64(request.Chain.Tokens())
 		}
 		sum.Put(1, here.PendingPrefill(), time.Now())
 		sum.Put(2, there.PendingPrefill(), time.Now())
@@ -47,15 +47,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		placer := NewPlacer(prefixindex.NewIndex())
 		placer.SetReplicas(fleet(9), nil, 0)
-		b := placer.replicas["r3"]
-		b.sent.unreadTokens = 50000
+		replica := placer.replicas["r3"]
+		replica.sent.unreadTokens = 50000
 		loads := placer.PendingPrefill()
 		require.Equal(t, []loadsum.Load{{Key: loadsum.Key("r3"), Tokens: 50000}}, loads)
 		placer.UpdateFleetLoad(loads)
-		require.Zero(t, b.otherNodesTokens(time.Now()), "they are this process's own")
+		require.Zero(t, replica.otherNodesTokens(time.Now()), "they are this process's own")
 		placer.UpdateFleetLoad([]loadsum.Load{{Key: loadsum.Key("r4"), Tokens: 70000}, {Key: loadsum.Key("r3"), Tokens: 60000}, {Key: 12345, Tokens: 1}})
 		require.InDelta(t, 70000, placer.replicas["r4"].otherNodesTokens(time.Now()), 1)
-		require.InDelta(t, 10000, b.otherNodesTokens(time.Now()), 1)
+		require.InDelta(t, 10000, replica.otherNodesTokens(time.Now()), 1)
 		time.Sleep(fleetLoadLifetime / 2)
 		require.InDelta(t, 35000, placer.replicas["r4"].otherNodesTokens(time.Now()), 1)
 		placer.UpdateFleetLoad(nil)
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -84,10 +84,10 @@
 		if p.evacuated[listed.Zone] && !evacuated[listed.Zone] {
 			known.warmup.until = time.Now().Add(warmupAfterEvacuation)
 		}
-		if previous := known.replica; previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models) {
+		if previous := known.listed; previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models) {
 			p.index.Forget(id) // other weights: nothing that it holds is of use
 		}
-		known.replica, known.evacuated = listed, evacuated[listed.Zone]
+		known.listed, known.evacuated = listed, evacuated[listed.Zone]
 		holds[id], services[id] = listed.State == stateReady, listed.Pool
 		pools[listed.Pool] = append(pools[listed.Pool], known)
 	}
@@ -115,7 +115,7 @@
 			updated = &pool{}
 			p.pools[name] = updated
 		}
-		sort.Slice(replicas, func(i, j int) bool { return replicas[i].replica.ID < replicas[j].replica.ID })
+		sort.Slice(replicas, func(i, j int) bool { return replicas[i].listed.ID < replicas[j].listed.ID })
 		updated.setMembers(replicas)
 		updated.refreshOpen()
 	}
@@ -177,7 +177,7 @@
 // commit counts a request as sent to the chosen replica.
 func (p *Placer) commit(request *Request, pool *pool, chosen selected, now time.Time) Choice {
 	choice := chosen.choice
-	choice.Replica = chosen.replica.replica
+	choice.Replica = chosen.replica.listed
 	if chosen.replica.isWarmingUp(now) {
 		choice.WarmingUp = true
 		chosen.replica.warmup.next = now.Add(durations.FromSeconds(1 / chosen.warmupRate))
@@ -260,7 +260,7 @@
 		return
 	}
 	replica.reported = reportedLoad{LoadReport: report, at: time.Now()}
-	if pool := p.pools[replica.replica.Pool]; pool != nil && report.Slots > 0 {
+	if pool := p.pools[replica.listed.Pool]; pool != nil && report.Slots > 0 {
 		pool.observeReport(report)
 		p.index.ReserveTokens(id, report.Running*pool.meanHeldTokens)
 	}
@@ -285,7 +285,7 @@
 	}
 	replica.misaddressed = true
 	p.index.Forget(id)
-	if pool := p.pools[replica.replica.Pool]; pool != nil {
+	if pool := p.pools[replica.listed.Pool]; pool != nil {
 		pool.refreshOpen()
 	}
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -15,20 +15,20 @@
 )
 
 func fleet(n int) map[string]*state.Replica {
-	m := map[string]*state.Replica{}
+	replicas := map[string]*state.Replica{}
 	for i := range n {
 		id := fmt.Sprintf("r%d", i)
-		m[id] = &state.Replica{ID: id, Pool: "p", State: "ready", Zone: string(rune('a' + i%3)), Slots: 8}
+		replicas[id] = &state.Replica{ID: id, Pool: "p", State: "ready", Zone: string(rune('a' + i%3)), Slots: 8}
 	}
-	return m
+	return replicas
 }
 
 func chain(doc uint64, own int) *prefixindex.Chain {
 	return prefixindex.NewChain(prefixindex.RootKey("m", 1), []prefixindex.Part{{ID: 1, Tokens: 100}, {ID: doc, Tokens: 2000}, {ID: uint64(time.Now().UnixNano()), Tokens: own}})
 }
 
-func ask(c *prefixindex.Chain) *Request {
-	return &Request{Pool: "p", Zone: "a", Chain: c, CapacityTokens: 100000, LatencyTarget: 800 * time.Millisecond, Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 2 }}
+func ask(prompt *prefixindex.Chain) *Request {
+	return &Request{Pool: "p", Zone: "a", Chain: prompt, CapacityTokens: 100000, LatencyTarget: 800 * time.Millisecond, Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 2 }}
 }
 
 func TestPlace_SeveralNodes_AgreeOnHomes(t *testing.T) {
@@ -37,12 +37,12 @@
 		for range 4 {
 			placer := NewPlacer(prefixindex.NewIndex())
 			placer.SetReplicas(fleet(9), nil, 0)
-			c, ok := placer.Place(ask(chain(doc+10, 50)))
+			choice, ok := placer.Place(ask(chain(doc+10, 50)))
 			require.True(t, ok)
 			if at == "" {
-				at = c.Replica.ID
+				at = choice.Replica.ID
 			}
-			require.Equal(t, at, c.Replica.ID)
+			require.Equal(t, at, choice.Replica.ID)
 		}
 	}
 }
@@ -50,13 +50,13 @@
 func TestPlace_HomeFull_AnotherChosen(t *testing.T) {
 	placer := NewPlacer(prefixindex.NewIndex())
 	placer.SetReplicas(fleet(9), nil, 0)
-	a := ask(chain(7, 50))
-	home, _ := placer.Place(a)
+	request := ask(chain(7, 50))
+	home, _ := placer.Place(request)
 	placer.UpdateLoad(home.Replica.ID, LoadReport{Running: 8, Slots: 8})
-	next, _ := placer.Place(a)
+	next, _ := placer.Place(request)
 	require.NotEqual(t, home.Replica.ID, next.Replica.ID)
 	placer.UpdateLoad(home.Replica.ID, LoadReport{Running: 1, Slots: 8})
-	again, _ := placer.Place(a)
+	again, _ := placer.Place(request)
 	require.Equal(t, home.Replica.ID, again.Replica.ID)
 }
 
@@ -64,23 +64,23 @@
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(9), nil, 0)
-	c := chain(7, 4000)
-	home, _ := placer.Place(ask(c))
-	placer.Release(&Attempt{ReplicaID: home.Replica.ID, Chain: c, MatchedTokens: home.MatchedTokens})
+	prompt := chain(7, 4000)
+	home, _ := placer.Place(ask(prompt))
+	placer.Release(&Attempt{ReplicaID: home.Replica.ID, Chain: prompt, MatchedTokens: home.MatchedTokens})
 	other := "r0"
 	if home.Replica.ID == other {
 		other = "r1"
 	}
 	for range 2 {
-		index.RecordSent(other, 100000, c, "p") // it holds the own part too
+		index.RecordSent(other, 100000, prompt, "p") // it holds the own part too
 	}
-	got, _ := placer.Place(ask(c))
+	got, _ := placer.Place(ask(prompt))
 	require.Equal(t, other, got.Replica.ID)
 	require.True(t, got.Warmer)
 	placer.mu.Lock()
 	placer.replicas[other].sent.unreadTokens = 1e5 // a long queue there
 	placer.mu.Unlock()
-	got, _ = placer.Place(ask(c))
+	got, _ = placer.Place(ask(prompt))
 	require.Equal(t, home.Replica.ID, got.Replica.ID)
 }
 
@@ -92,9 +92,9 @@
 		placer.SetReplicas(replicas, map[string]bool{"b": true}, 0)
 		placer.MarkMisaddressed("r2")
 		for range 20 {
-			c, ok := placer.Place(&Request{Pool: "p", Zone: "a", Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 0 }})
+			choice, ok := placer.Place(&Request{Pool: "p", Zone: "a", Excluded: map[string]bool{}, WarmupRate: func(string) float64 { return 0 }})
 			require.True(t, ok)
-			require.Equal(t, "r3", c.Replica.ID)
+			require.Equal(t, "r3", choice.Replica.ID)
 			require.True(t, placer.Allowed("r3"))
 			require.False(t, placer.Allowed("r0") || placer.Allowed("r1") || placer.Allowed("r2"))
 		}
@@ -120,8 +120,8 @@
 		placer.SetReplicas(replicas, nil, 0)
 		n := 0
 		for range 100 {
-			if c, ok := placer.Place(ask(chain(3, 10))); ok {
-				require.True(t, c.WarmingUp)
+			if choice, ok := placer.Place(ask(chain(3, 10))); ok {
+				require.True(t, choice.WarmingUp)
 				n++
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -135,12 +135,12 @@
 		placer := NewPlacer(prefixindex.NewIndex())
 		placer.SetReplicas(fleet(1), map[string]bool{"a": true}, time.Second)
 		placer.SetReplicas(fleet(1), nil, time.Second)
-		c, ok := placer.Place(ask(chain(3, 10)))
+		choice, ok := placer.Place(ask(chain(3, 10)))
 		require.True(t, ok)
-		require.True(t, c.WarmingUp)
+		require.True(t, choice.WarmingUp)
 		time.Sleep(time.Second)
-		c, _ = placer.Place(ask(chain(3, 10)))
-		require.False(t, c.WarmingUp)
+		choice, _ = placer.Place(ask(chain(3, 10)))
+		require.False(t, choice.WarmingUp)
 	})
 }
 
@@ -148,18 +148,18 @@
 	placer := NewPlacer(prefixindex.NewIndex())
 	placer.SetReplicas(fleet(3), nil, 0)
 	for range 50 {
-		c, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
-		require.Equal(t, "r0", c.Replica.ID)
-		placer.Release(&Attempt{ReplicaID: c.Replica.ID})
+		choice, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
+		require.Equal(t, "r0", choice.Replica.ID)
+		placer.Release(&Attempt{ReplicaID: choice.Replica.ID})
 	}
 	placer.UpdateLoad("r0", LoadReport{Running: 8, Waiting: 3, Slots: 8})
 	away := 0
 	for range 50 {
-		c, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
-		if c.Replica.ID != "r0" {
+		choice, _ := placer.Place(&Request{Pool: "p", Zone: "a"})
+		if choice.Replica.ID != "r0" {
 			away++
 		}
-		placer.Release(&Attempt{ReplicaID: c.Replica.ID})
+		placer.Release(&Attempt{ReplicaID: choice.Replica.ID})
 	}
 	require.Greater(t, away, 10)
 }
@@ -181,34 +181,34 @@
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(9), nil, 0)
-	c := chain(7, 50)
-	got, ok := placer.Place(ask(c))
+	prompt := chain(7, 50)
+	got, ok := placer.Place(ask(prompt))
 	require.True(t, ok)
 	require.Equal(t, 2096, got.MatchedTokens)
-	require.Equal(t, baseTTFT+durations.FromSeconds(float64(c.Tokens()-2096)*InitialPrefillPerToken.Seconds()), got.UnloadedTTFT)
-	b := placer.replicas[got.Replica.ID]
-	require.Equal(t, float64(c.Tokens()-2096), b.sent.unreadTokens)
-	placer.Release(&Attempt{ReplicaID: got.Replica.ID, Chain: c, MatchedTokens: got.MatchedTokens})
-	require.Zero(t, b.sent.unreadTokens)
+	require.Equal(t, baseTTFT+durations.FromSeconds(float64(prompt.Tokens()-2096)*InitialPrefillPerToken.Seconds()), got.UnloadedTTFT)
+	replica := placer.replicas[got.Replica.ID]
+	require.Equal(t, float64(prompt.Tokens()-2096), replica.sent.unreadTokens)
+	placer.Release(&Attempt{ReplicaID: got.Replica.ID, Chain: prompt, MatchedTokens: got.MatchedTokens})
+	require.Zero(t, replica.sent.unreadTokens)
 }
 
 func TestFirstToken_OnlyExpectedPartLate_HintStays(t *testing.T) {
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(9), nil, 0)
-	c := chain(7, 50)
-	home, _ := placer.Place(ask(c))
-	first := prefixindex.NewChain(prefixindex.RootKey("m", 1), c.Parts[:1])
+	prompt := chain(7, 50)
+	home, _ := placer.Place(ask(prompt))
+	first := prefixindex.NewChain(prefixindex.RootKey("m", 1), prompt.Parts[:1])
 	for range prefixindex.MinSightings {
 		index.RecordSent(home.Replica.ID, 100000, first, "p") // the preamble only
 	}
-	slow := func(c *prefixindex.Chain, matched int) {
+	slow := func(prompt *prefixindex.Chain, matched int) {
 		for range prefixindex.MaxContradictions {
-			placer.FirstToken(&Attempt{ReplicaID: home.Replica.ID, Chain: c, MatchedTokens: matched}, time.Minute, 0)
+			placer.FirstToken(&Attempt{ReplicaID: home.Replica.ID, Chain: prompt, MatchedTokens: matched}, time.Minute, 0)
 		}
 	}
-	slow(c, home.MatchedTokens)
+	slow(prompt, home.MatchedTokens)
 	require.Equal(t, 96, index.Matched(home.Replica.ID, first))
-	slow(c, 96)
+	slow(prompt, 96)
 	require.Zero(t, index.Matched(home.Replica.ID, first), "one that the index gave is contradicted")
 }
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -37,7 +37,7 @@
 	for _, replica := range p.all {
 		if replica.isOpen() {
 			p.open = append(p.open, replica)
-			p.openByZone[replica.replica.Zone] = append(p.openByZone[replica.replica.Zone], replica)
+			p.openByZone[replica.listed.Zone] = append(p.openByZone[replica.listed.Zone], replica)
 		}
 	}
 }
--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -22,7 +22,7 @@
 // replicaState is what this process knows of one replica. It is made when the replica is listed first and dropped
 // with its entry; it is guarded by the Placer's lock.
 type replicaState struct {
-	replica *state.Replica // its newest entry in the list
+	listed *state.Replica // its newest entry in the list
 	idHash  uint64         // of its id, for rendezvous orders
 	// evacuated says that its zone was under evacuation when the list was taken last.
 	evacuated bool
@@ -66,11 +66,11 @@
 
 // isOpen reports whether a replica takes requests by the list.
 func (r *replicaState) isOpen() bool {
-	return r.replica.State == stateReady && !r.evacuated && !r.misaddressed
+	return r.listed.State == stateReady && !r.evacuated && !r.misaddressed
 }
 
 func (r *replicaState) isWarmingUp(now time.Time) bool {
-	return r.replica.WarmupLeftMs > 0 || now.Before(r.warmup.until)
+	return r.listed.WarmupLeftMs > 0 || now.Before(r.warmup.until)
 }
 
 // isQueued reports whether a replica said of late that requests wait there.
@@ -113,7 +113,7 @@
 	if r.reported.Slots > 0 {
 		return r.reported.Slots
 	}
-	return float64(max(1, r.replica.Slots))
+	return float64(max(1, r.listed.Slots))
 }
 
 // load is how many requests run at a replica: its own report, fading to the service's mean, and never less than this
@@ -139,7 +139,7 @@
 func (r *replicaState) occupancy(now time.Time) float64 {
 	requests := float64(r.sent.requests)
 	if r.reported.Slots <= 0 {
-		return requests / float64(max(1, r.replica.Slots))
+		return requests / float64(max(1, r.listed.Slots))
 	}
 	if age, lifetime := now.Sub(r.reported.at).Seconds(), runningReportLifetime.Seconds(); age < lifetime {
 		requests = max(requests, (r.reported.Running+2*r.reported.Waiting)*(1-age/lifetime))
--- a/internal/placement/selection.go
+++ b/internal/placement/selection.go
@@ -59,13 +59,13 @@
 
 // isEligible reports whether a replica may get the request now.
 func (s *selection) isEligible(replica *replicaState) bool {
-	if !replica.isOpen() || s.request.Excluded[replica.replica.ID] {
+	if !replica.isOpen() || s.request.Excluded[replica.listed.ID] {
 		return false
 	}
-	if s.request.AllowsZone != nil && !s.request.AllowsZone(replica.replica.Zone) {
+	if s.request.AllowsZone != nil && !s.request.AllowsZone(replica.listed.Zone) {
 		return false
 	}
-	fitness := s.health.Fitness(replica.replica.ID, s.request.Retriable, s.now)
+	fitness := s.health.Fitness(replica.listed.ID, s.request.Retriable, s.now)
 	return fitness == outlier.Fit || fitness == outlier.PassedOver && s.allowSuspected
 }
 
@@ -83,7 +83,7 @@
 	}
 	candidates := set.items[:set.count]
 	s.index.MatchedEach(s.request.Chain, len(candidates),
-		func(i int) string { return candidates[i].replica.replica.ID },
+		func(i int) string { return candidates[i].replica.listed.ID },
 		func(i, tokens int) { candidates[i].matchedTokens = tokens })
 	best := 0
 	for i := range candidates {
@@ -121,7 +121,7 @@
 		return first
 	}
 	firstLoad, secondLoad := first.occupancy(s.now), second.occupancy(s.now)
-	if first.replica.Zone != second.replica.Zone && first.replica.Zone == s.request.Zone {
+	if first.listed.Zone != second.listed.Zone && first.listed.Zone == s.request.Zone {
 		secondLoad += sameZoneBonus
 	}
 	if secondLoad < firstLoad {
@@ -147,7 +147,7 @@
 		if chosen.replica != nil && !replica.warmup.next.Before(chosen.replica.warmup.next) {
 			continue
 		}
-		if rate := s.request.WarmupRate(replica.replica.ID); rate > 0 {
+		if rate := s.request.WarmupRate(replica.listed.ID); rate > 0 {
 			chosen.replica, chosen.warmupRate = replica, rate
 		}
 	}
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -41,9 +41,9 @@
 	}
 	for id, replica := range p.replicas {
 		stats.Replicas[id] = ReplicaStats{
-			Pool:         replica.replica.Pool,
-			Zone:         replica.replica.Zone,
-			State:        replica.replica.State,
+			Pool:         replica.listed.Pool,
+			Zone:         replica.listed.Zone,
+			State:        replica.listed.State,
 			Inflight:     replica.sent.requests,
 			WarmingUp:    replica.isWarmingUp(now),
 			Misaddressed: replica.misaddressed,
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -8,18 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func chain(ps ...Part) *Chain { return NewChain(RootKey("m", 1), ps) }
+func chain(prompt ...Part) *Chain { return NewChain(RootKey("m", 1), prompt) }
 
 // perBlock is the source's index taken literally: one key a block, each with all that goes before it.
 type perBlock map[string]bool
 
-func blocks(ps []Part) (out []string) {
+func blocks(prompt []Part) []string {
+	var out []string
 	key, fill := "root", 0
 	piece := ""
-	for _, p := range ps {
-		for at := 0; at < p.Tokens; {
-			n := min(BlockTokens-fill, p.Tokens-at)
-			piece += fmt.Sprintf("%x/%d/%d+%d ", p.ID, p.Tokens, at, n)
+	for _, part := range prompt {
+		for at := 0; at < part.Tokens; {
+			n := min(BlockTokens-fill, part.Tokens-at)
+			piece += fmt.Sprintf("%x/%d/%d+%d ", part.ID, part.Tokens, at, n)
 			at, fill = at+n, fill+n
 			if fill == BlockTokens {
 				key += "|" + piece
@@ -28,71 +29,71 @@
 			}
 		}
 	}
-	return
+	return out
 }
 
 func TestMatched_RandomPrompts_AsWithOneKeyABlock(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		index, lit := NewIndex(), perBlock{}
 		parts := make([]Part, 6)
 		for i := range parts {
-			parts[i] = Part{uint64(i + 1), 1 + r.IntN(60)}
+			parts[i] = Part{uint64(i + 1), 1 + random.IntN(60)}
 		}
 		some := func() []Part {
-			var ps []Part
-			for range 1 + r.IntN(4) {
-				ps = append(ps, parts[r.IntN(len(parts))])
+			var prompt []Part
+			for range 1 + random.IntN(4) {
+				prompt = append(prompt, parts[random.IntN(len(parts))])
 			}
-			return ps
+			return prompt
 		}
 		for range 5 {
-			ps := some()
+			prompt := some()
 			for range MinSightings {
-				index.RecordSent("r", 1<<30, chain(ps...), "own")
+				index.RecordSent("r", 1<<30, chain(prompt...), "own")
 			}
-			for _, b := range blocks(ps) {
+			for _, b := range blocks(prompt) {
 				lit[b] = true
 			}
 		}
 		for range 10 {
-			ps := some()
+			prompt := some()
 			want := 0
-			for _, b := range blocks(ps) {
+			for _, b := range blocks(prompt) {
 				if !lit[b] {
 					break
 				}
 				want += BlockTokens
 			}
-			got := index.Matched("r", chain(ps...))
-			require.Equal(t, want, got, "%v", ps)
+			got := index.Matched("r", chain(prompt...))
+			require.Equal(t, want, got, "%v", prompt)
 		}
 	}
 }
 
 func TestMatched_StoredAndOtherPrompts_LongestCommonPrefix(t *testing.T) {
 	index := NewIndex()
-	a := chain(Part{1, 100}, Part{2, 400}, Part{9, 50})
-	index.RecordSent("r", 1<<20, a, "own")
-	require.Zero(t, index.Matched("r", a), "one sighting is no reason to hold anything")
-	index.RecordSent("r", 1<<20, a, "own")
-	require.Equal(t, 544, index.Matched("r", a))
+	prompt := chain(Part{1, 100}, Part{2, 400}, Part{9, 50})
+	index.RecordSent("r", 1<<20, prompt, "own")
+	require.Zero(t, index.Matched("r", prompt), "one sighting is no reason to hold anything")
+	index.RecordSent("r", 1<<20, prompt, "own")
+	require.Equal(t, 544, index.Matched("r", prompt))
 	require.Equal(t, 496, index.Matched("r", chain(Part{1, 100}, Part{2, 400}, Part{8, 50})))
 	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{3, 400})))
 	require.Zero(t, index.Matched("r", chain(Part{2, 400}, Part{1, 100})), "a prefix, not a part")
-	require.Zero(t, index.Matched("another incarnation", a))
-	require.Zero(t, index.Matched("r", NewChain(RootKey("m", 2), a.Parts)), "other weights")
-	require.Zero(t, index.Matched("r", NewChain(RootKey("n", 1), a.Parts)), "another model")
+	require.Zero(t, index.Matched("another incarnation", prompt))
+	require.Zero(t, index.Matched("r", NewChain(RootKey("m", 2), prompt.Parts)), "other weights")
+	require.Zero(t, index.Matched("r", NewChain(RootKey("n", 1), prompt.Parts)), "another model")
 	index.Retain(map[string]bool{})
-	require.Zero(t, index.Matched("r", a), "an incarnation that is over")
+	require.Zero(t, index.Matched("r", prompt), "an incarnation that is over")
 }
 
 func TestRecordSent_CacheFull_OldestRunsEvictedChildrenFirst(t *testing.T) {
 	index := NewIndex()
 	for i := range 10 {
-		c := chain(Part{1, 100}, Part{uint64(10 + i), 100})
-		index.RecordSent("r", 500, c, "own")
-		index.RecordSent("r", 500, c, "own")
+		prompt := chain(Part{1, 100}, Part{uint64(10 + i), 100})
+		index.RecordSent("r", 500, prompt, "own")
+		index.RecordSent("r", 500, prompt, "own")
 	}
 	require.Equal(t, 192, index.Matched("r", chain(Part{1, 100}, Part{19, 100})))
 	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared part is held, the oldest own one is not")
@@ -101,19 +102,19 @@
 
 func TestContradicted_SeveralInARow_HintDropped(t *testing.T) {
 	index := NewIndex()
-	c := chain(Part{1, 100}, Part{2, 100})
-	index.RecordSent("r", 1000, c, "own")
-	index.RecordSent("r", 1000, c, "own")
+	prompt := chain(Part{1, 100}, Part{2, 100})
+	index.RecordSent("r", 1000, prompt, "own")
+	index.RecordSent("r", 1000, prompt, "own")
 	for range MaxContradictions - 1 {
-		index.Contradicted("r", c)
+		index.Contradicted("r", prompt)
 	}
-	index.Confirmed("r", c)
-	index.Contradicted("r", c)
-	require.NotZero(t, index.Matched("r", c))
+	index.Confirmed("r", prompt)
+	index.Contradicted("r", prompt)
+	require.NotZero(t, index.Matched("r", prompt))
 	for range MaxContradictions {
-		index.Contradicted("r", c)
+		index.Contradicted("r", prompt)
 	}
-	require.Zero(t, index.Matched("r", c))
+	require.Zero(t, index.Matched("r", prompt))
 }
 
 func TestParseParts_Header_PartsOrNil(t *testing.T) {
@@ -133,22 +134,22 @@
 func FuzzParseParts(f *testing.F) {
 	f.Add("5c1e07a2:800,91bd3f06:410")
 	f.Fuzz(func(t *testing.T, s string) {
-		for _, p := range ParseParts(s) {
-			require.GreaterOrEqual(t, p.Tokens, 0)
+		for _, part := range ParseParts(s) {
+			require.GreaterOrEqual(t, part.Tokens, 0)
 		}
 	})
 }
 
 func TestSketch_RandomKeys_NeverCountsTooLittle(t *testing.T) {
-	s, seen := &sketch{}, map[Key]int{}
-	r := rand.New(rand.NewPCG(3, 4))
+	sketch, seen := &sketch{}, map[Key]int{}
+	random := rand.New(rand.NewPCG(3, 4))
 	for range 5000 {
-		k := Key(r.IntN(500))
-		seen[k]++
-		s.add(k)
+		key := Key(random.IntN(500))
+		seen[key]++
+		sketch.add(key)
 	}
-	for k, n := range seen {
-		require.GreaterOrEqual(t, s.count(k), n)
+	for key, n := range seen {
+		require.GreaterOrEqual(t, sketch.count(key), n)
 	}
 }
 
@@ -169,9 +170,9 @@
 		require.Equal(t, 128, index.Matched("r", light(i)), "%d", i)
 	}
 	require.Equal(t, 300, index.Stats().Runs, "the whole is never exceeded")
-	ps := index.OwnerShares()
-	require.Equal(t, "reports", ps[0].User)
-	require.Equal(t, int64(200), ps[0].Used, "and the heavy one has all that is left")
+	shares := index.OwnerShares()
+	require.Equal(t, "reports", shares[0].User)
+	require.Equal(t, int64(200), shares[0].Used, "and the heavy one has all that is left")
 	index.Retain(map[string]bool{})
 	require.Zero(t, index.Stats().Runs)
 	require.Empty(t, index.OwnerShares())
--- a/internal/prefixindex/queue.go
+++ b/internal/prefixindex/queue.go
@@ -17,18 +17,19 @@
 type queue []pending
 
 // Len is part of heap.Interface.
-func (q queue) Len() int { return len(q) }
+func (q *queue) Len() int { return len(*q) }
 
 // Less is part of heap.Interface.
-func (q queue) Less(i, j int) bool {
-	if q[i].priority != q[j].priority {
-		return q[i].priority > q[j].priority
+func (q *queue) Less(i, j int) bool {
+	first, second := &(*q)[i], &(*q)[j]
+	if first.priority != second.priority {
+		return first.priority > second.priority
 	}
-	return q[i].sequence < q[j].sequence
+	return first.sequence < second.sequence
 }
 
 // Swap is part of heap.Interface.
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *queue) Swap(i, j int) { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
 
 // Push is part of heap.Interface.
 func (q *queue) Push(item any) { *q = append(*q, item.(pending)) }
@@ -42,9 +43,9 @@
 }
 
 // lowest is the position of the prompt with the lowest priority.
-func (q queue) lowest() int {
+func (q *queue) lowest() int {
 	lowest := 0
-	for i := range q {
+	for i := range *q {
 		if q.Less(lowest, i) {
 			lowest = i
 		}
--- a/internal/replicamodel/model_test.go
+++ b/internal/replicamodel/model_test.go
@@ -17,7 +17,7 @@
 	for {
 		at, ok := model.StepEnd()
 		if !ok {
-			return
+			return first, last
 		}
 		for _, t := range model.Step() {
 			if t.Number == 1 {
@@ -72,9 +72,9 @@
 }
 
 func TestOffer_SlotsAndQueueFull_RejectedAndUrgentFirst(t *testing.T) {
-	s := spec
-	s.Slots, s.QueueLimit = 1, 2
-	model := New(s)
+	small := spec
+	small.Slots, small.QueueLimit = 1, 2
+	model := New(small)
 	require.True(t, model.Offer(0, Job{ID: "a", OutputTokens: 2, Urgency: 5}))
 	require.True(t, model.Offer(0, Job{ID: "b", OutputTokens: 2, Urgency: 5}))
 	require.True(t, model.Offer(0, Job{ID: "c", OutputTokens: 2, Urgency: 1}))
@@ -86,9 +86,9 @@
 }
 
 func TestCancel_RunningRequest_SlotAndMemoryFreed(t *testing.T) {
-	s := spec
-	s.Slots, s.QueueLimit = 1, 1
-	model := New(s)
+	small := spec
+	small.Slots, small.QueueLimit = 1, 1
+	model := New(small)
 	model.Offer(0, Job{ID: "a", Parts: []Part{{1, 2000}}, OutputTokens: 100})
 	model.Offer(0, Job{ID: "b", OutputTokens: 1})
 	model.Step()
@@ -119,9 +119,9 @@
 }
 
 func TestStep_MemoryFull_NewestLeastUrgentPreempted(t *testing.T) {
-	s := spec
-	s.MemoryTokens = 2000
-	model := New(s)
+	small := spec
+	small.MemoryTokens = 2000
+	model := New(small)
 	model.Offer(0, Job{ID: "a", Parts: []Part{{1, 900}}, OutputTokens: 200, Urgency: 5})
 	model.Offer(0, Job{ID: "b", Parts: []Part{{2, 900}}, OutputTokens: 200, Urgency: 5})
 	_, last := drain(model)
@@ -131,29 +131,29 @@
 }
 
 func TestModel_RandomRequests_MemoryNeverExceededAndFreed(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	model := New(spec)
 	now, open := time.Duration(0), map[string]bool{}
 	for i := range 3000 {
-		ps := []Part{{uint64(r.IntN(6)), 300}, {uint64(r.IntN(20)), 200}, {uint64(1000 + i), 1 + r.IntN(600)}}
+		parts := []Part{{uint64(random.IntN(6)), 300}, {uint64(random.IntN(20)), 200}, {uint64(1000 + i), 1 + random.IntN(600)}}
 		id := fmt.Sprint(i)
-		if model.Offer(now, Job{ID: id, Parts: ps, OutputTokens: 1 + r.IntN(80), Urgency: r.IntN(3)}) {
+		if model.Offer(now, Job{ID: id, Parts: parts, OutputTokens: 1 + random.IntN(80), Urgency: random.IntN(3)}) {
 			open[id] = true
 		}
-		if r.IntN(9) == 0 {
+		if random.IntN(9) == 0 {
 			model.Cancel(id)
 			delete(open, id)
 		}
-		for range r.IntN(40) {
+		for range random.IntN(40) {
 			at, ok := model.StepEnd()
 			if !ok {
 				break
 			}
 			now = at
-			for _, x := range model.Step() {
-				require.True(t, open[x.RequestID], "a token of %s, which had ended", x.RequestID)
-				if x.Last {
-					delete(open, x.RequestID)
+			for _, token := range model.Step() {
+				require.True(t, open[token.RequestID], "a token of %s, which had ended", token.RequestID)
+				if token.Last {
+					delete(open, token.RequestID)
 				}
 			}
 			l := model.Load()
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -42,13 +42,14 @@
 
 func TestChooseService_ManyKeys_WeightsFollowedAndKeysKept(t *testing.T) {
 	route := compile(t, `{"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"weighted_backends":[{"backend_pool":"s","weight":90},{"backend_pool":"u","weight":10}]}`).Match("h", "/")
-	n := map[string]int{}
+	counts := map[string]int{}
 	for i := range 10000 {
-		k := fmt.Sprint("key", i)
-		n[route.ChooseService(k)]++
-		require.Equal(t, route.ChooseService(k), route.ChooseService(k))
+		key := fmt.Sprint("key", i)
+		chosen := route.ChooseService(key)
+		counts[chosen]++
+		require.Equal(t, chosen, route.ChooseService(key))
 	}
-	require.InDelta(t, 1000, n["u"], 150)
+	require.InDelta(t, 1000, counts["u"], 150)
 }
 
 func TestCompile_StreamingRoute_StepsInOrder(t *testing.T) {
