--- a/coord/replication/core/disk.go
+++ b/coord/replication/core/disk.go
@@ -72,7 +72,7 @@
 	c.disk.jobs = c.disk.jobs[1:]
 	c.disk.stalled = false
 	if event.Err != nil {
-		c.log(slog.LevelWarn, "disk job failed", slog.String("error", event.Err.Error()))
+		c.log(slog.LevelWarn, "disk write failed", slog.String("error", event.Err.Error()))
 	}
 	switch job.kind {
 	case registerJob:
--- a/coord/replication/core/events.go
+++ b/coord/replication/core/events.go
@@ -133,7 +133,7 @@
 	HandedOver                             // it is leaving
 )
 
-var stopReasonNames = [...]string{"", "lost the witnesses", "saw a newer view", "another member proposes", "own disk failed", "the view change failed", "handed over"}
+var stopReasonNames = [...]string{"", "lost contact with the witnesses", "newer view known", "another member proposes", "own disk failed", "view change failed", "handed over"}
 
 // String is the reason in words.
 func (r StopReason) String() string {
--- a/coord/replication/core/failure.go
+++ b/coord/replication/core/failure.go
@@ -228,12 +228,12 @@
 	if c.toleranceWarnedEpoch == view.Epoch || c.now-c.startedAt <= c.timing.WitnessTimeout {
 		return
 	}
-	borne := failuresTolerated(view)
-	if borne >= c.config.MaxFailures {
+	tolerated := failuresTolerated(view)
+	if tolerated >= c.config.MaxFailures {
 		return
 	}
 	c.toleranceWarnedEpoch = view.Epoch
-	c.log(slog.LevelWarn, "fewer losses are borne than the settings want", slog.Int("borne", borne), slog.Int("wanted", c.config.MaxFailures), slog.Int("members", 1+len(c.peers)))
+	c.log(slog.LevelWarn, "fault tolerance below configuration", slog.Int("tolerated", tolerated), slog.Int("configured", c.config.MaxFailures), slog.Int("members", 1+len(c.peers)))
 }
 
 func (c *Core) onHeartbeat(m Heartbeat) {
@@ -278,7 +278,7 @@
 	c.lastPrimaryContact = c.now
 	c.lastPrimary = Member{}
 	c.viewChangeDue = false
-	c.log(slog.LevelWarn, "no longer primary", slog.String("reason", reason.String()))
+	c.log(slog.LevelWarn, "stepped down as primary", slog.String("reason", reason.String()))
 	c.emit(SteppedDown{Reason: reason})
 	c.failPendingCalls()
 }
--- a/coord/replication/core/leave.go
+++ b/coord/replication/core/leave.go
@@ -25,7 +25,7 @@
 		return
 	}
 	c.leaving = &leaving{deadline: event.Deadline, sentAt: longAgo}
-	c.log(slog.LevelInfo, "leaving")
+	c.log(slog.LevelInfo, "leaving the group")
 	c.tickLeaving()
 }
 
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -111,7 +111,7 @@
 	c.incoming = nil
 	received, err := c.decodeReceived(in)
 	if err != nil {
-		c.log(slog.LevelWarn, "the state given can't be read", slog.String("error", err.Error()))
+		c.log(slog.LevelWarn, "received state is corrupt", slog.String("error", err.Error()))
 		c.sendTransferReply(received, DiskFailed)
 		return
 	}
@@ -152,7 +152,7 @@
 		return
 	}
 	if err := c.config.StateMachine.Restore(received.snapshot.Data); err != nil {
-		c.log(slog.LevelError, "the state given is not understood", slog.String("error", err.Error()))
+		c.log(slog.LevelError, "received state cannot be restored", slog.String("error", err.Error()))
 		c.state.logBroken = true
 		c.sendTransferReply(received, DiskFailed)
 		return
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -59,7 +59,7 @@
 	}
 	c.dropIncoming(view)
 	c.emit(LearnedView{View: *view.Clone()})
-	c.log(slog.LevelInfo, "new view", slog.Uint64("epoch", uint64(view.Epoch)), slog.String("primary", view.Primary.Address))
+	c.log(slog.LevelInfo, "view changed", slog.Uint64("epoch", uint64(view.Epoch)), slog.String("primary", view.Primary.Address))
 }
 
 // answerOnceSynced sends a reply when the register is on disk as it is now.
--- a/coord/replication/core/types.go
+++ b/coord/replication/core/types.go
@@ -176,8 +176,8 @@
 )
 
 var rejectionNames = [...]string{
-	"granted", "other disk", "no disk", "newer view", "unknown view", "not joined", "gap", "repeat", "fork", "promised",
-	"other seeds", "unfit", "busy", "disk failed", "not primary", "nobody instead",
+	"granted", "wrong disk", "no disk", "newer view", "unknown view", "not joined", "missing entries", "duplicate entry", "diverged history", "higher promise",
+	"not a witness", "unavailable", "busy", "disk failed", "not primary", "no replacement",
 }
 
 // String is the reason in words.
@@ -185,7 +185,7 @@
 	if int(r) < len(rejectionNames) {
 		return rejectionNames[r]
 	}
-	return "refusal " + strconv.Itoa(int(r))
+	return "rejection " + strconv.Itoa(int(r))
 }
 
 // Outcome is how an order or a read ended.
@@ -201,7 +201,7 @@
 	Deposed                          // this member is not the primary, and nothing was begun
 )
 
-var outcomeNames = [...]string{"", "committed", "in force", "refused", "current", "unclear", "deposed"}
+var outcomeNames = [...]string{"", "committed", "no change", "rejected", "current", "indeterminate", "deposed"}
 
 // String is the outcome in words.
 func (o Outcome) String() string {
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -202,7 +202,7 @@
 		c.lastRound = max(c.lastRound, ballotRound(promised))
 	}
 	if c.change.recordRejection(from) {
-		c.failViewChange("the witnesses refuse: " + reason.String())
+		c.failViewChange("rejected by the witnesses: " + reason.String())
 	}
 }
 
@@ -229,7 +229,7 @@
 func (c *Core) propose() {
 	change := c.change
 	if 1+len(change.ready) < c.minReplicas(&change.base) {
-		c.failViewChange("too few backups are to be had")
+		c.failViewChange("too few backups available")
 		return
 	}
 	change.proposal = View{
@@ -277,7 +277,7 @@
 // Invariant: one primary writes in a view, and only the member that proposed it, in that life. Nobody becomes primary here, also if the earlier proposal names this member.
 func (c *Core) earlierProposalFinished() {
 	found := c.change.earlierProposal
-	c.failViewChange("an earlier proposal was finished")
+	c.failViewChange("completed an earlier proposal")
 	c.learn(found)
 	if p := c.peer(found.Primary.ID); p == nil || c.now-p.lastSeen > c.timing.PrimaryTimeout {
 		c.retryAfter = c.now // it was lost on the way
@@ -329,7 +329,7 @@
 	c.lastPrimaryContact = c.now
 	c.lastPrimary = c.self
 	c.viewChangeDue = false
-	c.log(slog.LevelInfo, "primary", slog.Uint64("epoch", uint64(view.Epoch)), slog.Int("backups", len(view.Backups)), slog.Int("witnesses", len(view.Witnesses)))
+	c.log(slog.LevelInfo, "became primary", slog.Uint64("epoch", uint64(view.Epoch)), slog.Int("backups", len(view.Backups)), slog.Int("witnesses", len(view.Witnesses)))
 	c.emit(BecamePrimary{Epoch: view.Epoch})
 	c.applyTail()
 	c.commitCarried()
@@ -342,7 +342,7 @@
 	change := c.change
 	c.change = nil
 	c.retryAfter = c.now + c.viewChangeBackoff()
-	c.log(slog.LevelInfo, "no new view", slog.String("reason", reason), slog.Uint64("epoch", uint64(change.epoch())))
+	c.log(slog.LevelInfo, "view change failed", slog.String("reason", reason), slog.Uint64("epoch", uint64(change.epoch())))
 	if change.wasPrimary {
 		c.stopBeingPrimary(ViewChangeFailed)
 		return
@@ -355,7 +355,7 @@
 	change := c.change
 	view := c.register.View
 	wasActive := c.isPrimary
-	c.failViewChange("no majority of the witnesses answers")
+	c.failViewChange("no reply from a majority of the witnesses")
 	if wasActive {
 		c.startYielding(view)
 	}
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -137,7 +137,7 @@
 		return
 	}
 	if m.Rejection != Granted {
-		c.log(slog.LevelInfo, "a backup takes no entry", slog.String("backup", m.From.Address), slog.String("reason", m.Rejection.String()))
+		c.log(slog.LevelInfo, "backup rejected append", slog.String("backup", m.From.Address), slog.String("reason", m.Rejection.String()))
 		w.rejected = true
 		c.replaceMissingBackup()
 		return
