--- a/coord/replication/core/explore_test.go
+++ b/coord/replication/core/explore_test.go
@@ -161,6 +161,15 @@
 			return next.runHead()
 		}})
 	}
+	if h.message == nil && !h.tick && m.left.SlowDisk > 0 {
+		out = append(out, action{"hold back " + h.String(), func() *model {
+			next := m.deviate()
+			next.left.SlowDisk--
+			next.queue = slices.Delete(next.queue, head, head+1)
+			next.parked = append(next.parked, h)
+			return next
+		}})
+	}
 	if h.message != nil && m.left.Late > 0 {
 		out = append(out, action{"hold back " + h.String(), func() *model {
 			next := m.deviate()
@@ -287,7 +296,9 @@
 		first = startingModel(rules)
 	} else {
 		first = firstModel(rules)
-		first = first.call(first.primaries()[0])
+		if len(rules.calls) > 0 {
+			first = first.call(first.primaries()[0])
+		}
 	}
 	first.left = left
 	s := &search{seen: map[uint64]struct{}{}}
--- /dev/null
+++ b/coord/replication/core/guards_test.go
@@ -0,0 +1,74 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/stretchr/testify/require"
+)
+
+// TestCommand_PrimaryWakesSuperseded_IsNotStarted gives a command to a primary that was frozen, before it has heard that it was followed: it asks the witnesses first, so nothing is decided, and the caller may safely ask the next primary.
+func TestCommand_PrimaryWakesSuperseded_IsNotStarted(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	primary.freeze()
+	net.run(3 * time.Second)
+	require.NotEqual(t, primary, net.holds("first;"))
+	held := primary.held
+	primary.held = nil
+	primary.thaw()
+	decided := false
+	token := primary.propose(func() ([]byte, error) { decided = true; return []byte("second"), nil })
+	for _, message := range held {
+		primary.receive(message)
+	}
+	require.Equal(t, Deposed, primary.outcome(token))
+	require.False(t, decided)
+	net.holds("first;")
+}
+
+// giveState hands a member a whole state for the view after the known one, as a proposer would, and gives its last reply.
+func giveState(t *testing.T, net *network, proposer, receiver *node, target Position, stream []byte) SnapshotChunkReply {
+	t.Helper()
+	base := receiver.core.View()
+	tag := StateTag{Epoch: base.Epoch + 1, Ballot: ballotOf(1<<20, proposer.disk.id)}
+	var replies []SnapshotChunkReply
+	net.drop = func(from *node, m Message) bool {
+		reply, is := m.(SnapshotChunkReply)
+		if is && from == receiver && reply.Tag == tag {
+			replies = append(replies, reply)
+		}
+		return from == receiver
+	}
+	receiver.step(Received{SnapshotChunk{
+		Envelope:     Envelope{From: proposer.member(), To: receiver.disk.id, ToAddress: receiver.address},
+		Tag:          tag,
+		Base:         base,
+		Position:     target,
+		Size:         int64(len(stream)),
+		StreamDigest: Digest(xxhash.Sum64(stream)),
+		Data:         stream,
+	}})
+	net.run(100 * time.Millisecond)
+	require.NotEmpty(t, replies)
+	return replies[len(replies)-1]
+}
+
+// TestTransfer_StreamEndsElsewhere_IsRejected gives a state that does not lead to the position that it is said to: it must not take the place of what is held.
+func TestTransfer_StreamEndsElsewhere_IsRejected(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	receiver := net.node(primary.core.View().Backups[0])
+	net.isolate(receiver, true)
+	stream := encodeState(primary.core.snapshot(), nil)
+	held := receiver.core.state.position
+	snapshot := receiver.disk.snapshot
+	elsewhere := Position{Index: held.Index + 1, Digest: held.Digest}
+	require.Equal(t, DiskFailed, giveState(t, net, primary, receiver, elsewhere, stream).Rejection)
+	require.Equal(t, held, receiver.core.state.position)
+	require.Same(t, snapshot, receiver.disk.snapshot)
+	reply := giveState(t, net, primary, receiver, held, stream)
+	require.Equal(t, Granted, reply.Rejection, "the same stream with the position that it leads to")
+	require.True(t, reply.Complete)
+}
--- a/coord/replication/core/simulation/monitor_test.go
+++ b/coord/replication/core/simulation/monitor_test.go
@@ -218,8 +218,11 @@
 	}
 }
 
-// learned checks that views are a chain.
+// learned checks that views are a chain, and that a view counts as chosen only once a majority of the witnesses has it on disk.
 func (m *monitor) learned(view core.View) {
+	if chosen, ok := m.chosen[view.Epoch]; !ok || !sameView(chosen, view) {
+		m.fail("the view of epoch %d is taken for chosen, and no majority of the witnesses has accepted it on disk", view.Epoch)
+	}
 	losses := m.cluster.settings.Losses
 	if len(view.Replicas()) > losses && len(view.Witnesses) > 2*losses {
 		m.grown = true
--- a/coord/replication/core/simulation/planted_faults_test.go
+++ b/coord/replication/core/simulation/planted_faults_test.go
@@ -50,3 +50,16 @@
 		{At: 7 * time.Second, Kind: killFault, For: 10 * time.Millisecond, When: offersMoment},
 	}})
 }
+
+// TestVotes_MessagesRepeatedAtOnce_CountOnce repeats every message within some milliseconds, while primaries are killed and disks are slow: a witness whose reply comes twice has still one vote.
+func TestVotes_MessagesRepeatedAtOnce_CountOnce(t *testing.T) {
+	repeating := calm(7, 5, 2, 6*time.Second)
+	repeating.RepeatRate = 1
+	repeating.RepeatWait = 10 * time.Millisecond
+	repeating.DiskSync = 40 * time.Millisecond
+	var made plan
+	for i := range 12 {
+		made = append(made, fault{At: time.Duration(3000+1700*i) * time.Millisecond, Kind: killFault, For: 1300 * time.Millisecond})
+	}
+	playUntilViolation(t, schedule{Profile: beyond, Settings: repeating, Plan: made})
+}
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -125,11 +125,11 @@
 	}
 }
 
-// onAppendReply counts a backup, or makes a new view without one that can't take the entry.
+// onAppendReply counts a backup, or makes a new view without one that can't take the entry. One view is chosen for an epoch and only its primary appends, so the epoch names the ballot too.
 func (c *Core) onAppendReply(m AppendReply) {
 	c.learn(m.View)
 	w := c.write
-	if w == nil || w.carried || m.Epoch != w.entry.Epoch || m.Ballot != w.entry.Ballot || m.Index != w.entry.Index {
+	if w == nil || w.carried || m.Epoch != w.entry.Epoch || m.Index != w.entry.Index {
 		return
 	}
 	i := indexOf(c.register.View.Backups, m.From.ID)
