--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -23,7 +23,7 @@
 // with its entry; it is guarded by the Placer's lock.
 type replicaState struct {
 	listed *state.Replica // its newest entry in the list
-	idHash  uint64         // of its id, for rendezvous orders
+	idHash uint64         // of its id, for rendezvous orders
 	// evacuated says that its zone was under evacuation when the list was taken last.
 	evacuated bool
 	// misaddressed says that another replica answered at its address. It holds until the replica leaves the list, as
