--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -12,16 +12,16 @@
 // complete is a configuration with each kind of item, unknown keys among them.
 const complete = `{"revision":5,"x":{"a":1.50},"route_table":[{"name":"a","hostname":"h","path_prefix":"/a/","timeout_ms":100,"backend_pool":"s","odd":[1,{"k":null}]},{"name":"b","hostname":"h","path_prefix":"/b/","timeout_ms":100.5,"weighted_backends":[{"backend_pool":"s","weight":1}]}],"backend_pools":[{"name":"s","max_connections":9,"engine":{"kv_capacity_tokens":5,"models":[{"name":"m"}]}}],"limits":{"max_body_bytes":10}}`
 
-// mustPut makes a document that must be valid.
-func mustPut(t *testing.T, body string) *Document {
+// newDocument makes the document of complete.
+func newDocument(t *testing.T) *Document {
 	t.Helper()
-	document, err := Empty().Put([]byte(body))
+	document, err := Empty().Put([]byte(complete))
 	require.NoError(t, err)
 	return document
 }
 
 func TestDocument_JSON_IsWhatWasSent(t *testing.T) {
-	document := mustPut(t, complete)
+	document := newDocument(t)
 	require.JSONEq(t, complete, string(document.JSON()))
 	again, err := Empty().Put(document.JSON())
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 }
 
 func TestDocument_Patch_MergesByName(t *testing.T) {
-	document := mustPut(t, complete)
+	document := newDocument(t)
 	patched, err := document.Patch([]byte(`{"revision":8,"upsert":{"route_table":[{"name":"c","hostname":"h","path_prefix":"/c/","timeout_ms":1,"backend_pool":"s"},{"name":"a","hostname":"h","path_prefix":"/z/","timeout_ms":1,"backend_pool":"s"}]},"remove":{"route_table":["b","never"]}}`))
 	require.NoError(t, err)
 	require.Equal(t, int64(8), patched.Revision)
@@ -43,7 +43,7 @@
 }
 
 func TestDocument_InvalidPut_IsRejected(t *testing.T) {
-	document := mustPut(t, complete)
+	document := newDocument(t)
 	valid := strings.Replace(complete, `"revision":5`, `"revision":6`, 1)
 	for _, x := range []struct{ name, old, new, want string }{
 		{"revision not above", `"revision":6`, `"revision":5`, "revision 5 is not above 5"},
@@ -77,7 +77,7 @@
 }
 
 func TestDocument_InvalidPatch_IsRejected(t *testing.T) {
-	document := mustPut(t, complete)
+	document := newDocument(t)
 	for _, x := range []struct{ name, body, want string }{
 		{"service in use removed", `{"revision":6,"remove":{"backend_pools":["s"]}}`, "unknown service"},
 		{"removed from no list", `{"revision":6,"remove":{"nothing":["s"]}}`, `remove: no list "nothing"`},
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -76,8 +76,8 @@
 			delete(list.items, name)
 		}
 		list.names = slices.DeleteFunc(list.names, func(name string) bool {
-			_, kept := list.items[name]
-			return !kept
+			_, remains := list.items[name]
+			return !remains
 		})
 		d.lists[key] = list
 	}
--- a/internal/configcheck/check.go
+++ b/internal/configcheck/check.go
@@ -28,7 +28,7 @@
 	}
 	for _, window := range windows {
 		until := window.End.UTC().Format(time.RFC3339)
-		report.add(severityNote, window.Zone, "maintenance until %s: %s", until, window.Summary)
+		report.add(severityInfo, window.Zone, "maintenance until %s: %s", until, window.Summary)
 	}
 	return report
 }
--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -17,10 +17,10 @@
 const configuration = `{"revision":9,"route_table":[{"name":"a","hostname":"h","path_prefix":"/a/","timeout_ms":9,"backend_pool":"s"},{"name":"b","hostname":"h","path_prefix":"/b/","timeout_ms":9,"backend_pool":"u"}],"backend_pools":[{"name":"s","max_connections":40},{"name":"u","max_connections":2}]}`
 
 // replaced is the configuration with one text in place of another, which must be in it.
-func replaced(t *testing.T, old, new string) []byte {
+func replaced(t *testing.T, was, is string) []byte {
 	t.Helper()
-	require.Contains(t, configuration, old)
-	return []byte(strings.Replace(configuration, old, new, 1))
+	require.Contains(t, configuration, was)
+	return []byte(strings.Replace(configuration, was, is, 1))
 }
 
 // newView is a fleet of four nodes at revision 5, in which all routes lead to service s, with a ready replica in each
@@ -89,7 +89,7 @@
 	require.Contains(t, text(t, report), "can't be read whole")
 }
 
-func TestCheck_NoProblems_HasNotesAtMost(t *testing.T) {
+func TestCheck_NoProblems_HasInformationAtMost(t *testing.T) {
 	view := newView(t)
 	same := strings.Replace(string(view.Config.JSON()), `"revision":5`, `"revision":6`, 1)
 	report := Check([]byte(same), view, []calendar.Window{{Zone: "n", Summary: "racks"}})
--- a/internal/configcheck/fleet_findings.go
+++ b/internal/configcheck/fleet_findings.go
@@ -22,7 +22,7 @@
 		checkConnections(report, pools[name], capacity, view.FleetSize)
 	}
 	for _, zone := range sortedKeys(view.Evacuated) {
-		report.add(severityNote, "locality "+zone, "is evacuated")
+		report.add(severityInfo, "locality "+zone, "is evacuated")
 	}
 	report.sortBySubject()
 }
@@ -46,7 +46,7 @@
 func compareRoute(report *Report, current, proposed *configpb.Route) {
 	subject := "route " + proposed.Name
 	if current == nil {
-		report.add(severityNote, subject, "is new")
+		report.add(severityInfo, subject, "is new")
 		return
 	}
 	before, after := servicesOf(current), servicesOf(proposed)
--- a/internal/configcheck/report.go
+++ b/internal/configcheck/report.go
@@ -12,11 +12,11 @@
 // Severity tells how bad a finding is.
 type Severity string
 
-// The severities. Everything but a note is a problem.
+// The severities. All but severityInfo are problems.
 const (
 	severityError   Severity = "error"
 	severityWarning Severity = "warning"
-	severityNote    Severity = "note"
+	severityInfo    Severity = "note"
 )
 
 // Finding is one thing that is wrong or worth knowing.
@@ -37,7 +37,7 @@
 // HasProblems tells whether there is a finding that is more than a note.
 func (r *Report) HasProblems() bool {
 	for _, finding := range r.Findings {
-		if finding.Severity != severityNote {
+		if finding.Severity != severityInfo {
 			return true
 		}
 	}
--- a/internal/controller/errors_test.go
+++ b/internal/controller/errors_test.go
@@ -31,6 +31,7 @@
 		{&state.UnknownKindError{Kind: "x"}, 400},
 		{&config.InvalidError{Reason: "not an object"}, 400},
 		{fmt.Errorf("in a note: %w", &config.InvalidError{Reason: "not an object"}), 400},
+		{fmt.Errorf("%w: %w", replication.ErrNotDecided, &config.InvalidError{Reason: "not an object"}), 503},
 		{errkind.Wrap(errkind.Unavailable, &config.InvalidError{Reason: "x"}, "not decided"), 503},
 		{errkind.New(errkind.NotPrimary, "not the primary"), 307},
 		{errors.New("from elsewhere"), 500},
--- a/internal/controller/member.go
+++ b/internal/controller/member.go
@@ -18,9 +18,9 @@
 // Primary is the member that is primary by the newest view known here, if it was heard from within primaryTimeout; if
 // it is this one, it must be active too.
 func (m currentMember) Primary() (primary rpc.Member, known bool) {
-	primary, heard := m.Member.Primary()
+	primary, inContact := m.Member.Primary()
 	view := m.View()
-	if !heard || view == nil || uint64(view.Primary.ID) != primary.ID {
+	if !inContact || view == nil || uint64(view.Primary.ID) != primary.ID {
 		return rpc.Member{}, false
 	}
 	if primary.ID == m.Self().ID {
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -65,12 +65,12 @@
 	return &kindedError{kind, errors.Newf(format, args...)}
 }
 
-// Wrap gives an error a kind and puts a note before its text; nil stays nil.
-func Wrap(kind Kind, err error, note string) error {
+// Wrap gives an error a kind and puts a prefix and a colon before its text; nil stays nil.
+func Wrap(kind Kind, err error, prefix string) error {
 	if err == nil {
 		return nil
 	}
-	return &kindedError{kind, errors.Wrap(err, note)}
+	return &kindedError{kind, errors.Wrap(err, prefix)}
 }
 
 // With gives an error a kind and leaves its text as it is; nil stays nil.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,8 +6,9 @@
 	"math"
 	"net"
 	"reflect"
-	"shaletrestle/internal/placement"
 	"strconv"
+
+	"shaletrestle/internal/placement"
 )
 
 // maxPort is the highest port number.
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -59,9 +59,9 @@
 
 // with gives the history after one more change; the oldest gives way beyond historyLimit.
 func (h *History) with(base int64, digest string) *History {
-	kept := h.changes[max(0, len(h.changes)+1-historyLimit):]
-	next := make([]committedChange, 0, len(kept)+1)
-	next = append(next, kept...)
+	retained := h.changes[max(0, len(h.changes)+1-historyLimit):]
+	next := make([]committedChange, 0, len(retained)+1)
+	next = append(next, retained...)
 	next = append(next, committedChange{base, digest})
 	return &History{changes: next}
 }
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -70,7 +70,7 @@
 	require.Len(t, newer.View().Replicas, 1, "a source that has no list yet empties nothing")
 }
 
-func TestUpdateFleet_ManyChanges_AreSmallAndGiveTheWholeList(t *testing.T) {
+func TestUpdateFleet_ManyChanges_AreSmallAndGiveAllNodes(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	store := NewStore(Options{Monotonic: true})
 	present := map[string]bool{}
