--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -83,7 +83,7 @@
 	case m.events <- event:
 	case <-timer.C:
 		return ErrNotStarted
-	case <-m.ctx.Done():
+	case <-m.stopped:
 		return ErrStopped
 	}
 	select {
@@ -91,7 +91,7 @@
 		return outcomeError(answer)
 	case <-timer.C:
 		return fmt.Errorf("%w in time", ErrNotDecided)
-	case <-m.ctx.Done():
+	case <-m.stopped:
 		return ErrStopped
 	}
 }
@@ -120,7 +120,7 @@
 	case m.events <- core.Leave{Deadline: deadline.Sub(m.startedAt)}:
 	case <-timer.C:
 		return false
-	case <-m.ctx.Done():
+	case <-m.stopped:
 		return false
 	}
 	select {
@@ -128,7 +128,7 @@
 		return left.Complete
 	case <-timer.C:
 		return false
-	case <-m.ctx.Done():
+	case <-m.stopped:
 		return false
 	}
 }
--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -24,14 +24,14 @@
 }
 
 var (
-	errStopped  = errors.New("this incarnation has ended")
+	errEnded    = errors.New("this incarnation has ended")
 	errDiskFull = errors.New("the disk is full")
 )
 
 func (i *incarnation) write(f func() error) error {
 	i.waitForStall()
 	if i.stopped.Load() {
-		return errStopped
+		return errEnded
 	}
 	if i.full.Load() {
 		return errDiskFull
@@ -85,7 +85,7 @@
 	if c.configure != nil {
 		c.configure(i, &config)
 	}
-	m, err := New(c.contexts[i], slog.New(slog.DiscardHandler), config)
+	m, err := New(slog.New(slog.DiscardHandler), config)
 	if err != nil {
 		panic(err)
 	}
@@ -93,7 +93,7 @@
 	c.network.mu.Lock()
 	c.network.members[address], c.network.disconnected[address] = m, false
 	c.network.mu.Unlock()
-	go m.Run()
+	go m.Run(c.contexts[i])
 }
 
 func (c *cluster) stop(i int) {
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"time"
 
@@ -13,19 +12,17 @@
 
 // diskWorker carries disk jobs out, one after the other, in a goroutine of its own: a disk that stalls holds nothing else up.
 type diskWorker struct {
-	ctx    context.Context
-	log    *slog.Logger
 	store  Store
 	timing core.Timing
-	post   func(core.Event)
-	ready  chan struct{} // jobs wait
+	post   func(core.Event) // takes the end of a job; it may block
+	ready  chan struct{}    // has a value when jobs wait
 
-	mu   sync.Mutex
+	mu   sync.Mutex // guards jobs
 	jobs []core.Effect
 }
 
-func newDiskWorker(ctx context.Context, store Store, timing core.Timing, post func(core.Event)) *diskWorker {
-	return &diskWorker{ctx: ctx, store: store, timing: timing, post: post, ready: make(chan struct{}, 1)}
+func newDiskWorker(store Store, timing core.Timing, post func(core.Event)) *diskWorker {
+	return &diskWorker{store: store, timing: timing, post: post, ready: make(chan struct{}, 1)}
 }
 
 // add queues a job; it never blocks.
@@ -50,15 +47,15 @@
 	return job, true
 }
 
-// run works until the context ends.
-func (w *diskWorker) run() {
+// run carries out jobs until the context ends.
+func (w *diskWorker) run(ctx context.Context) {
 	for {
 		select {
 		case <-w.ready:
-		case <-w.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
-		for job, ok := w.take(); ok && w.ctx.Err() == nil; job, ok = w.take() {
+		for job, ok := w.take(); ok && ctx.Err() == nil; job, ok = w.take() {
 			w.execute(job)
 		}
 	}
--- /dev/null
+++ b/coord/replication/doc.go
@@ -0,0 +1,16 @@
+// Package replication keeps a small state on a primary and its backups. A change counts only when all of them have synced it; a register at the witnesses, decided by prepare and accept, says who they are. Nothing else is replicated by majority.
+//
+// All decisions are taken by package core, which has no clock, socket, disk or goroutine. This package is its driver. A Member has two goroutines, both owned by Run: one steps the core and carries out the effects of each step in their order, the other carries out the disk jobs, so that a disk that stalls delays nothing else. Effects that take long report their end to the core as an event.
+//
+// # What holds
+//
+// An answer without an error, and the error of a decide function, are linearizable: they are given only after the state they speak of was confirmed, after the call began, by a majority of the view's witnesses. All other errors say that there is no clear answer, or that nothing was begun; each names which, see ErrNotPrimary and those after it. A change that was acknowledged survives the loss of Config.MaxFailures members with their disks, in at most Config.MaxDomainFailures failure domains.
+//
+// # Who may call
+//
+// All exported methods of Member may be called from any goroutine, but for Run, which is called once, and for Propose, Read, Confirm, Leave and Members, State in the functions that the stepping goroutine calls: those of the StateMachine, decide and inspect functions, Transport.Send, Config.OnBecomePrimary and Config.OnStepDown. View, Primary, PrimaryEpoch, SincePrimaryContact, Self and Witnesses may be called there too: they read what the last step published.
+//
+// # State
+//
+// In memory: the core, the calls that wait, the events and disk jobs that are queued. On disk, written by the disk goroutine alone: what the Store documents. A restart loses what is in memory: calls that waited have no clear answer, and a replica takes entries again only after it was given the state, or was found to have it, by the primary of a view.
+package replication
--- a/coord/replication/errors_test.go
+++ b/coord/replication/errors_test.go
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
+		m, err := New(slog.New(slog.DiscardHandler), Config{
 			Address: "a", Seeds: []string{"a"}, Store: &memoryStore{id: 7}, StateMachine: &textMachine{}, Transport: newNetwork(),
 		})
 		require.NoError(t, err)
@@ -67,6 +67,8 @@
 		require.ErrorIs(t, propose(), ErrNotStarted, "the queue is full")
 		require.ErrorIs(t, m.Confirm(time.Now().Add(time.Second)), ErrNotStarted)
 		cancel()
+		m.Run(ctx)
+		synctest.Wait()
 		require.ErrorIs(t, propose(), ErrStopped)
 		require.ErrorIs(t, m.Confirm(time.Now().Add(time.Second)), ErrStopped)
 		require.False(t, m.Leave(time.Now().Add(time.Second)))
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -18,9 +18,8 @@
 	maxQueuedMessages = 768  // of them, before messages are dropped: calls and disk jobs need the rest
 )
 
-// Member is one process that takes part in the replication.
+// Member is one process that takes part in the replication. New makes one and Run runs it.
 type Member struct {
-	ctx       context.Context
 	log       *slog.Logger
 	config    Config
 	self      core.Member
@@ -30,8 +29,9 @@
 	calls     calls
 	events    chan core.Event
 	left      chan core.Left
+	stopped   chan struct{} // closed when the context of Run ends
 
-	mu       sync.Mutex // held while the core is stepped or asked
+	mu       sync.Mutex // guards core and lastTick
 	core     *core.Core
 	lastTick time.Duration
 
@@ -47,18 +47,20 @@
 	view      *core.View // never changed once it is here
 }
 
-// New makes a member from its store; Run starts it.
-func New(ctx context.Context, log *slog.Logger, config Config) (*Member, error) {
+// New makes a member from what its store holds. It reads the store and calls the state machine's Restore and Apply, but sends nothing and starts nothing: Run does.
+//
+// If the stored state can't be used and the store is a Resetter, the member starts with an empty disk; else the error is core.ErrCorrupt. Other errors are those of Reset.
+func New(log *slog.Logger, config Config) (*Member, error) {
 	m := &Member{
-		ctx:       ctx,
 		log:       log.With("part", "replication"),
 		config:    config,
 		timing:    core.DefaultTiming(),
 		startedAt: time.Now(),
 		events:    make(chan core.Event, maxQueuedEvents),
 		left:      make(chan core.Left, 1),
+		stopped:   make(chan struct{}),
 	}
-	m.disk = newDiskWorker(m.ctx, config.Store, m.timing, m.post)
+	m.disk = newDiskWorker(config.Store, m.timing, m.post)
 	err := m.load()
 	if errors.Is(err, core.ErrCorrupt) {
 		err = m.resetDisk(err)
@@ -83,7 +85,7 @@
 		FailureDomain:     m.config.FailureDomain,
 		Relay:             m.config.Relay,
 		Bootstrap:         bootstrap,
-		StateMachine:      machineAdapter{m.config.StateMachine},
+		StateMachine:      m.config.StateMachine,
 		Timing:            m.timing,
 		Limits:            core.DefaultLimits(),
 	}, m.config.Store.Load())
@@ -97,37 +99,40 @@
 	if !ok {
 		return cause
 	}
-	m.log.Error("the stored state can't be used; the disk is joined anew, empty", "err", cause.Error())
+	m.log.Error("stored state unusable, joining anew with an empty disk", "error", cause.Error())
 	if err := resetter.Reset(cause.Error()); err != nil {
 		return errors.Join(cause, err)
 	}
 	return m.load()
 }
 
-// Run works until the context ends.
-func (m *Member) Run() {
-	go m.disk.run()
-	timer := time.NewTimer(m.step(core.Started{}))
+// Run takes part in the replication until the context ends, and returns when the disk job under way has ended too. It is called once.
+func (m *Member) Run(ctx context.Context) {
+	context.AfterFunc(ctx, func() { close(m.stopped) })
+	var disk sync.WaitGroup
+	defer disk.Wait()
+	disk.Go(func() { m.disk.run(ctx) })
+	timer := time.NewTimer(m.step(ctx, core.Started{}))
 	defer timer.Stop()
 	for {
 		var wait time.Duration
 		select {
 		case event := <-m.events:
-			wait = m.step(event)
+			wait = m.step(ctx, event)
 		case <-timer.C:
-			wait = m.step(core.Tick{})
-		case <-m.ctx.Done():
+			wait = m.step(ctx, core.Tick{})
+		case <-ctx.Done():
 			return
 		}
 		timer.Reset(wait)
 	}
 }
 
-// now is the steady clock since the member was made.
+// now is the time since the member was made, on the steady clock: the clock of the core.
 func (m *Member) now() time.Duration { return time.Since(m.startedAt) }
 
-// step lets the core handle one event and carries the effects out, all before the next event. It gives the time until the core must be ticked.
-func (m *Member) step(event core.Event) time.Duration {
+// step lets the core handle one event and performs the effects, all before the next event. It returns the time until the core must be ticked.
+func (m *Member) step(ctx context.Context, event core.Event) time.Duration {
 	m.mu.Lock()
 	now := m.now()
 	if _, isTick := event.(core.Tick); isTick {
@@ -138,12 +143,12 @@
 	m.publish()
 	m.mu.Unlock()
 	for _, effect := range effects {
-		m.apply(effect)
+		m.perform(ctx, effect)
 	}
 	return max(0, wake-m.now())
 }
 
-// publish notes what is asked often. The caller holds the lock.
+// publish stores what is asked often. The caller holds mu.
 func (m *Member) publish() {
 	old := m.status.Load()
 	next := status{view: old.view}
@@ -158,7 +163,7 @@
 	}
 }
 
-func (m *Member) apply(effect core.Effect) {
+func (m *Member) perform(ctx context.Context, effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Send:
 		m.config.Transport.Send(effect.Address, effect.Message)
@@ -180,7 +185,7 @@
 		default:
 		}
 	case core.Log:
-		m.log.LogAttrs(m.ctx, effect.Level, effect.Message, effect.Attributes...)
+		m.log.LogAttrs(ctx, effect.Level, effect.Message, effect.Attributes...)
 	}
 }
 
@@ -188,11 +193,11 @@
 func (m *Member) post(event core.Event) {
 	select {
 	case m.events <- event:
-	case <-m.ctx.Done():
+	case <-m.stopped:
 	}
 }
 
-// Receive takes a message from another member. If too much waits already, it is dropped: what matters is sent again.
+// Receive takes a message from another member. If too many events wait already it is dropped: what matters is sent again.
 func (m *Member) Receive(message core.Message) {
 	if len(m.events) >= maxQueuedMessages {
 		return
@@ -200,14 +205,14 @@
 	m.post(core.Received{Message: message})
 }
 
-// Handle takes the notes that belong to this package; others give false.
+// Handle takes a message that belongs to this package, and returns false for any other. Bytes that are no message of this package are logged and dropped.
 func (m *Member) Handle(channel *rpc.Channel, envelope *rpc.Message) bool {
 	if envelope.Kind != rpc.Replication {
 		return false
 	}
 	message, err := decodeMessage(envelope.Body)
 	if err != nil {
-		m.log.Warn("message not read", "err", err.Error())
+		m.log.Warn("cannot decode message", "error", err.Error())
 		return true
 	}
 	m.config.Transport.SetChannel(message.Route().From.Address, channel)
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -1,7 +1,6 @@
 package replication
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"strings"
@@ -326,40 +325,14 @@
 }
 
 func TestNew_UnusableState_ResetsTheDisk(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
 	disk := &resettableStore{memoryStore: memoryStore{id: 7}}
 	disk.snapshot = &core.Snapshot{Position: core.Position{Index: 1, Digest: 5}}
 	disk.entries = []core.Entry{{Index: 9, Previous: 1}}
-	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, StateMachine: &textMachine{}, Transport: newNetwork()})
+	m, err := New(slog.New(slog.DiscardHandler), Config{Address: "a", Seeds: []string{"a"}, Store: disk, StateMachine: &textMachine{}, Transport: newNetwork()})
 	require.NoError(t, err)
 	require.Len(t, disk.resets, 1)
 	require.EqualValues(t, 8, m.Self().ID)
 	helpless := &memoryStore{id: 7, snapshot: &core.Snapshot{}, entries: []core.Entry{{Index: 9}}}
-	_, err = New(ctx, slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, StateMachine: &textMachine{}, Transport: newNetwork()})
-	require.ErrorIs(t, err, core.ErrCorrupt, "its store can't start over")
-}
-
-func ExampleMember_Propose() {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	ready := make(chan uint64, 1)
-	text := &textMachine{}
-	m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
-		Address: "only", Seeds: []string{"only"}, Store: &memoryStore{id: 7}, StateMachine: text, Transport: newNetwork(),
-		OnBecomePrimary: func(epoch uint64) { ready <- epoch },
-	})
-	if err != nil {
-		fmt.Println(err)
-		return
-	}
-	go m.Run()
-	fmt.Println("primary of epoch", <-ready)
-	deadline := time.Now().Add(time.Minute)
-	fmt.Println(m.Propose(deadline, func() ([]byte, error) { return []byte("sal, 40 planks"), nil }))
-	fmt.Println(string(text.Snapshot()))
-	// Output:
-	// primary of epoch 1
-	// <nil>
-	// sal, 40 planks;
+	_, err = New(slog.New(slog.DiscardHandler), Config{Address: "a", Store: helpless, StateMachine: &textMachine{}, Transport: newNetwork()})
+	require.ErrorIs(t, err, core.ErrCorrupt, "its store is no Resetter")
 }
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -200,7 +200,7 @@
 		defer c.end()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		m, err := New(ctx, slog.New(slog.DiscardHandler), Config{
+		m, err := New(slog.New(slog.DiscardHandler), Config{
 			Address: "m9", Zone: "d", Seeds: []string{"m0", "m1", "m2"}, MaxFailures: 1, Relay: true,
 			Store: NewNoDisk(), StateMachine: &textMachine{}, Transport: c.network,
 		})
@@ -208,7 +208,7 @@
 		c.network.mu.Lock()
 		c.network.members["m9"] = m
 		c.network.mu.Unlock()
-		go m.Run()
+		go m.Run(ctx)
 		time.Sleep(2 * time.Second)
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
@@ -271,13 +271,13 @@
 			if i == 0 {
 				cf.Relay, cf.Store = true, NewNoDisk()
 			}
-			m, err := New(ctx, slog.New(slog.DiscardHandler), cf)
+			m, err := New(slog.New(slog.DiscardHandler), cf)
 			require.NoError(t, err)
 			ms = append(ms, m)
 			h.mu.Lock()
 			h.members[cf.Address] = m
 			h.mu.Unlock()
-			go m.Run()
+			go m.Run(ctx)
 		}
 		time.Sleep(6 * time.Second)
 		primary := slices.IndexFunc(ms, func(m *Member) bool { _, on := m.PrimaryEpoch(); return on })
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -91,7 +91,7 @@
 			c.follower.ReportProgress()
 		}
 	})
-	member, err := replication.New(ctx, log, c.replicationConfig(options.Store))
+	member, err := replication.New(log, c.replicationConfig(options.Store))
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	go rpc.Serve(c.ctx, members, c.handle)
 	api := httpServer(c.api)
 	page := httpServer(http.HandlerFunc(c.serveStatePage))
-	go c.member.Run()
+	go c.member.Run(c.ctx)
 	go c.follower.Run(c.ctx)
 	go c.listLease.Run(c.ctx)
 
