--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -27,7 +27,7 @@
 	if !env.HasDisk() {
 		return controller.New(ctx, log, controller.Options{Settings: env, Net: rpc.TCP{}, Store: replication.NewNoDisk()})
 	}
-	disk, err := store.Open(store.OSFiles{}, env.DataDir, env.Bootstrap, env.SeedMembers()...)
+	disk, err := store.Open(store.OSFiles{}, env.DataDir, store.Options{Bootstrap: env.Bootstrap, Seeds: env.SeedMembers()})
 	if err != nil {
 		return nil, err
 	}
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -8,32 +8,32 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// call is a command or a read that waits for its answer.
+// call is a command or a read that waits for its result.
 type call struct {
-	result chan core.Result
-	read   func() // of a read; it runs while the state is the confirmed one
+	result  chan core.Result // buffered: the stepping goroutine never waits
+	inspect func()           // of a read; it runs while the state is the confirmed one
 }
 
-// calls are the commands and reads that wait.
+// calls are the commands and reads that wait for their results.
 type calls struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards all that follows
 	lastToken core.Token
 	pending   map[core.Token]*call
 }
 
-func (c *calls) add(look func()) (core.Token, *call) {
+func (c *calls) add(inspect func()) (core.Token, *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == nil {
 		c.pending = map[core.Token]*call{}
 	}
 	c.lastToken++
-	added := &call{result: make(chan core.Result, 1), read: look}
+	added := &call{result: make(chan core.Result, 1), inspect: inspect}
 	c.pending[c.lastToken] = added
 	return c.lastToken, added
 }
 
-// take removes a call; nil if nobody waits for its answer any more.
+// take removes a call; nil if nobody waits for its result any more.
 func (c *calls) take(token core.Token) *call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,39 +42,39 @@
 	return taken
 }
 
-// answer is called by the stepping goroutine.
-func (c *calls) answer(answer core.Result) {
+// finish hands a result to the call that waits for it. It is called by the stepping goroutine.
+func (c *calls) finish(answer core.Result) {
 	taken := c.take(answer.Token)
 	if taken == nil {
 		return
 	}
-	if answer.Outcome == core.Current && taken.read != nil {
-		taken.read()
+	if answer.Outcome == core.Current && taken.inspect != nil {
+		taken.inspect()
 	}
 	taken.result <- answer
 }
 
-// Propose makes one change. decide runs with nothing else in between, on the state as all earlier commands left it, and gives the entry, nil if nothing is to be done, or the error of a refusal; it must not wait.
+// Propose makes one change. decide runs once at most, on the state as all earlier changes left it and with nothing in between, and returns the entry, nil if nothing is to be done, or the error of a rejection. It runs on the stepping goroutine and must not block; it may run after Propose has returned at its deadline.
 //
-// No error means that the change is synced on all replicas or was in force already. The error that decide gave is a clear refusal: a majority of the witnesses confirmed that the state it was decided on was the newest. ErrNotPrimary and ErrNotStarted mean that nothing was begun; ErrNotDecided and ErrStopped that the change may be made or not.
+// No error means that the change is synced on all replicas or was in force already. The error that decide returned is a clear rejection: a majority of the witnesses confirmed that the state it was decided on was the newest. ErrNotPrimary and ErrNotStarted mean that nothing was done; ErrNotDecided and ErrStopped that the change may be made or not.
 func (m *Member) Propose(deadline time.Time, decide func() ([]byte, error)) error {
 	token, waiting := m.calls.add(nil)
-	order := core.Command{Token: token, Deadline: deadline.Sub(m.startedAt), Decide: decide}
-	return m.await(deadline, token, waiting, order)
+	command := core.Command{Token: token, Deadline: deadline.Sub(m.startedAt), Decide: decide}
+	return m.await(deadline, token, waiting, command)
 }
 
-// Confirm tells whether the state of this member was current at some moment after the call began: no error means that it was. See Read for looking at the state.
+// Confirm returns nil if the state of this member was current at some moment after the call began, else one of the errors of Propose. See Read for inspecting the state.
 func (m *Member) Confirm(deadline time.Time) error {
 	return m.Read(deadline, nil)
 }
 
-// Read calls look once the state is confirmed to be current, and before anything else is done with it. look must not wait.
-func (m *Member) Read(deadline time.Time, look func()) error {
-	token, waiting := m.calls.add(look)
+// Read calls inspect once the state is confirmed to be current, before anything else is done with it. inspect runs on the stepping goroutine and must not block. If Read returns an error, one of those of Propose, inspect may have run or not, and what it saw must not be used.
+func (m *Member) Read(deadline time.Time, inspect func()) error {
+	token, waiting := m.calls.add(inspect)
 	return m.await(deadline, token, waiting, core.Read{Token: token, Deadline: deadline.Sub(m.startedAt)})
 }
 
-// await gives the event to the core and waits for the answer.
+// await gives the event to the core and waits for the result.
 func (m *Member) await(deadline time.Time, token core.Token, waiting *call, event core.Event) error {
 	defer m.calls.take(token)
 	timer := time.NewTimer(time.Until(deadline))
@@ -96,23 +96,23 @@
 	}
 }
 
-// outcomeError says how a call ended.
-func outcomeError(answer core.Result) error {
-	switch answer.Outcome {
+// outcomeError is the error that a call with a result returns.
+func outcomeError(result core.Result) error {
+	switch result.Outcome {
 	case core.Committed, core.NoChange, core.Current:
 		return nil
 	case core.Rejected:
-		return answer.Err
+		return result.Err
 	case core.Deposed:
 		return ErrNotPrimary
 	}
-	if answer.Err != nil {
-		return fmt.Errorf("%w: %w", ErrNotDecided, answer.Err)
+	if result.Err != nil {
+		return fmt.Errorf("%w: %w", ErrNotDecided, result.Err)
 	}
 	return ErrNotDecided
 }
 
-// Leave gives up the roles of this member: by agreement, once a view is chosen in which others have them, or not complete as the deadline comes near. The member goes on until its scope ends.
+// Leave gives up the roles of this member. It returns true once the primary has agreed that the member has none left, and false if that was not reached by the deadline or the member was stopped. The member goes on until the context of Run ends; a member that has left takes no role again.
 func (m *Member) Leave(deadline time.Time) (complete bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
--- a/coord/replication/capacity_test.go
+++ b/coord/replication/capacity_test.go
@@ -44,7 +44,7 @@
 	keepSettings := f.configure
 	f.configure = func(i int, config *Config) {
 		keepSettings(i, config)
-		opened, err := store.Open(store.OSFiles{}, folders[i], true)
+		opened, err := store.Open(store.OSFiles{}, folders[i], store.Options{Bootstrap: true})
 		if err != nil {
 			panic(err)
 		}
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -10,7 +10,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// diskWorker carries disk jobs out, one after the other, in a goroutine of its own: a disk that stalls holds nothing else up.
+// diskWorker carries out disk jobs, one after the other, in a goroutine of its own: a disk that stalls delays nothing else.
 type diskWorker struct {
 	store  Store
 	timing core.Timing
@@ -61,15 +61,16 @@
 	}
 }
 
-// execute does one job, and says so when it takes too long and when it has ended.
+// execute carries out one job, and posts an event when it takes too long and when it has ended.
 func (w *diskWorker) execute(job core.Effect) {
-	token, patience := w.describe(job)
-	stalled := time.AfterFunc(patience, func() { w.post(core.DiskStalled{Token: token}) })
+	token, timeout := w.describe(job)
+	stalled := time.AfterFunc(timeout, func() { w.post(core.DiskStalled{Token: token}) })
 	err := w.save(job)
 	stalled.Stop()
 	w.post(core.DiskDone{Token: token, Err: err})
 }
 
+// describe returns a job's token and the time after which its disk counts as stalled.
 func (w *diskWorker) describe(job core.Effect) (core.Token, time.Duration) {
 	switch job := job.(type) {
 	case core.SaveRegister:
--- a/coord/replication/doc.go
+++ b/coord/replication/doc.go
@@ -8,7 +8,7 @@
 //
 // # Who may call
 //
-// All exported methods of Member may be called from any goroutine, but for Run, which is called once, and for Propose, Read, Confirm, Leave and Members, State in the functions that the stepping goroutine calls: those of the StateMachine, decide and inspect functions, Transport.Send, Config.OnBecomePrimary and Config.OnStepDown. View, Primary, PrimaryEpoch, SincePrimaryContact, Self and Witnesses may be called there too: they read what the last step published.
+// Run is called once. All other exported methods of Member may be called from any goroutine, with two exceptions. What the stepping goroutine calls (the StateMachine, decide and inspect functions, Transport.Send, Config.OnBecomePrimary and Config.OnStepDown) must not call Propose, Read, Confirm or Leave, which wait for that goroutine. The StateMachine and decide functions must not call Members or State either, which take the lock that is held meanwhile. View, Witnesses, Primary, PrimaryEpoch, SincePrimaryContact and Self are for them too: they read what the last step published.
 //
 // # State
 //
--- a/coord/replication/example_test.go
+++ b/coord/replication/example_test.go
@@ -63,7 +63,7 @@
 func soon() time.Time { return time.Now().Add(time.Minute) }
 
 func ExampleMember_Propose() {
-	disk, err := store.Open(storetest.NewDisk(), "data", true)
+	disk, err := store.Open(storetest.NewDisk(), "data", store.Options{Bootstrap: true})
 	if err != nil {
 		panic(err)
 	}
@@ -92,7 +92,7 @@
 
 func ExampleMember_Read() {
 	disk := storetest.NewDisk()
-	opened, err := store.Open(disk, "data", true)
+	opened, err := store.Open(disk, "data", store.Options{Bootstrap: true})
 	if err != nil {
 		panic(err)
 	}
@@ -101,7 +101,7 @@
 	stop()
 
 	// Another process on the same disk.
-	opened, err = store.Open(disk, "data", true)
+	opened, err = store.Open(disk, "data", store.Options{Bootstrap: true})
 	if err != nil {
 		panic(err)
 	}
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -11,11 +11,11 @@
 // maxPendingMessages is how many messages to one address wait for its dial; further ones are dropped.
 const maxPendingMessages = 64
 
-// Links is the Transport over held channels. A message goes out on the channel on which the member was heard last, or on one that is dialled when it is needed.
+// Links is the Transport over the channels of a pool. A message goes out on the channel on which the member last sent one, or on one that is dialled when it is needed. A dial runs in a goroutine of its own, one for each address at a time, and ends by the time-out of the pool.
 type Links struct {
 	pool *rpc.Pool
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards links and all their fields
 	links map[string]*link
 }
 
@@ -34,7 +34,7 @@
 	return &Links{pool: lines, links: map[string]*link{}}
 }
 
-// SetChannel is part of Transport.
+// SetChannel makes a channel the one for an address.
 func (l *Links) SetChannel(address string, channel *rpc.Channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// Send is Transport's.
+// Send sends a message, at once or when the channel that is dialled for it is open. Messages beyond maxPendingMessages for one address are dropped, and all that wait if it can't be reached.
 func (l *Links) Send(address string, message core.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,13 +72,13 @@
 	return known
 }
 
-// dial opens a channel, in place of one that was silent, and sends what waits for it, or drops that.
+// dial opens a channel, in place of one that was silent, and sends the pending messages, or drops them.
 func (l *Links) dial(address string, to *link, silent *rpc.Channel) {
 	if silent != nil {
 		silent.Close()
 	}
 	channel, err := l.pool.Get(address)
-	if err == nil && channel.IdleTime() >= rpc.CallTimeout { // one from before that may be dead
+	if err == nil && channel.IdleTime() >= rpc.CallTimeout { // an older one, which may be dead
 		channel.Close()
 		channel, err = l.pool.Get(address)
 	}
@@ -104,7 +104,7 @@
 	l.sent = 0
 }
 
-// usable tells whether the channel is open and not silent. One on which nothing was heard for the wait of an answer, since something was sent on it, is left: the path may be another by now.
+// usable tells whether the channel is open and not silent. One on which nothing was received for the time-out of a reply, since something was sent on it, is given up: the path may be another by now.
 func (l *link) usable() bool {
 	if l.channel == nil {
 		return false
@@ -120,8 +120,8 @@
 		l.sent = 0
 		return true
 	}
-	patience := rpc.CallTimeout + time.Duration(l.sent)*time.Second/rpc.LinkBytesPerSecond
-	if now.Sub(l.sentAt) < patience {
+	timeout := rpc.CallTimeout + time.Duration(l.sent)*time.Second/rpc.LinkBytesPerSecond
+	if now.Sub(l.sentAt) < timeout {
 		return true
 	}
 	l.silent = l.channel
@@ -130,8 +130,7 @@
 }
 
 func (l *link) send(message core.Message) {
-	frameMessage := &rpc.Message{Kind: rpc.Replication, Body: encodeMessage(message)}
-	frame := frameMessage.Encode()
+	frame := (&rpc.Message{Kind: rpc.Replication, Body: encodeMessage(message)}).Encode()
 	l.sent += len(frame)
 	l.channel.SendRaw(frame)
 }
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -170,7 +170,7 @@
 	case core.SaveRegister, core.SaveSnapshot, core.AppendEntry:
 		m.disk.add(effect)
 	case core.Result:
-		m.calls.answer(effect)
+		m.calls.finish(effect)
 	case core.BecamePrimary:
 		if m.config.OnBecomePrimary != nil {
 			m.config.OnBecomePrimary(uint64(effect.Epoch))
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -10,27 +10,27 @@
 // NoDisk is the store of a member without a disk: an identity for this incarnation, and nothing else.
 type NoDisk struct{ id uint64 }
 
-// NewNoDisk makes one with a random identity.
+// NewNoDisk returns a NoDisk with a random identity.
 func NewNoDisk() *NoDisk {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
 	return &NoDisk{binary.LittleEndian.Uint64(random[:]) | 1}
 }
 
-// Identity is the id of this incarnation; it is never a member of the first register.
+// Identity returns the id of this incarnation, which has no part in bootstrapping the group.
 func (s *NoDisk) Identity() (id uint64, bootstrap bool) { return s.id, false }
 
 // BootstrapSeeds returns none.
 func (s *NoDisk) BootstrapSeeds() []string { return nil }
 
-// Load gives nothing.
+// Load returns nothing.
 func (s *NoDisk) Load() core.Stored { return core.Stored{} }
 
-// SaveRegister keeps nothing and says so.
+// SaveRegister returns ErrNoDisk.
 func (s *NoDisk) SaveRegister(core.Register) error { return ErrNoDisk }
 
-// SaveSnapshot keeps nothing and says so.
+// SaveSnapshot returns ErrNoDisk.
 func (s *NoDisk) SaveSnapshot(core.Snapshot, []core.Entry) error { return ErrNoDisk }
 
-// Append keeps nothing and says so.
+// Append returns ErrNoDisk.
 func (s *NoDisk) Append(core.Entry) error { return ErrNoDisk }
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -7,13 +7,13 @@
 	"shaletrestle/coord/rpc"
 )
 
-// Self is this member.
+// Self returns this member.
 func (m *Member) Self() rpc.Member { return rpcMember(m.self) }
 
-// View is the newest view known to be chosen, nil before the first. It must not be changed.
+// View returns the newest view known to be chosen, nil before the first. It must not be changed.
 func (m *Member) View() *core.View { return m.status.Load().view }
 
-// Witnesses are those of the newest view.
+// Witnesses returns those of the newest view, none before the first.
 func (m *Member) Witnesses() []rpc.Member {
 	view := m.View()
 	if view == nil {
@@ -22,13 +22,13 @@
 	return rpcMembers(view.Witnesses)
 }
 
-// PrimaryEpoch tells whether this member is primary, and of which epoch.
-func (m *Member) PrimaryEpoch() (epoch uint64, active bool) {
+// PrimaryEpoch tells whether this member is primary, and of which epoch. It may be deposed already without knowing: Confirm tells for sure.
+func (m *Member) PrimaryEpoch() (epoch uint64, isPrimary bool) {
 	s := m.status.Load()
 	return uint64(s.epoch), s.isPrimary
 }
 
-// Primary is the member that was last heard to be primary, if it was heard lately.
+// Primary returns the member that last made itself known as primary; false if that is core.Timing.PrimaryTimeout ago or more.
 func (m *Member) Primary() (rpc.Member, bool) {
 	s := m.status.Load()
 	if s.isPrimary {
@@ -40,7 +40,7 @@
 	return rpc.Member{}, false
 }
 
-// SincePrimaryContact is the time since the primary was heard, as this member knows it; nothing on the primary itself.
+// SincePrimaryContact returns the time since this member last received anything from the primary; zero on the primary itself.
 func (m *Member) SincePrimaryContact() time.Duration {
 	s := m.status.Load()
 	if s.isPrimary {
@@ -49,25 +49,25 @@
 	return m.now() - s.contactAt
 }
 
-// Members are all members known, this one too.
+// Members returns all members known, this one too.
 func (m *Member) Members() []rpc.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return rpcMembers(m.core.Members())
 }
 
-// State is for the state page.
+// State is what a member knows, as its state page shows it.
 type State struct {
 	Self                  MemberState   `json:"self"`
 	Relay                 bool          `json:"relay"`
-	FailuresTolerated     int           `json:"losses_borne"` // by the view: copies left and a majority of witnesses
+	FailuresTolerated     int           `json:"losses_borne"` // by the view: replicas left and a majority of witnesses
 	MaxFailures           int           `json:"losses_wanted"`
 	View                  *ViewState    `json:"view"`
 	IsPrimary             bool          `json:"active"`
 	Joined                bool          `json:"joined"`
 	DiskStalled           bool          `json:"stalled"`
 	Leaving               bool          `json:"leaving"`
-	Index                 uint64        `json:"index"` // of the last entry held
+	Index                 uint64        `json:"index"` // of the last entry in the log
 	SincePrimaryContactMs int64         `json:"heard_ago_ms"`
 	Members               []MemberState `json:"members"`
 }
@@ -88,7 +88,7 @@
 	Witnesses []MemberState `json:"witnesses"`
 }
 
-// State tells what this member knows.
+// State returns what this member knows.
 func (m *Member) State() State {
 	m.mu.Lock()
 	s := m.core.State(m.now())
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -12,7 +12,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// The directories in testdata/directories were written by an earlier version of this package.
+// The directories in testdata/folders were written by an earlier version of this package.
 
 // copyRecorded gives a copy of a recorded data directory.
 func copyRecorded(t *testing.T, name string) string {
@@ -24,7 +24,7 @@
 
 func openRecorded(t *testing.T, dir string) *Store {
 	t.Helper()
-	s, err := Open(OSFiles{}, dir, false, "10.9.0.1:7720")
+	s, err := Open(OSFiles{}, dir, Options{Seeds: []string{"10.9.0.1:7720"}})
 	require.NoError(t, err)
 	require.Empty(t, s.Damage())
 	t.Cleanup(s.Close)
@@ -107,18 +107,18 @@
 	s := openRecorded(t, dir)
 	require.Equal(t, 20, s.TruncatedBytes())
 	requireComplete(t, s)
-	requireSameFolder(t, "testdata/folders/whole", dir)
+	requireSameDir(t, "testdata/folders/whole", dir)
 }
 
 // TestOpen_RecordedUnfinishedState_IsRemoved opens a directory whose writer ended while it put a newer state in place.
 func TestOpen_RecordedUnfinishedState_IsRemoved(t *testing.T) {
 	dir := copyRecorded(t, "interrupted")
 	requireComplete(t, openRecorded(t, dir))
-	requireSameFolder(t, "testdata/folders/whole", dir)
+	requireSameDir(t, "testdata/folders/whole", dir)
 }
 
-// requireSameFolder compares all names and contents.
-func requireSameFolder(t *testing.T, expected, got string) {
+// requireSameDir compares all names and contents.
+func requireSameDir(t *testing.T, expected, got string) {
 	t.Helper()
 	require.Equal(t, contents(t, expected), contents(t, got))
 }
@@ -167,9 +167,9 @@
 // several segments.
 func TestOpen_RecordedFirstFormat_Rejected(t *testing.T) {
 	dir := copyRecorded(t, "first-format")
-	_, err := Open(OSFiles{}, dir, true)
+	_, err := Open(OSFiles{}, dir, Options{Bootstrap: true})
 	require.ErrorIs(t, err, ErrOldFormat)
-	requireSameFolder(t, "testdata/folders/first-format", dir)
+	requireSameDir(t, "testdata/folders/first-format", dir)
 }
 
 // TestEncode_RecordedFolder_WritesTheSameBytes writes what the directory "whole" holds again.
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -219,9 +219,9 @@
 		for step := 1; ; step++ {
 			disk := full.Copy()
 			disk.CutPowerAt(step)
-			_, err := store.Open(disk, modelDir, true)
+			_, err := store.Open(disk, modelDir, store.Options{Bootstrap: true})
 			complete := disk.Outcomes(10_000, nil, func(left *storetest.Disk) bool {
-				again, err := store.Open(left, modelDir, true)
+				again, err := store.Open(left, modelDir, store.Options{Bootstrap: true})
 				require.NoError(t, err)
 				newID, firstStart := again.Identity()
 				require.NotEqual(t, id, newID)
@@ -259,7 +259,7 @@
 func TestOpen_TornFirstIdentity_StillBootstraps(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "identity.new"), []byte("torn"), 0o600))
-	s, err := store.Open(store.OSFiles{}, dir, true)
+	s, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true})
 	require.NoError(t, err)
 	defer s.Close()
 	require.Empty(t, s.Damage())
@@ -279,7 +279,7 @@
 		for name, content := range files {
 			require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 		}
-		_, err := store.Open(store.OSFiles{}, dir, true)
+		_, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true})
 		require.ErrorIs(t, err, store.ErrOldFormat)
 		require.Len(t, listNames(t, dir), len(files), "nothing is changed")
 	}
--- a/coord/replication/store/disk_faults_test.go
+++ b/coord/replication/store/disk_faults_test.go
@@ -16,7 +16,7 @@
 // openModel opens a store on a model of a disk.
 func openModel(t *testing.T, disk *storetest.Disk) *store.Store {
 	t.Helper()
-	s, err := store.Open(disk, modelDir, true)
+	s, err := store.Open(disk, modelDir, store.Options{Bootstrap: true})
 	require.NoError(t, err)
 	require.Empty(t, s.Damage())
 	return s
--- a/coord/replication/store/encoding.go
+++ b/coord/replication/store/encoding.go
@@ -8,7 +8,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// identity names a disk.
+// identity is what a disk is known by.
 type identity struct {
 	id             uint64
 	bootstrap      bool
--- a/coord/replication/store/example_test.go
+++ b/coord/replication/store/example_test.go
@@ -16,7 +16,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 
-	s, err := store.Open(store.OSFiles{}, dir, true, "10.0.0.1:7720")
+	s, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true, Seeds: []string{"10.0.0.1:7720"}})
 	if err != nil {
 		panic(err)
 	}
@@ -26,7 +26,7 @@
 	fmt.Println(s.Append(entry))
 	s.Close()
 
-	s, err = store.Open(store.OSFiles{}, dir, false)
+	s, err = store.Open(store.OSFiles{}, dir, store.Options{})
 	if err != nil {
 		panic(err)
 	}
--- a/coord/replication/store/filesystem.go
+++ b/coord/replication/store/filesystem.go
@@ -2,13 +2,13 @@
 
 import "shaletrestle/coord/replication/core"
 
-// FileSystem is all that the store needs of a file system. Paths use slashes. A name that is missing is reported as an error that is fs.ErrNotExist.
+// FileSystem is all that the store needs of a file system; OSFiles is the operating system's, storetest.Disk a model for tests. Paths use slashes. A name that is missing is reported as an error that is fs.ErrNotExist. It is called by one goroutine at a time.
 type FileSystem interface {
 	// Mkdir makes one directory; its parent exists.
 	Mkdir(path string) error
-	// List gives the names in a directory.
+	// List returns the names in a directory.
 	List(path string) ([]string, error)
-	// ReadFile gives the whole content of a file.
+	// ReadFile returns the complete content of a file.
 	ReadFile(path string) ([]byte, error)
 	// Create makes an empty file, or empties the one that is there, and opens it.
 	Create(path string) (File, error)
@@ -24,14 +24,14 @@
 	SyncDir(path string) error
 }
 
-// File is a file open for writing.
+// File is a file open for writing at its end.
 type File interface {
 	Write(content []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Log adds records to the end of a log segment.
+// Log is a log segment open for adding records to its end.
 type Log interface {
 	// Write adds a record, which is durable only after Sync.
 	Write(index core.Index, record []byte) error
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -87,7 +87,7 @@
 		_, err = file.Write(content)
 		require.NoError(t, err)
 
-		opened, err := store.Open(disk, modelDir, true)
+		opened, err := store.Open(disk, modelDir, store.Options{Bootstrap: true})
 		if err != nil {
 			require.ErrorIs(t, err, store.ErrOldFormat)
 			return
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -64,7 +64,7 @@
 
 // open opens a disk, checks what is found, and takes it as what must be found from now on.
 func (h *history) open(disk store.FileSystem) (*store.Store, error) {
-	s, err := store.Open(disk, modelDir, true)
+	s, err := store.Open(disk, modelDir, store.Options{Bootstrap: true})
 	if err != nil {
 		return nil, err
 	}
--- a/coord/replication/store/names.go
+++ b/coord/replication/store/names.go
@@ -16,7 +16,7 @@
 	snapshotPrefix   = "snapshot-"
 	logPrefix        = "log-"
 
-	// unfinishedSuffix ends the name of a file that is being written. It loses the suffix when it is complete and synced.
+	// unfinishedSuffix ends the name of a file that is being written. The file loses the suffix when it is complete and synced.
 	unfinishedSuffix = ".new"
 )
 
--- a/coord/replication/store/store.go
+++ b/coord/replication/store/store.go
@@ -1,8 +1,3 @@
-// Package store keeps the records of a member of a replicated state on its disk: who the disk is, the register of a witness, and a state as a snapshot and the log of entries after it.
-//
-// What a method has reported as saved survives any loss of power. What was under way may be found afterwards or not, but never in part. If something that was saved can't be read any more, the disk counts as damaged: it becomes an empty disk with a new identity, so that it can't pass for one that holds what it has lost. See docs/disk.md.
-//
-// A Store is used by one goroutine at a time.
 package store
 
 import (
@@ -16,14 +11,15 @@
 	"shaletrestle/coord/replication/core"
 )
 
+// The errors of this package; test for them with errors.Is. All others are those of the file system.
 var (
-	// ErrOldFormat says that the data directory was written by the first version of the store, which this one can't read. Nothing in it was changed.
-	ErrOldFormat = errors.New("the data folder has the format of an earlier version: empty it, or run that version")
+	// ErrOldFormat is returned by Open for a data directory that was written by the first version of the store, which this one can't read. Nothing in it was changed.
+	ErrOldFormat = errors.New("the data directory has the format of an earlier version: empty it, or run that version")
 
-	// ErrLogClosed says that no entry can be appended until a snapshot was saved.
+	// ErrLogClosed is returned by Append while there is no state that an entry could follow, or after a write failed, until a snapshot was saved. Nothing was written.
 	ErrLogClosed = errors.New("the log is closed until a snapshot is saved")
 
-	// ErrNotContinuous says that an entry doesn't follow the state on disk. Nothing was written.
+	// ErrNotContinuous is returned by Append and SaveSnapshot for an entry that doesn't follow the one before it: a gap, a repeat or a fork. Nothing was written.
 	ErrNotContinuous = errors.New("the entry does not follow the state on disk")
 )
 
@@ -40,13 +36,13 @@
 	return &damageError{reason: reason}
 }
 
-// Store is a data directory.
+// Store is a data directory. Open makes one; the zero value is not usable.
 type Store struct {
 	files          FileSystem
 	dir            string
 	identity       identity
 	loaded         core.Stored
-	damage         string
+	damage         string // what was found damaged at the start; empty: nothing
 	truncatedBytes int
 
 	current       generation    // the state whose log is open, or the newest
@@ -56,52 +52,60 @@
 	namesUnsynced bool          // a snapshot's new name may be durable or not
 }
 
-// Open opens the store in a directory, which is made if it is missing. What Load then gives is durable.
+// Options are what a new disk is made with; they have no effect on one that has an identity already.
+type Options struct {
+	// Bootstrap says that the disk is made while the group is bootstrapped, so that it may take part in making the first view.
+	Bootstrap bool
+	// Seeds are the addresses with which the group is bootstrapped. They are kept on the disk, since later settings may name others. Without Bootstrap they have no effect.
+	Seeds []string
+}
+
+// Open opens the store in a directory, which is made if it is missing. What Load then returns is durable.
 //
-// An empty directory gets a new identity; firstStart is kept in it and means that the disk may take part in making the first view, with the seeds of that start, which are kept as well: later settings may name others. A damaged one is emptied and gets a new identity without that right.
-func Open(files FileSystem, dir string, bootstrap bool, seeds ...string) (*Store, error) {
+// An empty directory gets a new identity. A damaged one is emptied and gets a new identity that has no part in bootstrapping the group; Damage tells why. The errors are ErrOldFormat and those of the file system; after one the directory can be opened again.
+func Open(files FileSystem, dir string, options Options) (*Store, error) {
 	s := &Store{files: files, dir: path.Clean(dir)}
 	if err := s.mkdirAll(s.dir); err != nil {
-		return nil, errors.Wrap(err, "make the data folder")
+		return nil, errors.Wrap(err, "make the data directory")
 	}
-	err := s.load(identity{bootstrap: bootstrap, bootstrapSeeds: seeds})
+	err := s.load(identity{bootstrap: options.Bootstrap, bootstrapSeeds: options.Seeds})
 	var damage *damageError
 	if errors.As(err, &damage) {
 		err = s.Reset(damage.reason)
 	}
 	if err != nil {
 		s.closeLog()
-		return nil, errors.Wrap(err, "open the data folder")
+		return nil, errors.Wrap(err, "open the data directory")
 	}
 	return s, nil
 }
 
-// Identity is the disk's own id, and whether it was made at the bootstrap of the whole system.
+// Identity returns the disk's id, never zero, and whether the disk was made when the group was bootstrapped.
 func (s *Store) Identity() (id uint64, bootstrap bool) {
 	return s.identity.id, s.identity.bootstrap
 }
 
-// BootstrapSeeds are the seeds with which the group was bootstrapped, if the disk took part in that; else none.
+// BootstrapSeeds returns the seeds with which the group was bootstrapped, if the disk was made then; else none.
 func (s *Store) BootstrapSeeds() []string {
 	return s.identity.bootstrapSeeds
 }
 
-// Load gives what the disk held when it was opened. It is meant to be called before the first write.
+// Load returns what the disk held when it was opened, until the first SaveSnapshot or Reset; after that it returns nothing.
 func (s *Store) Load() core.Stored {
 	return s.loaded
 }
 
-// Damage tells what was found damaged when the store was opened, or is empty.
+// Damage returns what was found damaged when the store was opened, or the reason of the last Reset; empty: nothing.
 func (s *Store) Damage() string {
 	return s.damage
 }
 
-// TruncatedBytes tells how many bytes of a torn write were truncated from the log's end when the store was opened.
+// TruncatedBytes returns how many bytes of a torn write were truncated from the end of the log when the store was opened.
 func (s *Store) TruncatedBytes() int {
 	return s.truncatedBytes
 }
 
-// Close ends the use of the store. Nothing is written.
+// Close ends the use of the store. It writes nothing: what was reported as saved is durable.
 func (s *Store) Close() {
 	s.closeLog()
 }
@@ -154,7 +158,7 @@
 	return false, nil
 }
 
-// Reset makes the directory one of an empty disk with another identity, which has no part in a bootstrap. Open does it by itself with a damaged directory; it is for data that is intact on disk but that its owner can't use.
+// Reset makes the directory that of an empty disk with another identity, which has no part in bootstrapping the group. Open does so by itself with a damaged directory; Reset is for data that is intact on disk but that its owner can't use.
 //
 // The identity's change takes effect atomically, and with it no other name counts any more.
 func (s *Store) Reset(reason string) error {
@@ -163,7 +167,7 @@
 	return s.saveIdentity(identity{})
 }
 
-// saveIdentity gives the directory a new identity; the id is drawn here.
+// saveIdentity gives the directory a new identity with a random id.
 func (s *Store) saveIdentity(fresh identity) error {
 	id, err := newID()
 	if err != nil {
@@ -188,7 +192,7 @@
 	return s.syncNames()
 }
 
-// newID draws the id of a disk.
+// newID returns a random id for a disk.
 func newID() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/coord/replication/store/store_test.go
+++ b/coord/replication/store/store_test.go
@@ -59,7 +59,7 @@
 
 func openDir(t *testing.T, dir string) *store.Store {
 	t.Helper()
-	s, err := store.Open(store.OSFiles{}, dir, false)
+	s, err := store.Open(store.OSFiles{}, dir, store.Options{})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	return s
@@ -68,7 +68,7 @@
 // fill makes a store with a snapshot, an entry in its tail and three more.
 func openFilled(t *testing.T, dir string) *store.Store {
 	t.Helper()
-	s, err := store.Open(store.OSFiles{}, dir, true)
+	s, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries[:1]))
@@ -162,15 +162,15 @@
 func TestBootstrapSeeds_OtherSettings_Unchanged(t *testing.T) {
 	first := []string{"10.1.0.1:7720", "10.2.0.1:7720", "10.3.0.1:7720"}
 	dir := t.TempDir()
-	made, err := store.Open(store.OSFiles{}, dir, true, first...)
+	made, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true, Seeds: first})
 	require.NoError(t, err)
 	require.Equal(t, first, made.BootstrapSeeds())
 	made.Close()
-	later, err := store.Open(store.OSFiles{}, dir, false, "10.9.0.1:7720")
+	later, err := store.Open(store.OSFiles{}, dir, store.Options{Seeds: []string{"10.9.0.1:7720"}})
 	require.NoError(t, err)
 	require.Equal(t, first, later.BootstrapSeeds())
 	later.Close()
-	joined, err := store.Open(store.OSFiles{}, t.TempDir(), false, first...)
+	joined, err := store.Open(store.OSFiles{}, t.TempDir(), store.Options{Seeds: first})
 	require.NoError(t, err)
 	require.Empty(t, joined.BootstrapSeeds(), "made after the first start: it has no part in the first view")
 	joined.Close()
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -62,7 +62,7 @@
 }
 
 func (d *daemon) newController(env *settings.Settings) (program, error) {
-	disk, err := store.Open(store.OSFiles{}, env.DataDir, env.Bootstrap, env.SeedMembers()...)
+	disk, err := store.Open(store.OSFiles{}, env.DataDir, store.Options{Bootstrap: env.Bootstrap, Seeds: env.SeedMembers()})
 	if err != nil {
 		return nil, err
 	}
