--- a/internal/simtest/bad_input_test.go
+++ b/internal/simtest/bad_input_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	c, err := sim.Network.Host("10.8.0.3").Dial(sim.processes["router-1"].ip+":80", time.Second)
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	for i, part := range strings.Split(text, "|") {
 		if i > 0 {
 			time.Sleep(slow)
--- a/internal/simtest/command_configuration.go
+++ b/internal/simtest/command_configuration.go
@@ -146,15 +146,15 @@
 // checkReadBack checks a configuration that was read back against what was sent.
 func checkReadBack(revision, body string) error {
 	if !strings.HasPrefix(body, `{"revision":`+revision+",") || !strings.Contains(body, `"x_unknown":{"kept":[1,2.50]}`) {
-		return wrongAnswer(fmt.Sprintf("read back %.60s", body))
+		return wrongAnswerError(fmt.Sprintf("read back %.60s", body))
 	}
 	return nil
 }
 
-// wrongAnswer is an error that no waiting mends.
-type wrongAnswer string
+// wrongAnswerError is an error that no waiting mends.
+type wrongAnswerError string
 
-func (e wrongAnswer) Error() string { return string(e) }
+func (e wrongAnswerError) Error() string { return string(e) }
 
 // expectAnswer carries out one order as its line says and checks the answer.
 func (s *Script) expectAnswer(o order, a args) error {
--- a/internal/simtest/command_control.go
+++ b/internal/simtest/command_control.go
@@ -77,7 +77,7 @@
 // endOperators changes=20 evacuations=90: their end is judged; at least so many changes were taken, and so many in a hundred of the evacuation orders
 func (s *Script) endOperators(a args) error {
 	s.background.Wait()
-	s.sim.Log.Info(s.operatorSet.report(), "part", "operators")
+	s.sim.Log.Info("operators ended", "part", "operators", "report", s.operatorSet.report())
 	if err := s.operatorSet.judgeEnd(); err != nil {
 		return err
 	}
--- a/internal/simtest/command_replica.go
+++ b/internal/simtest/command_replica.go
@@ -113,13 +113,13 @@
 
 // resetSome is the command "reset_some r1 every=2": every so manieth connection to it is reset
 func resetSome(s *Script, a args) error {
-	s.sim.Network.Reset(s.sim.replicas[a.word(0)].ip, a.number("every", 2))
+	s.sim.Network.ResetSome(s.sim.replicas[a.word(0)].ip, a.number("every", 2))
 	return nil
 }
 
 // powerOffReplica is the command "replica_power_off r1": its machine goes dark
 func powerOffReplica(s *Script, a args) error {
-	s.sim.Network.Kill(s.sim.replicas[a.word(0)].ip, true)
+	s.sim.Network.PowerOff(s.sim.replicas[a.word(0)].ip)
 	return nil
 }
 
--- a/internal/simtest/conn.go
+++ b/internal/simtest/conn.go
@@ -10,136 +10,164 @@
 	"shaletrestle/internal/upstream"
 )
 
+// chunk is what one write sent.
 type chunk struct {
 	arrivesAt time.Time
 	data      []byte
 }
 
-// conn is one end; what it reads lies in its own in.
+// conn is one end of a connection. Its fields are guarded by the network's lock.
 type conn struct {
-	network                     *Network
-	from, to                    string
-	remote                      string
-	peer                        *conn
-	inbound                     []chunk
-	eof                         bool
-	isReset                     bool
-	lostAt                      time.Time
-	unackedSince                time.Time // the first write after that
-	peerLost                    bool      // its host or its peer's lost power
-	closed                      bool
-	lastActive                  time.Time // something went either way
-	readDeadline, writeDeadline time.Time
-}
-
-func (n *Network) pair(from, to, at string) (*conn, *conn) {
-	a, b := &conn{network: n, from: from, to: to, remote: at}, &conn{network: n, from: to, to: from, remote: from}
-	a.peer, b.peer = b, a
+	network       *Network
+	from, to      string // addresses of its host and its peer's
+	remote        string // what RemoteAddr says
+	peer          *conn
+	inbound       []chunk // what it can read, oldest first
+	eof           bool    // the peer has closed it
+	isReset       bool
+	closed        bool
+	lastActive    time.Time // something went either way
+	peerLost      bool      // its host or its peer's lost power
+	lostAt        time.Time
+	unackedSince  time.Time // the first write after that; zero if there was none
+	readDeadline  time.Time
+	writeDeadline time.Time
+}
+
+// newPair makes both ends of a connection that one host has dialled at an address of another.
+func (n *Network) newPair(from, to, address string) (dialled, accepted *conn) {
+	dialled = &conn{network: n, from: from, to: to, remote: address}
+	accepted = &conn{network: n, from: to, to: from, remote: from}
+	dialled.peer, accepted.peer = accepted, dialled
 	n.mu.Lock()
-	n.connections[a], n.connections[b] = true, true
-	n.mu.Unlock()
-	return a, b
+	defer n.mu.Unlock()
+	n.connections[dialled], n.connections[accepted] = true, true
+	return dialled, accepted
 }
 
-func (c *conn) Read(b []byte) (int, error) {
+// Read is part of net.Conn.
+func (c *conn) Read(buffer []byte) (int, error) {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	for {
-		c.network.mu.Lock()
 		c.network.waitAwakeLocked(c.from)
 		now := time.Now()
-		wait := time.Duration(-1)
-		switch {
-		case c.closed:
-			c.network.mu.Unlock()
-			return 0, net.ErrClosed
-		case c.isReset:
-			c.network.mu.Unlock()
-			return 0, syscall.ECONNRESET
-		case !c.readDeadline.IsZero() && !now.Before(c.readDeadline):
-			c.network.mu.Unlock()
-			return 0, os.ErrDeadlineExceeded
-		case c.peerLost && !now.Before(c.timesOutAt()):
-			c.network.mu.Unlock()
-			return 0, syscall.ETIMEDOUT
-		case len(c.inbound) > 0 && !c.network.cuts[[2]string{c.to, c.from}]:
-			if x := &c.inbound[0]; !now.Before(x.arrivesAt) {
-				k := copy(b, x.data)
-				if x.data = x.data[k:]; len(x.data) == 0 {
-					c.inbound = c.inbound[1:]
-				}
-				c.network.mu.Unlock()
-				return k, nil
-			} else {
-				wait = x.arrivesAt.Sub(now)
-			}
-		case len(c.inbound) == 0 && c.eof:
-			c.network.mu.Unlock()
-			return 0, io.EOF
+		if err := c.readError(now); err != nil {
+			return 0, err
 		}
-		if !c.readDeadline.IsZero() {
-			if d := c.readDeadline.Sub(now); wait < 0 || d < wait {
-				wait = d
-			}
+		if arrivesAt, ok := c.nextArrival(); ok && !now.Before(arrivesAt) {
+			return c.take(buffer), nil
 		}
-		if c.peerLost {
-			if d := c.timesOutAt().Sub(now); wait < 0 || d < wait {
-				wait = d
-			}
-		}
-		w := c.network.wakeup
-		c.network.mu.Unlock()
-		if wait < 0 {
-			<-w
-			continue
-		}
-		t := time.NewTimer(wait)
-		select {
-		case <-w:
-		case <-t.C:
+		if len(c.inbound) == 0 && c.eof {
+			return 0, io.EOF
 		}
-		t.Stop()
+		c.network.waitLocked(c.nextReadEvent())
+	}
+}
+
+// readError is why nothing can be read at a time, whatever has arrived; nil if something can.
+func (c *conn) readError(now time.Time) error {
+	switch {
+	case c.closed:
+		return net.ErrClosed
+	case c.isReset:
+		return syscall.ECONNRESET
+	case !c.readDeadline.IsZero() && !now.Before(c.readDeadline):
+		return os.ErrDeadlineExceeded
+	case c.peerLost && !now.Before(c.timesOutAt()):
+		return syscall.ETIMEDOUT
+	}
+	return nil
+}
+
+// nextArrival is when the oldest chunk arrives; false if there is none, or if the network is partitioned in its way.
+func (c *conn) nextArrival() (time.Time, bool) {
+	if len(c.inbound) == 0 || c.network.isCut(c.to, c.from) {
+		return time.Time{}, false
+	}
+	return c.inbound[0].arrivesAt, true
+}
+
+// take moves what fits of the oldest chunk into a buffer.
+func (c *conn) take(buffer []byte) int {
+	oldest := &c.inbound[0]
+	n := copy(buffer, oldest.data)
+	oldest.data = oldest.data[n:]
+	if len(oldest.data) == 0 {
+		c.inbound = c.inbound[1:]
+	}
+	return n
+}
+
+// nextReadEvent is when a read can end without a further event of the network; zero if it can't.
+func (c *conn) nextReadEvent() time.Time {
+	next, _ := c.nextArrival()
+	if c.peerLost {
+		next = earlier(next, c.timesOutAt())
+	}
+	return earlier(next, c.readDeadline)
+}
+
+// earlier is the earlier of two times; a zero one does not count.
+func earlier(a, b time.Time) time.Time {
+	if a.IsZero() || !b.IsZero() && b.Before(a) {
+		return b
 	}
+	return a
 }
 
 // timesOutAt is when the kernel gives a lost connection up: by its probes, or sooner if bytes go unacknowledged.
 func (c *conn) timesOutAt() time.Time {
-	end := c.lostAt.Add(upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval)
-	if u := c.unackedSince.Add(upstream.UnacknowledgedTimeout); !c.unackedSince.IsZero() && u.Before(end) {
-		end = u
+	probed := c.lostAt.Add(upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval)
+	if c.unackedSince.IsZero() {
+		return probed
 	}
-	return end
+	return earlier(probed, c.unackedSince.Add(upstream.UnacknowledgedTimeout))
 }
 
-func (c *conn) Write(b []byte) (int, error) {
+// Write is part of net.Conn.
+func (c *conn) Write(data []byte) (int, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	c.network.waitAwakeLocked(c.from)
+	now := time.Now()
 	switch {
 	case c.closed:
 		return 0, net.ErrClosed
 	case c.isReset:
 		return 0, syscall.ECONNRESET
 	case c.peerLost:
-		if c.unackedSince.IsZero() {
-			c.unackedSince = time.Now()
-			c.network.wakeAll()
-		}
-		return len(b), nil
+		c.sendUnacknowledged(now)
+		return len(data), nil
 	case c.peer.closed:
 		c.isReset = true
 		return 0, syscall.EPIPE
-	}
-	now := time.Now()
-	if d := c.network.idleLimits[c.to]; d > 0 && !c.lastActive.IsZero() && now.Sub(c.lastActive) > d {
+	case c.isForgotten(now):
 		c.isReset, c.peer.isReset = true, true
 		c.network.wakeAll()
-		return len(b), nil
+		return len(data), nil
 	}
 	c.lastActive, c.peer.lastActive = now, now
-	c.peer.inbound = append(c.peer.inbound, chunk{time.Now().Add(c.network.delay), append([]byte{}, b...)})
+	c.peer.inbound = append(c.peer.inbound, chunk{now.Add(c.network.delay), append([]byte{}, data...)})
 	c.network.wakeAll()
-	return len(b), nil
+	return len(data), nil
+}
+
+// sendUnacknowledged notes a write that nobody will acknowledge.
+func (c *conn) sendUnacknowledged(now time.Time) {
+	if c.unackedSince.IsZero() {
+		c.unackedSince = now
+		c.network.wakeAll()
+	}
 }
 
+// isForgotten reports whether the peer's host has dropped the connection for being idle.
+func (c *conn) isForgotten(now time.Time) bool {
+	limit := c.network.idleLimits[c.to]
+	return limit > 0 && !c.lastActive.IsZero() && now.Sub(c.lastActive) > limit
+}
+
+// Close is part of net.Conn. What was not read resets the peer's end.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -158,25 +186,31 @@
 	return nil
 }
 
-func (c *conn) LocalAddr() net.Addr  { return addr(c.from + ":0") }
+// LocalAddr is part of net.Conn.
+func (c *conn) LocalAddr() net.Addr { return addr(c.from + ":0") }
+
+// RemoteAddr is part of net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
 
+// SetDeadline is part of net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
 	_ = c.SetWriteDeadline(t)
 	return c.SetReadDeadline(t)
 }
 
+// SetReadDeadline is part of net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	c.readDeadline = t
 	c.network.wakeAll()
-	c.network.mu.Unlock()
 	return nil
 }
 
+// SetWriteDeadline is part of net.Conn; no write waits.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	c.writeDeadline = t
-	c.network.mu.Unlock()
 	return nil
 }
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -8,32 +8,39 @@
 	"time"
 )
 
-// Network is the network. Times are those of the test's bubble.
+// acceptBacklog is how many connections a listener holds that were not accepted yet.
+const acceptBacklog = 128
+
+// Network is the simulated network. Times are those of the test's bubble. It may be used by several goroutines at once.
 type Network struct {
-	mu          sync.Mutex
-	delay       time.Duration
+	delay time.Duration // one way, between any two hosts
+
+	mu          sync.Mutex // guards all below, and all hosts, listeners and connections
 	hosts       map[string]*Host
-	cuts        map[[2]string]bool
+	cuts        map[link]bool
 	frozen      map[string]bool          // hosts whose process is stopped
 	idleLimits  map[string]time.Duration // hosts that forget connections idle longer, silently
-	wakeup      chan struct{}
 	connections map[*conn]bool
+	wakeup      chan struct{} // closed and replaced at each change
 }
 
+// link is one way between two hosts, by their addresses.
+type link struct{ from, to string }
+
 // NewNetwork makes a network with one delay everywhere.
 func NewNetwork(delay time.Duration) *Network {
-	return &Network{delay: delay, hosts: map[string]*Host{}, cuts: map[[2]string]bool{}, frozen: map[string]bool{}, idleLimits: map[string]time.Duration{}, wakeup: make(chan struct{}), connections: map[*conn]bool{}}
-}
-
-// Host is one address.
-type Host struct {
-	network    *Network
-	ip         string
-	listeners  map[string]*listener
-	poweredOff bool // without power: nothing answers
+	return &Network{
+		delay:       delay,
+		hosts:       map[string]*Host{},
+		cuts:        map[link]bool{},
+		frozen:      map[string]bool{},
+		idleLimits:  map[string]time.Duration{},
+		connections: map[*conn]bool{},
+		wakeup:      make(chan struct{}),
+	}
 }
 
-// Host gives the host with an address.
+// Host gives the host with an address, a new one if there is none.
 func (n *Network) Host(ip string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,148 +52,185 @@
 	return h
 }
 
+// addresses lists all hosts.
+func (n *Network) addresses() (ips []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for ip := range n.hosts {
+		ips = append(ips, ip)
+	}
+	return ips
+}
+
+// wakeAll wakes all that waits; the caller holds the network's lock.
 func (n *Network) wakeAll() {
 	close(n.wakeup)
 	n.wakeup = make(chan struct{})
 }
 
-// Partition stops everything from a to b, silently.
-func (n *Network) Partition(a, b string) {
-	n.mu.Lock()
-	n.cuts[[2]string{a, b}] = true
-	n.wakeAll()
+// waitLocked waits for the next change, at most until a time; zero is no bound. The caller holds the network's lock,
+// also afterwards, and looks again at what it waits for.
+func (n *Network) waitLocked(until time.Time) {
+	wakeup := n.wakeup
 	n.mu.Unlock()
+	defer n.mu.Lock()
+	if until.IsZero() {
+		<-wakeup
+		return
+	}
+	timer := time.NewTimer(time.Until(until))
+	defer timer.Stop()
+	select {
+	case <-wakeup:
+	case <-timer.C:
+	}
 }
 
-// addresses lists all hosts.
-func (n *Network) addresses() (ips []string) {
+// waitAwakeLocked waits until a host's process goes on; the caller holds the network's lock, also afterwards.
+func (n *Network) waitAwakeLocked(ip string) {
+	for n.frozen[ip] {
+		n.waitLocked(time.Time{})
+	}
+}
+
+// waitAwake is waitAwakeLocked for callers that don't hold the network's lock.
+func (n *Network) waitAwake(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for ip := range n.hosts {
-		ips = append(ips, ip)
-	}
-	return ips
+	n.waitAwakeLocked(ip)
 }
 
-// Heal ends all cuts.
+// Partition stops everything from one host to another, silently.
+func (n *Network) Partition(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cuts[link{from, to}] = true
+	n.wakeAll()
+}
+
+// isCut reports whether nothing gets from one host to another; the caller holds the network's lock.
+func (n *Network) isCut(from, to string) bool { return n.cuts[link{from, to}] }
+
+// Heal ends all partitions.
 func (n *Network) Heal() {
 	n.mu.Lock()
-	n.cuts = map[[2]string]bool{}
+	defer n.mu.Unlock()
+	n.cuts = map[link]bool{}
 	n.wakeAll()
-	n.mu.Unlock()
 }
 
-// Kill ends all connections and listeners of a host; power says whether its peers hear nothing of it.
-func (n *Network) Kill(ip string, power bool) {
+// Kill ends a host's process: its listeners are closed and its connections reset.
+func (n *Network) Kill(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.frozen, ip)
-	if h := n.hosts[ip]; h != nil {
-		h.poweredOff = power
-		for _, l := range h.listeners {
-			l.once.Do(func() { close(l.done) })
-		}
-		h.listeners = map[string]*listener{}
-	}
+	n.closeListeners(ip, false)
+	n.resetWhere(func(c *conn) bool { return c.touches(ip) })
+}
+
+// PowerOff takes a host's power: it answers nothing more, and its peers hear nothing of it.
+func (n *Network) PowerOff(ip string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.closeListeners(ip, true)
 	for c := range n.connections {
-		if c.from == ip || c.to == ip {
-			if power {
-				c.peerLost, c.lostAt = true, time.Now()
-				if c.from == ip {
-					c.isReset = true
-				}
-			} else {
-				c.isReset, c.peer.isReset = true, true
-			}
-			delete(n.connections, c)
+		if !c.touches(ip) {
+			continue
+		}
+		c.peerLost, c.lostAt = true, time.Now()
+		if c.from == ip {
+			c.isReset = true
 		}
+		delete(n.connections, c)
 	}
 	n.wakeAll()
 }
 
+// closeListeners closes what a host listens on; it is not frozen any more. The caller holds the network's lock.
+func (n *Network) closeListeners(ip string, poweredOff bool) {
+	delete(n.frozen, ip)
+	h := n.hosts[ip]
+	if h == nil {
+		return
+	}
+	h.poweredOff = poweredOff
+	for _, l := range h.listeners {
+		l.once.Do(func() { close(l.done) })
+	}
+	h.listeners = map[string]*listener{}
+}
+
+// touches reports whether one of the connection's ends is at a host.
+func (c *conn) touches(ip string) bool { return c.from == ip || c.to == ip }
+
 // PowerOn gives a host its power back.
 func (n *Network) PowerOn(ip string) {
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.hosts[ip].poweredOff = false
-	n.mu.Unlock()
 }
 
-// DropIdle makes a host forget connections that were idle longer than d: the next thing sent on one is reset. 0 ends that.
-func (n *Network) DropIdle(ip string, d time.Duration) {
+// DropIdle makes a host forget connections that were idle longer than a limit: the next thing sent on one is reset. 0
+// ends that.
+func (n *Network) DropIdle(ip string, limit time.Duration) {
 	n.mu.Lock()
-	n.idleLimits[ip] = d
-	n.mu.Unlock()
+	defer n.mu.Unlock()
+	n.idleLimits[ip] = limit
 }
 
-// Reset resets every so manieth connection that a host has taken.
-func (n *Network) Reset(ip string, each int) {
+// ResetSome resets every so manieth connection that a host has accepted.
+func (n *Network) ResetSome(ip string, every int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	i := 0
-	for c := range n.connections {
+	accepted := 0
+	n.resetWhere(func(c *conn) bool {
 		if c.to != ip || c.remote == ip {
-			continue
+			return false
 		}
-		if i++; i%each == 0 {
-			c.isReset, c.peer.isReset = true, true
-			delete(n.connections, c)
-			delete(n.connections, c.peer)
-		}
-	}
-	n.wakeAll()
+		accepted++
+		return accepted%every == 0
+	})
 }
 
-// ResetAll resets all connections of a host, those that it made and those that it took.
+// ResetAll resets all connections of a host, those that it dialled and those that it accepted.
 func (n *Network) ResetAll(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	n.resetWhere(func(c *conn) bool { return c.touches(ip) })
+}
+
+// resetWhere resets the connections of which one end is chosen; the caller holds the network's lock.
+func (n *Network) resetWhere(isChosen func(*conn) bool) {
 	for c := range n.connections {
-		if c.from == ip || c.to == ip {
+		if isChosen(c) {
 			c.isReset, c.peer.isReset = true, true
 			delete(n.connections, c)
+			delete(n.connections, c.peer)
 		}
 	}
 	n.wakeAll()
 }
 
-// Freeze stops all that a host's process does on the network, or lets it go on: what others send waits for it.
-func (n *Network) Freeze(ip string, on bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.frozen[ip] = on
-	n.wakeAll()
-}
+// Freeze stops all that a host's process does on the network: what others send waits for it.
+func (n *Network) Freeze(ip string) { n.setFrozen(ip, true) }
 
-// waitAwakeLocked waits until a host's process goes on; the caller holds the network's lock, also afterwards.
-func (n *Network) waitAwakeLocked(ip string) {
-	for n.frozen[ip] {
-		wake := n.wakeup
-		n.mu.Unlock()
-		<-wake
-		n.mu.Lock()
-	}
-}
+// Thaw lets a frozen process go on.
+func (n *Network) Thaw(ip string) { n.setFrozen(ip, false) }
 
-// waitAwake is waitAwakeLocked for callers that don't hold the network's lock.
-func (n *Network) waitAwake(ip string) {
+func (n *Network) setFrozen(ip string, frozen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.waitAwakeLocked(ip)
+	n.frozen[ip] = frozen
+	n.wakeAll()
 }
 
-// Close resets all connections and closes all listeners.
+// Close kills all hosts' processes.
 func (n *Network) Close() {
-	n.mu.Lock()
-	ips := make([]string, 0, len(n.hosts))
-	for ip := range n.hosts {
-		ips = append(ips, ip)
-	}
-	n.mu.Unlock()
-	for _, ip := range ips {
-		n.Kill(ip, false)
+	for _, ip := range n.addresses() {
+		n.Kill(ip)
 	}
 }
 
+// listener is part of a host.
 type listener struct {
 	host     *Host
 	address  string
@@ -195,86 +239,109 @@
 	once     sync.Once
 }
 
+// Accept is part of net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
+	case connection := <-l.accepted:
 		l.host.network.waitAwake(l.host.ip)
-		return c, nil
+		return connection, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
+// Close is part of net.Listener.
 func (l *listener) Close() error {
-	l.host.network.mu.Lock()
+	n := l.host.network
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if l.host.listeners[l.address] == l {
 		delete(l.host.listeners, l.address)
 	}
-	l.host.network.mu.Unlock()
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
+// Addr is part of net.Listener.
 func (l *listener) Addr() net.Addr { return addr(l.address) }
 
+// addr is an address of the simulated network.
 type addr string
 
-func (addr) Network() string  { return "sim" }
+// Network is part of net.Addr.
+func (addr) Network() string { return "simulated" }
+
+// String is part of net.Addr.
 func (a addr) String() string { return string(a) }
 
-// Listen is crew.Net's.
-func (h *Host) Listen(at string) (net.Listener, error) {
+// Host is one address of the network.
+type Host struct {
+	network    *Network
+	ip         string
+	listeners  map[string]*listener
+	poweredOff bool // nothing answers
+}
+
+// Listen is part of rpc.Net.
+func (h *Host) Listen(address string) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	if h.listeners[at] != nil {
+	if h.listeners[address] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	l := &listener{host: h, address: at, accepted: make(chan net.Conn, 128), done: make(chan struct{})}
-	h.listeners[at] = l
+	l := &listener{host: h, address: address, accepted: make(chan net.Conn, acceptBacklog), done: make(chan struct{})}
+	h.listeners[address] = l
 	return l, nil
 }
 
-// DialReplica is blade.Dialer's.
-func (h *Host) DialReplica(at string, d time.Duration) (net.Conn, error) { return h.Dial(at, d) }
+// DialReplica is part of upstream.Dialer.
+func (h *Host) DialReplica(address string, timeout time.Duration) (net.Conn, error) {
+	return h.Dial(address, timeout)
+}
 
-// Dial is crew.Net's.
-func (h *Host) Dial(at string, d time.Duration) (net.Conn, error) {
-	ip, _, err := net.SplitHostPort(at)
+// Dial is part of rpc.Net.
+func (h *Host) Dial(address string, timeout time.Duration) (net.Conn, error) {
+	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
 	n := h.network
 	n.waitAwake(h.ip)
-	end := time.Now().Add(d)
-	for {
-		n.mu.Lock()
-		t := n.hosts[ip]
-		dark := t == nil || t.poweredOff || n.cuts[[2]string{h.ip, ip}] || n.cuts[[2]string{ip, h.ip}]
-		var l *listener
-		if t != nil {
-			l = t.listeners[at]
-		}
-		w := n.wakeup
-		n.mu.Unlock()
-		if dark {
-			select {
-			case <-w:
-				continue
-			case <-time.After(time.Until(end)):
-				return nil, os.ErrDeadlineExceeded
-			}
-		}
-		time.Sleep(2 * n.delay)
-		n.waitAwake(h.ip)
-		if l == nil {
-			return nil, syscall.ECONNREFUSED
-		}
-		a, b := n.pair(h.ip, ip, at)
-		select {
-		case l.accepted <- b:
-			return a, nil
-		case <-l.done:
-			return nil, syscall.ECONNREFUSED
+	l, err := h.lookUp(ip, address, time.Now().Add(timeout))
+	if err != nil {
+		return nil, err
+	}
+	time.Sleep(2 * n.delay) // the handshake
+	n.waitAwake(h.ip)
+	if l == nil {
+		return nil, syscall.ECONNREFUSED
+	}
+	dialled, accepted := n.newPair(h.ip, ip, address)
+	select {
+	case l.accepted <- accepted:
+		return dialled, nil
+	case <-l.done:
+		return nil, syscall.ECONNREFUSED
+	}
+}
+
+// lookUp waits until a host can be reached, and gives its listener at an address; nil if it has none there.
+func (h *Host) lookUp(ip, address string, deadline time.Time) (*listener, error) {
+	n := h.network
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for !h.canReach(ip) {
+		if !time.Now().Before(deadline) {
+			return nil, os.ErrDeadlineExceeded
 		}
+		n.waitLocked(deadline)
 	}
+	return n.hosts[ip].listeners[address], nil
+}
+
+// canReach reports whether a host answers; the caller holds the network's lock.
+func (h *Host) canReach(ip string) bool {
+	n := h.network
+	other := n.hosts[ip]
+	return other != nil && !other.poweredOff && !n.isCut(h.ip, ip) && !n.isCut(ip, h.ip)
 }
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -269,7 +269,9 @@
 
 // revision is the version that the change leads to.
 func (order sentOrder) revision() int {
-	var read struct{ Revision int }
+	var read struct {
+		Revision int `json:"revision"`
+	}
 	_ = json.Unmarshal([]byte(order.body), &read)
 	return read.Revision
 }
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
-	"net"
 	"net/http"
 	"sort"
 	"strconv"
@@ -15,57 +13,11 @@
 	"time"
 
 	"shaletrestle/coord/replication"
-	"shaletrestle/coord/replication/core"
 	"shaletrestle/internal/controller"
 	"shaletrestle/internal/router"
 	"shaletrestle/internal/settings"
 )
 
-// incarnation fences what a killed process still tries to do.
-type incarnation struct {
-	*Host
-	*Disk
-	dead atomic.Bool
-}
-
-var errEnded = errors.New("the process has ended")
-
-func (l *incarnation) Dial(at string, d time.Duration) (net.Conn, error) {
-	if l.dead.Load() {
-		return nil, errEnded
-	}
-	return l.Host.Dial(at, d)
-}
-
-func (l *incarnation) DialReplica(at string, d time.Duration) (net.Conn, error) { return l.Dial(at, d) }
-
-func (l *incarnation) Listen(at string) (net.Listener, error) {
-	if l.dead.Load() {
-		return nil, errEnded
-	}
-	return l.Host.Listen(at)
-}
-
-func (l *incarnation) ifAlive(f func() error) error {
-	l.network.waitAwake(l.ip)
-	if l.dead.Load() {
-		return errEnded
-	}
-	return f()
-}
-
-func (l *incarnation) SaveRegister(r core.Register) error {
-	return l.ifAlive(func() error { return l.Disk.SaveRegister(r) })
-}
-
-func (l *incarnation) SaveSnapshot(s core.Snapshot, tail []core.Entry) error {
-	return l.ifAlive(func() error { return l.Disk.SaveSnapshot(s, tail) })
-}
-
-func (l *incarnation) Append(e core.Entry) error {
-	return l.ifAlive(func() error { return l.Disk.Append(e) })
-}
-
 // Names of processes, by which a scenario calls them.
 const (
 	controllerPrefix = "controller-"
@@ -76,7 +28,7 @@
 
 func routerName(number int) string { return routerPrefix + strconv.Itoa(number) }
 
-// isController tells a controller's name from a router's.
+// isController reports whether a name is a controller's, not a router's.
 func isController(process string) bool { return strings.HasPrefix(process, controllerPrefix) }
 
 // Process is one of our processes.
@@ -246,10 +198,16 @@
 	return nil
 }
 
-// Freeze stops a process in the middle of whatever it does, or lets it go on.
-func (sim *Simulation) Freeze(name string, on bool) {
-	sim.setLasting(faultFreeze, name, on)
-	sim.Network.Freeze(sim.process(name).ip, on)
+// Freeze stops a process in the middle of whatever it does.
+func (sim *Simulation) Freeze(name string) {
+	sim.setLasting(faultFreeze, name, true)
+	sim.Network.Freeze(sim.process(name).ip)
+}
+
+// Thaw lets a frozen process go on.
+func (sim *Simulation) Thaw(name string) {
+	sim.setLasting(faultFreeze, name, false)
+	sim.Network.Thaw(sim.process(name).ip)
 }
 
 // workTime is the time that a router's piece of work takes.
@@ -278,29 +236,52 @@
 		return 0
 	}
 	defer a.Body.Close()
-	var p struct{ Fleet int }
-	_ = json.NewDecoder(a.Body).Decode(&p)
-	return p.Fleet
+	var page struct {
+		Fleet int `json:"fleet"`
+	}
+	_ = json.NewDecoder(a.Body).Decode(&page)
+	return page.Fleet
+}
+
+// Kill ends a process; its connections are reset.
+func (sim *Simulation) Kill(name string) {
+	sim.addKill(name)
+	sim.stop(name, sim.Network.Kill)
 }
 
-// Kill ends a process; power: silently for its peers.
-func (sim *Simulation) Kill(name string, power bool) {
+// PowerOff ends a process by taking its machine's power, silently for its peers.
+func (sim *Simulation) PowerOff(name string) {
+	sim.addKill(name)
+	sim.stop(name, sim.Network.PowerOff)
+}
+
+// addKill records the fault that ends a process.
+func (sim *Simulation) addKill(name string) {
 	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	sim.addFaultLocked(name)
 	delete(sim.faults.lasting, faultKey(faultFreeze, name))
-	sim.mu.Unlock()
-	sim.stop(name, power)
 }
 
-func (sim *Simulation) stop(name string, power bool) {
+// stop ends a process and what its host does.
+func (sim *Simulation) stop(name string, stopHost func(ip string)) {
 	p := sim.process(name)
 	p.incarnation.dead.Store(true)
-	sim.Network.Kill(p.ip, power)
+	stopHost(p.ip)
 	p.cancel()
 }
 
-// Wipe gives a killed process an empty disk.
-func (sim *Simulation) Wipe(name string) { sim.process(name).disk = nil }
+// Wipe kills a process and empties its disk.
+func (sim *Simulation) Wipe(name string) {
+	sim.Kill(name)
+	sim.process(name).disk = nil
+}
+
+// ResetConnections resets all connections of a process's machine.
+func (sim *Simulation) ResetConnections(name string) {
+	sim.Network.ResetAll(sim.process(name).ip)
+	sim.addFault(name)
+}
 
 // Shutdown sends a process SIGTERM and waits until it has ended.
 func (sim *Simulation) Shutdown(name string) {
@@ -313,5 +294,5 @@
 	} else {
 		p.controller.Shutdown()
 	}
-	sim.stop(name, false)
+	sim.stop(name, sim.Network.Kill)
 }
--- a/internal/simtest/replica.go
+++ b/internal/simtest/replica.go
@@ -90,7 +90,7 @@
 // Down ends a replica's process; Up starts it again, under the same id.
 func (r *Replica) Down() {
 	_ = r.server.Close()
-	r.sim.Network.Kill(r.ip, false)
+	r.sim.Network.Kill(r.ip)
 }
 
 // Up starts a replica that is down.
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -164,7 +164,7 @@
 	end := time.Now().Add(within)
 	for {
 		err := holds()
-		var wrong wrongAnswer
+		var wrong wrongAnswerError
 		if err == nil || errors.As(err, &wrong) || time.Now().After(end) {
 			return err
 		}
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -20,7 +20,7 @@
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".scn"), func(t *testing.T) {
 			t.Parallel()
-			out := io.Writer(io.Discard)
+			var out io.Writer = io.Discard
 			if os.Getenv("SCENARIO_LOG") != "" {
 				out = os.Stderr
 			}
--- a/internal/simtest/simulation.go
+++ b/internal/simtest/simulation.go
@@ -83,8 +83,8 @@
 		if p.ctx == nil {
 			continue
 		}
-		sim.Network.Freeze(p.ip, false)
-		sim.Kill(p.Name, false)
+		sim.Network.Thaw(p.ip)
+		sim.Kill(p.Name)
 		if p.disk != nil {
 			p.disk.Fault("ok")
 		}
