--- a/internal/emulator/client_stream.go
+++ b/internal/emulator/client_stream.go
@@ -32,7 +32,7 @@
 	reader := bufio.NewReader(body)
 	for {
 		event, err := readEvent(reader)
-		if err == io.EOF && event == "" && r.events == r.kind.TokensOut {
+		if errors.Is(err, io.EOF) && event == "" && r.events == r.kind.TokensOut {
 			return nil
 		}
 		if err != nil {
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -210,8 +210,8 @@
 func measureFolding(x float64) values {
 	size := targetSize
 	size.Routes = int(x)
-	book := state.NewStore(state.Options{Monotonic: true})
-	book.OnChange(func(old, now *state.View, _ state.Event) {
+	store := state.NewStore(state.Options{Monotonic: true})
+	store.OnChange(func(old, now *state.View, _ state.Event) {
 		if old.Config != now.Config {
 			routing.Compile(now.Config)
 		}
@@ -220,24 +220,24 @@
 	first.Revision = 1
 	body, _ := json.Marshal(first)
 	heap, _ := cost(func() any {
-		book.Update(state.EncodeEvent(state.NewPutConfig(0, body).WithoutDigest()))
-		return book
+		mustUpdate(store, state.EncodeEvent(state.NewPutConfig(0, body).WithoutDigest()))
+		return store
 	})
 	changeBytes := 0
 	_, cpu := cost(func() any {
 		for i := range componentChanges {
 			event := patchEvent(size.route(i%size.Routes, 11000+i), i+1)
 			changeBytes = len(event)
-			book.Update(event)
+			mustUpdate(store, event)
 		}
 		return nil
 	})
 	return values{
 		"fold_ms":       cpu / componentChanges * millisec,
 		"heap_kb":       heap / kilobyte,
-		"checkpoint_kb": float64(len(book.Snapshot())) / kilobyte,
+		"checkpoint_kb": float64(len(store.Snapshot())) / kilobyte,
 		"change_bytes":  float64(changeBytes),
-		"revision":      float64(book.View().Config.Revision),
+		"revision":      float64(store.View().Config.Revision),
 	}
 }
 
@@ -252,14 +252,14 @@
 // measureListing folds a list of more and more replicas, then changes of one of them;
 // the replicas known to placement are brought up to date with each.
 func measureListing(x float64) values {
-	book := state.NewStore(state.Options{Monotonic: true})
+	store := state.NewStore(state.Options{Monotonic: true})
 	placer := placement.NewPlacer(prefixindex.NewIndex())
-	book.OnChange(func(_, now *state.View, _ state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
+	store.OnChange(func(_, now *state.View, _ state.Event) { placer.SetReplicas(now.Replicas, now.Evacuated, 0) })
 	replicas := madeUpReplicas(int(x), targetSize.Models, targetSize.Controllers)
 	first := listEvent(replicas...)
 	heap, fullTime := cost(func() any {
-		book.Update(first)
-		return []any{book, placer}
+		mustUpdate(store, first)
+		return []any{store, placer}
 	})
 	changeBytes := 0
 	_, changeTime := cost(func() any {
@@ -268,7 +268,7 @@
 			changed.WarmupLeftMs = float64(i + 1)
 			event := listEvent(&changed)
 			changeBytes = len(event)
-			book.Update(event)
+			mustUpdate(store, event)
 		}
 		return nil
 	})
@@ -276,11 +276,18 @@
 		"whole_ms":      fullTime * millisec,
 		"change_ms":     changeTime / componentChanges * millisec,
 		"heap_kb":       heap / kilobyte,
-		"checkpoint_kb": float64(len(book.Snapshot())) / kilobyte,
+		"checkpoint_kb": float64(len(store.Snapshot())) / kilobyte,
 		"change_bytes":  float64(changeBytes),
 	}
 }
 
+// mustUpdate applies an event that was made up here, so that it fits.
+func mustUpdate(store *state.Store, event []byte) {
+	if err := store.Update(event); err != nil {
+		panic(err)
+	}
+}
+
 func listEvent(replicas ...*state.Replica) []byte {
 	return state.EncodeEvent(state.UpdateReplicas{Changed: replicas})
 }
--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -79,6 +79,6 @@
 		return
 	}
 	d.cancel()
-	<-d.done
+	_ = <-d.done // it was cancelled
 	d.ctx = nil
 }
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -26,9 +26,9 @@
 
 // viewPage is the replication view on a controller's state page.
 type viewPage struct {
-	Primary   memberAddress
-	Backups   []memberAddress
-	Witnesses []memberAddress
+	Primary   memberAddress   `json:"primary"`
+	Backups   []memberAddress `json:"backups"`
+	Witnesses []memberAddress `json:"witnesses"`
 }
 
 // controllerPage is the part of a controller's state page that is used here.
--- a/internal/simtest/command_configuration.go
+++ b/internal/simtest/command_configuration.go
@@ -25,7 +25,7 @@
 
 // putConfiguration is the command "put 5 base=0 expect=200 extra=x flaw=y at=controller-1".
 func putConfiguration(s *Script, a args) error {
-	body := configurationAt(a.number("rev", numberOf(a.word(0))), a.options["extra"], a.options["flaw"])
+	body := configurationAt(a.number("rev", numberOf(a.argument(0))), a.options["extra"], a.options["flaw"])
 	return s.expectAnswer(order{"PUT", "/v1/config", a.options["base"], body}, a)
 }
 
@@ -38,20 +38,20 @@
 	if name := a.options["remove"]; name != "" {
 		remove = fmt.Sprintf(`,"remove":{"route_table":["r-%s"]}`, name)
 	}
-	body := fmt.Sprintf(`{"revision":%s%s%s}`, a.word(0), upsert, remove)
+	body := fmt.Sprintf(`{"revision":%s%s%s}`, a.argument(0), upsert, remove)
 	return s.expectAnswer(order{"PATCH", "/v1/config", a.options["base"], body}, a)
 }
 
 // routeText is a route that a patch adds, at the path of its name.
 func routeText(name string, a args) string {
-	word := func(k, def string) string {
+	option := func(k, def string) string {
 		if a.options[k] != "" {
 			return a.options[k]
 		}
 		return def
 	}
 	return fmt.Sprintf(`{"name":"r-%s","hostname":"h.example","path_prefix":"/%s/","route_type":"%s","timeout_ms":%s,"target_latency_ms":%s,"priority":%s,"backend_pool":"%s","max_attempts":%s}`,
-		name, name, word("type", "idempotent"), word("timeout", "3000"), word("target_latency", "400"), word("priority", "1"), word("pool", "svc"), word("attempts", "2"))
+		name, name, option("type", "idempotent"), option("timeout", "3000"), option("target_latency", "400"), option("priority", "1"), option("pool", "svc"), option("attempts", "2"))
 }
 
 // repeatOrder is the command "repeat_last at=controller-1 expect=200": the configuration order that was acknowledged last, once more
@@ -84,17 +84,17 @@
 
 // evacuate is the command "evacuate a expect=200".
 func evacuate(s *Script, a args) error {
-	got := s.send(order{method: "POST", path: "/v1/evacuation/" + a.word(0)}, a)
+	got := s.send(order{method: "POST", path: "/v1/evacuation/" + a.argument(0)}, a)
 	if got == http.StatusOK {
-		s.sim.setEvacuated(a.word(0), time.Now())
+		s.sim.setEvacuated(a.argument(0), time.Now())
 	}
 	return a.checkStatus(got)
 }
 
 // endEvacuation is the command "end_evacuation a expect=200": the evacuation is taken back
 func endEvacuation(s *Script, a args) error {
-	s.sim.setEvacuated(a.word(0), time.Time{})
-	return a.checkStatus(s.send(order{method: "DELETE", path: "/v1/evacuation/" + a.word(0)}, a))
+	s.sim.setEvacuated(a.argument(0), time.Time{})
+	return a.checkStatus(s.send(order{method: "DELETE", path: "/v1/evacuation/" + a.argument(0)}, a))
 }
 
 // setEvacuated notes since when a zone's replicas are to get nothing more; never for the zero time.
@@ -116,7 +116,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			got[i] = s.sim.SendUntilClear(orderTimeout, "PUT", "/v1/config", a.options["base"], configurationAt(numberOf(a.word(i)), fmt.Sprintf("w%d", i), ""))
+			got[i] = s.sim.SendUntilClear(orderTimeout, "PUT", "/v1/config", a.options["base"], configurationAt(numberOf(a.argument(i)), fmt.Sprintf("w%d", i), ""))
 		}()
 	}
 	wg.Wait()
@@ -137,7 +137,7 @@
 			if status != http.StatusOK {
 				continue
 			}
-			return checkReadBack(a.word(0), body)
+			return checkReadBack(a.argument(0), body)
 		}
 		return fmt.Errorf("nothing was read back")
 	})
--- a/internal/simtest/command_control.go
+++ b/internal/simtest/command_control.go
@@ -12,7 +12,7 @@
 	"operators":     {func(s *Script, a args) error { return s.startOperators(a) }, "n for seed from at pause"},
 	"flood_reads":   {pressNode, "for from"},
 	"operators_end": {func(s *Script, a args) error { return s.endOperators(a) }, "changes evacuations"},
-	"changes":       {func(s *Script, a args) error { return s.changeInTurn(numberOf(a.word(0)), a) }, "from"},
+	"changes":       {func(s *Script, a args) error { return s.changeInTurn(numberOf(a.argument(0)), a) }, "from"},
 	"repeat_change": {repeatNumbered, "base at within expect"},
 	"isolate":       {isolateNode, ""},
 }
@@ -23,7 +23,7 @@
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
-		ops.press(a.word(0), a.duration("for", time.Second))
+		ops.press(a.argument(0), a.duration("for", time.Second))
 	}()
 	return nil
 }
@@ -35,8 +35,8 @@
 
 // isolateNode is the command "isolate controller-1": nothing goes to it or comes from it, as if it stood still
 func isolateNode(s *Script, a args) error {
-	s.isolate(a.word(0))
-	s.sim.setLasting(faultPartition, a.word(0), true)
+	s.isolate(a.argument(0))
+	s.sim.setLasting(faultPartition, a.argument(0), true)
 	return nil
 }
 
--- a/internal/simtest/command_expect.go
+++ b/internal/simtest/command_expect.go
@@ -38,7 +38,7 @@
 
 // expectOnPage is the command "state_page router-1 run_elsewhere min=3 max=9": a count of the state page's section on long work
 func expectOnPage(s *Script, a args) error {
-	r, err := s.sim.client("10.8.0.2").Get("http://" + s.sim.process(a.word(0)).ip + ":7003/")
+	r, err := s.sim.client("10.8.0.2").Get("http://" + s.sim.process(a.argument(0)).ip + ":7003/")
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if err := json.NewDecoder(r.Body).Decode(&p); err != nil {
 		return err
 	}
-	name := a.word(1)
+	name := a.argument(1)
 	n, ok := p.Long[name].(float64)
 	if !ok || int(n) < a.number("min", 0) || int(n) > a.number("max", unbounded) {
 		return fmt.Errorf("%s is %v", name, p.Long[name])
@@ -65,7 +65,7 @@
 	for _, service := range s.sim.keys {
 		services[service] = true
 	}
-	if len(s.sim.keys) != numberOf(a.word(0)) || len(services) != 2 {
+	if len(s.sim.keys) != numberOf(a.argument(0)) || len(services) != 2 {
 		return fmt.Errorf("%v", s.sim.keys)
 	}
 	return nil
@@ -76,7 +76,7 @@
 	return pollUntil(a.duration("within", time.Second), shortPoll, func() error {
 		for _, name := range a.list("at") {
 			health := s.sim.process(name).router.Health()
-			if health[a.word(0)].Suspected == (a.options["no"] != "") {
+			if health[a.argument(0)].Suspected == (a.options["no"] != "") {
 				return fmt.Errorf("%s holds %v", name, health)
 			}
 		}
@@ -87,7 +87,7 @@
 // expectReady is the command "ready router-1 router-2 are=no within=3s": all of them come to answer so
 func expectReady(s *Script, a args) error {
 	want := a.options["are"] != "no"
-	for _, name := range a.words {
+	for _, name := range a.arguments {
 		err := pollUntil(a.duration("within", 0), poll, func() error {
 			if s.sim.Ready(name) != want {
 				return fmt.Errorf("%s does not", name)
@@ -103,9 +103,9 @@
 
 // expectShares is the command "fleet_size 6 router-1 router-2 within=4s": by these routers the shares are made for so many
 func expectShares(s *Script, a args) error {
-	for _, name := range a.words[1:] {
+	for _, name := range a.arguments[1:] {
 		err := pollUntil(a.duration("within", 0), poll, func() error {
-			if n := s.sim.FleetSize(name); n != numberOf(a.word(0)) {
+			if n := s.sim.FleetSize(name); n != numberOf(a.argument(0)) {
 				return fmt.Errorf("%s says %d", name, n)
 			}
 			return nil
@@ -126,7 +126,7 @@
 	for _, n := range s.failed {
 		all += n
 	}
-	if all == 0 || s.served*100 < all*numberOf(a.word(0)) {
+	if all == 0 || s.served*100 < all*numberOf(a.argument(0)) {
 		return fmt.Errorf("%d of %d served, others %v", s.served, all, s.failed)
 	}
 	s.served, s.failed = 0, map[int]int{}
@@ -135,7 +135,7 @@
 
 // expectGot is the command "executed r1 min=3 max=9": requests that a replica ran
 func expectGot(s *Script, a args) error {
-	r := s.sim.replicas[a.word(0)]
+	r := s.sim.replicas[a.argument(0)]
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.executed < a.number("min", 0) || r.executed > a.number("max", unbounded) {
--- a/internal/simtest/command_fault.go
+++ b/internal/simtest/command_fault.go
@@ -38,7 +38,7 @@
 // onEach is a command that does something to each process that it names.
 func onEach(do func(sim *Simulation, process string)) func(*Script, args) error {
 	return func(s *Script, a args) error {
-		for _, name := range a.words {
+		for _, name := range a.arguments {
 			do(s.sim, name)
 		}
 		return nil
@@ -49,8 +49,8 @@
 const slowUsual = 5
 
 func partitionLinks(s *Script, a args) error {
-	from := s.sim.process(a.word(0))
-	for _, name := range strings.Split(a.word(1), ",") {
+	from := s.sim.process(a.argument(0))
+	for _, name := range strings.Split(a.argument(1), ",") {
 		to := s.sim.process(name)
 		s.sim.Network.Partition(from.ip, to.ip)
 		if a.options["oneway"] == "" {
@@ -58,7 +58,7 @@
 		}
 		s.sim.setLasting(faultPartition, name, true)
 	}
-	s.sim.setLasting(faultPartition, a.word(0), true)
+	s.sim.setLasting(faultPartition, a.argument(0), true)
 	return nil
 }
 
@@ -70,7 +70,7 @@
 
 func slowMachines(s *Script, a args) error {
 	factor := a.number("factor", slowUsual)
-	for _, name := range a.words {
+	for _, name := range a.arguments {
 		s.sim.process(name).slowdown.Store(int64(factor))
 		s.sim.setLasting(faultSlowMachine, name, factor > 1)
 	}
@@ -78,21 +78,21 @@
 }
 
 func setDisk(s *Script, a args) error {
-	s.sim.process(a.word(0)).disk.Fault(a.word(1))
-	s.sim.setLasting(faultDisk, a.word(0), a.word(1) != "ok")
+	s.sim.process(a.argument(0)).disk.Fault(a.argument(1))
+	s.sim.setLasting(faultDisk, a.argument(0), a.argument(1) != "ok")
 	return nil
 }
 
 func powerOffZone(s *Script, a args) error {
 	for _, name := range s.sim.running() {
-		if s.sim.process(name).zone == a.word(0) {
+		if s.sim.process(name).zone == a.argument(0) {
 			s.sim.PowerOff(name)
 		}
 	}
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
 	for _, r := range s.sim.replicas {
-		if r.zone == a.word(0) {
+		if r.zone == a.argument(0) {
 			s.sim.Network.PowerOff(r.ip)
 			r.state, r.since = "gone", time.Now()
 		}
--- a/internal/simtest/command_fleet.go
+++ b/internal/simtest/command_fleet.go
@@ -59,7 +59,7 @@
 
 // startProcesses is the command "start router-1 controller-2".
 func startProcesses(s *Script, a args) error {
-	for _, name := range a.words {
+	for _, name := range a.arguments {
 		if err := s.sim.Start(name); err != nil {
 			return err
 		}
@@ -69,26 +69,26 @@
 
 // addMachine is the command "add controller-4 zone=a disk=no": a new machine at a new address, told of the living seeds
 func addMachine(s *Script, a args) error {
-	p := s.sim.Add(a.word(0), fmt.Sprintf("10.5.0.%d", len(s.sim.processes)+1), a.options["zone"])
+	p := s.sim.Add(a.argument(0), fmt.Sprintf("10.5.0.%d", len(s.sim.processes)+1), a.options["zone"])
 	p.firstStart, p.relay = false, a.options["disk"] == "no"
 	return nil
 }
 
 // setSeeds is the command "seeds controller-1 controller-4 controller-5": what processes are told of from now on
 func setSeeds(s *Script, a args) error {
-	s.sim.Seeds(a.words...)
+	s.sim.Seeds(a.arguments...)
 	return nil
 }
 
 // shutdown is the command "shutdown router-1": SIGTERM, until it has ended
 func shutdown(s *Script, a args) error {
-	s.sim.Shutdown(a.word(0))
+	s.sim.Shutdown(a.argument(0))
 	return nil
 }
 
 // reload is the command "reload router-1 router-2": SIGHUP, with the seeds of the moment
 func reload(s *Script, a args) error {
-	for _, name := range a.words {
+	for _, name := range a.arguments {
 		if err := s.sim.Reload(name); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 
 // wait is the command "wait 2s".
 func wait(_ *Script, a args) error {
-	d, err := time.ParseDuration(a.word(0))
+	d, err := time.ParseDuration(a.argument(0))
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 func acceptPrices(s *Script, a args) error {
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
-	for _, name := range a.words {
+	for _, name := range a.arguments {
 		if !strings.HasPrefix(name, "PRICE-") {
 			return fmt.Errorf("%s is no price", name)
 		}
--- a/internal/simtest/command_replica.go
+++ b/internal/simtest/command_replica.go
@@ -23,7 +23,7 @@
 
 // addReplica is the command "replica r1 pool=svc zone=a warmup=0 slots=8".
 func addReplica(s *Script, a args) error {
-	r := s.sim.AddReplica(a.word(0), a.options["pool"], fmt.Sprintf("10.7.0.%d", len(s.sim.replicas)+1), a.options["zone"])
+	r := s.sim.AddReplica(a.argument(0), a.options["pool"], fmt.Sprintf("10.7.0.%d", len(s.sim.replicas)+1), a.options["zone"])
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
 	r.mu.Lock()
@@ -35,7 +35,7 @@
 
 // setReplicaState is the command "state r1 draining|gone|ready".
 func setReplicaState(s *Script, a args) error {
-	s.sim.SetState(a.word(0), a.word(1))
+	s.sim.SetState(a.argument(0), a.argument(1))
 	return nil
 }
 
@@ -43,7 +43,7 @@
 func reuseAddress(s *Script, a args) error {
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
-	s.sim.replicas[a.word(0)].ID = a.word(1)
+	s.sim.replicas[a.argument(0)].ID = a.argument(1)
 	return nil
 }
 
@@ -53,10 +53,10 @@
 	if p := s.sim.process(a.options["from"]); p != nil {
 		from = p.ip
 	}
-	for _, id := range strings.Split(a.word(0), ",") {
+	for _, id := range strings.Split(a.argument(0), ",") {
 		r := s.sim.replicas[id]
 		r.mu.Lock()
-		r.behaviour = behaviour(a.word(1))
+		r.behaviour = behaviour(a.argument(1))
 		r.workTime = a.duration("work", r.workTime)
 		r.slowPath = a.options["path"]
 		r.percent = a.number("percent", 100)
@@ -68,10 +68,10 @@
 
 // setHealth is the command "health r1 unhealthy|well": what its health answer says, whatever it does
 func setHealth(s *Script, a args) error {
-	r := s.sim.replicas[a.word(0)]
+	r := s.sim.replicas[a.argument(0)]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unhealthy = a.word(1) == "unhealthy"
+	r.unhealthy = a.argument(1) == "unhealthy"
 	return nil
 }
 
@@ -79,13 +79,13 @@
 func setWarmup(s *Script, a args) error {
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
-	s.sim.replicas[a.word(0)].warmupLeftMs = float64(numberOf(a.word(1)))
+	s.sim.replicas[a.argument(0)].warmupLeftMs = float64(numberOf(a.argument(1)))
 	return nil
 }
 
 // flap is the command "flap r1 gap=700ms for=5s": it goes down and up by turns
 func flap(s *Script, a args) error {
-	r := s.sim.replicas[a.word(0)]
+	r := s.sim.replicas[a.argument(0)]
 	end := time.Now().Add(a.duration("for", time.Second))
 	half := a.duration("gap", time.Second) / 2
 	s.background.Add(1)
@@ -103,23 +103,23 @@
 
 // dropIdleConnections is the command "drop_idle r1 2s": it forgets connections idle longer, silently; 0s ends that
 func dropIdleConnections(s *Script, a args) error {
-	d, err := time.ParseDuration(a.word(1))
+	d, err := time.ParseDuration(a.argument(1))
 	if err != nil {
 		return err
 	}
-	s.sim.Network.DropIdle(s.sim.replicas[a.word(0)].ip, d)
+	s.sim.Network.DropIdle(s.sim.replicas[a.argument(0)].ip, d)
 	return nil
 }
 
 // resetSome is the command "reset_some r1 every=2": every so manieth connection to it is reset
 func resetSome(s *Script, a args) error {
-	s.sim.Network.ResetSome(s.sim.replicas[a.word(0)].ip, a.number("every", 2))
+	s.sim.Network.ResetSome(s.sim.replicas[a.argument(0)].ip, a.number("every", 2))
 	return nil
 }
 
 // powerOffReplica is the command "replica_power_off r1": its machine goes dark
 func powerOffReplica(s *Script, a args) error {
-	s.sim.Network.PowerOff(s.sim.replicas[a.word(0)].ip)
+	s.sim.Network.PowerOff(s.sim.replicas[a.argument(0)].ip)
 	return nil
 }
 
@@ -127,6 +127,6 @@
 func setPlatform(s *Script, a args) error {
 	s.sim.mu.Lock()
 	defer s.sim.mu.Unlock()
-	s.sim.platform.set(a.word(0))
+	s.sim.platform.set(a.argument(0))
 	return nil
 }
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -72,7 +72,7 @@
 	options string // the names that it takes as name=value
 }
 
-// commands are all kinds of lines by their first word.
+// commands are all kinds of lines by their names.
 var commands = tableOf(controlCommands, fleetCommands, faultCommands, replicaCommands, orderCommands, loadCommands, expectCommands)
 
 func tableOf(parts ...map[string]command) map[string]command {
@@ -97,10 +97,10 @@
 	return command.run(s, a)
 }
 
-// args are the words of a line after the first: plain ones in order, and those of the form key=value.
+// args are what stands after a command: arguments in order, and options of the form name=value.
 type args struct {
-	words   []string
-	options map[string]string
+	arguments []string
+	options   map[string]string
 }
 
 func parse(f []string) args {
@@ -109,16 +109,16 @@
 		if k, v, ok := strings.Cut(x, "="); ok {
 			a.options[k] = v
 		} else {
-			a.words = append(a.words, x)
+			a.arguments = append(a.arguments, x)
 		}
 	}
 	return a
 }
 
-// word is a plain word, empty if there are fewer.
-func (a args) word(i int) string {
-	if i < len(a.words) {
-		return a.words[i]
+// argument is the i-th argument, empty if there are fewer.
+func (a args) argument(i int) string {
+	if i < len(a.arguments) {
+		return a.arguments[i]
 	}
 	return ""
 }
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -20,13 +20,17 @@
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".scn"), func(t *testing.T) {
 			t.Parallel()
-			var out io.Writer = io.Discard
-			if os.Getenv("SCENARIO_LOG") != "" {
-				out = os.Stderr
-			}
 			synctest.Test(t, func(t *testing.T) {
-				require.NoError(t, RunFile(NewSimulation(slog.New(slog.NewTextHandler(out, nil))), f))
+				require.NoError(t, RunFile(NewSimulation(slog.New(slog.NewTextHandler(scenarioLog(), nil))), f))
 			})
 		})
 	}
 }
+
+// scenarioLog is where the processes' logs go: to standard error if SCENARIO_LOG is set, nowhere otherwise.
+func scenarioLog() io.Writer {
+	if os.Getenv("SCENARIO_LOG") != "" {
+		return os.Stderr
+	}
+	return io.Discard
+}
