--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -12,9 +12,9 @@
 	mutation.AllFound(t, []mutation.Mutation{
 		{Name: "sent in part counts as not run", File: attempts, From: "return s == PartlySent || s == Sent || s == Answered", To: "return s == Sent || s == Answered", Run: "EveryByteOfARequest"},
 		{Name: "a silent replica counts as not run", File: attempts, From: "return s == PartlySent || s == Sent || s == Answered", To: "return s == PartlySent || s == Answered", Run: "EveryPair"},
-		{Name: "everything may be repeated", File: attempts, From: "return repeatable || !t.MayHaveRun()", To: "return true", Run: "EveryPair"},
-		{Name: "sendings are not counted", File: attempts, From: "\t\tt.sent++\n", To: "", Run: "EveryPair"},
-		{Name: "a new sending forgets the earlier ones", File: attempts, From: "t.earlierRuns = t.MayHaveRun()", To: "t.earlierRuns = false", Run: "EveryPair"},
+		{Name: "everything may be repeated", File: attempts, From: "return idempotent || !h.MayHaveRun()", To: "return true", Run: "EveryPair"},
+		{Name: "sendings are not counted", File: attempts, From: "\t\th.sends++\n", To: "", Run: "EveryPair"},
+		{Name: "a new sending forgets the earlier ones", File: attempts, From: "h.earlierRuns = h.MayHaveRun()", To: "h.earlierRuns = false", Run: "EveryPair"},
 		{Name: "a replica's own 503 is passed on", File: "answer.go", From: "http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:", To: "0:", Run: "EveryPair"},
 		{Name: "a seal on an answer of our own", File: "answer.go", From: "\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", To: "\t\tcopyResponseHeader(req.writer.Header(), p.Header)\n\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", Run: "EveryPair"},
 		{Name: "a cut stream ends as whole", File: "answer.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "EveryByteOfAnAnswer"},
