--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -35,7 +35,7 @@
 	Store    replication.Store // the member's disk, or replication.NewNoDisk
 }
 
-// Controller is one control process. It is an [adminapi.ControlState] and a [settings.Daemon]. All its methods may be
+// Controller is one control process. It is an [adminapi.ControlState], and a Daemon of package daemon. Its methods may be
 // called by many goroutines.
 type Controller struct {
 	ctx      context.Context // ends the process's work; handlers and callbacks of the parts have no other
@@ -131,16 +131,18 @@
 	if err != nil {
 		return err
 	}
-	go rpc.Serve(c.ctx, members, c.handle)
 	api := httpServer(c.api)
 	page := httpServer(http.HandlerFunc(c.serveStatePage))
+
+	// What work holds ends at once with the context, or with Close below. The others end with the context too, but may be
+	// in a write to a slow disk or in a last call to another machine: the process ends without waiting for that.
+	var work sync.WaitGroup
+	go rpc.Serve(c.ctx, members, c.handle)
+	work.Go(func() { _ = api.Serve(control) })
+	work.Go(func() { _ = page.Serve(pages) })
 	go c.member.Run(c.ctx)
 	go c.follower.Run(c.ctx)
 	go c.listLease.Run(c.ctx)
-
-	var work sync.WaitGroup                    // what ends at once with the context or with its listener
-	work.Go(func() { _ = api.Serve(control) }) // it ends with Close below
-	work.Go(func() { _ = page.Serve(pages) })
 	work.Go(c.readListWhileHeld)
 	work.Go(func() {
 		wait.Every(c.ctx, failuredetector.ReportInterval, func() bool { c.publishFleet(); return true })
--- /dev/null
+++ b/internal/controller/outlier_reports_test.go
@@ -0,0 +1,34 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/distribution"
+	"shaletrestle/coord/outlier"
+)
+
+func TestOutlierReports_OverTheLimit_KeepsTheNewest(t *testing.T) {
+	var r outlierReports
+	for i := range reportsLimit + 3 {
+		r.add([]outlier.Report{{ReplicaID: fmt.Sprint(i)}})
+	}
+	var got []outlier.Report
+	require.NoError(t, json.Unmarshal(r.take(), &got))
+	require.Len(t, got, reportsLimit)
+	require.Equal(t, "3", got[0].ReplicaID)
+	require.Equal(t, fmt.Sprint(reportsLimit+2), got[reportsLimit-1].ReplicaID)
+	require.Nil(t, r.take())
+}
+
+func TestOutlierReports_EvaluationDue_OnceAHeartbeat(t *testing.T) {
+	var r outlierReports
+	start := time.Unix(1000, 0)
+	require.True(t, r.evaluationDue(start))
+	require.False(t, r.evaluationDue(start.Add(distribution.HeartbeatInterval-1)))
+	require.True(t, r.evaluationDue(start.Add(distribution.HeartbeatInterval)))
+}
