--- a/internal/placement/selection.go
+++ b/internal/placement/selection.go
@@ -34,17 +34,18 @@
 	warmupRate float64 // requests a second that may be sent there if it is warming up
 }
 
-// choose chooses a warm replica, else one that is warming up, else one that is suspected.
+// choose chooses a warm replica, else one that is warming up. Suspects that were passed over are tried, in the same
+// order, only if that leaves none.
 func (s *selection) choose() selected {
-	chosen := s.chooseUnsuspected()
+	chosen := s.chooseOnce()
 	if chosen.replica == nil {
 		s.allowSuspected = true
-		chosen = s.chooseUnsuspected()
+		chosen = s.chooseOnce()
 	}
 	return chosen
 }
 
-func (s *selection) chooseUnsuspected() selected {
+func (s *selection) chooseOnce() selected {
 	var chosen selected
 	if s.request.Chain != nil {
 		chosen = s.choosePrompt()
