--- /dev/null
+++ b/internal/placement/membership.go
@@ -0,0 +1,98 @@
+package placement
+
+import (
+	"slices"
+	"sort"
+	"time"
+
+	"shaletrestle/internal/state"
+)
+
+// SetReplicas takes the list of replicas, by id, and the zones under evacuation; neither may be changed afterwards.
+// Replicas of a zone that takes requests again count as warming up for the given time, until the list has had time to
+// say whether they are.
+func (p *Placer) SetReplicas(replicas map[string]*state.Replica, evacuated map[string]bool, warmupAfterEvacuation time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	holds := map[string]bool{}
+	services := make(map[string]string, len(replicas))
+	pools := map[string][]*replicaState{}
+	for id, listed := range replicas {
+		known := p.replicas[id]
+		if known == nil {
+			known = newReplicaState(id, p.rates.prefillPerToken)
+			p.replicas[id] = known
+		}
+		if p.evacuated[listed.Zone] && !evacuated[listed.Zone] {
+			known.warmup.until = time.Now().Add(warmupAfterEvacuation)
+		}
+		if previous := known.listed; previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models) {
+			p.index.Forget(id) // other weights: nothing that it holds is of use
+		}
+		known.listed, known.evacuated = listed, evacuated[listed.Zone]
+		holds[id], services[id] = listed.State == stateReady, listed.Pool
+		pools[listed.Pool] = append(pools[listed.Pool], known)
+	}
+	for id := range p.replicas {
+		if replicas[id] == nil {
+			delete(p.replicas, id)
+		}
+	}
+	p.evacuated = evacuated
+	p.updatePools(pools)
+	p.index.Retain(holds)
+	p.health.SetReplicas(services)
+}
+
+// updatePools brings the pools up to date with the replicas of each service.
+func (p *Placer) updatePools(members map[string][]*replicaState) {
+	for name := range p.pools {
+		if len(members[name]) == 0 {
+			delete(p.pools, name)
+		}
+	}
+	for name, replicas := range members {
+		updated := p.pools[name]
+		if updated == nil {
+			updated = &pool{}
+			p.pools[name] = updated
+		}
+		sort.Slice(replicas, func(i, j int) bool { return replicas[i].listed.ID < replicas[j].listed.ID })
+		updated.setMembers(replicas)
+		updated.refreshOpen()
+	}
+}
+
+// Allowed reports whether a replica may be sent to by the list, whatever its health.
+func (p *Placer) Allowed(id string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	replica := p.replicas[id]
+	return replica != nil && replica.isOpen()
+}
+
+// OpenCount is the number of replicas of a service that take requests by the list.
+func (p *Placer) OpenCount(service string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if pool := p.pools[service]; pool != nil {
+		return len(pool.open)
+	}
+	return 0
+}
+
+// MarkMisaddressed records that another replica answers at this one's address. Nothing is sent to it until it has left
+// the list and come back.
+func (p *Placer) MarkMisaddressed(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	replica := p.replicas[id]
+	if replica == nil {
+		return
+	}
+	replica.misaddressed = true
+	p.index.Forget(id)
+	if pool := p.pools[replica.listed.Pool]; pool != nil {
+		pool.refreshOpen()
+	}
+}
