--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -164,7 +164,7 @@
 	page, err := os.ReadFile("../../docs/metrics.md")
 	require.NoError(t, err)
 	for at, want := range map[string]string{
-		y.addresses.address(y.routers[0].ip, settings.RouterStatePortOffset):      "router_setup_revision 1\n",
+		y.addresses.address(y.routers[0].ip, settings.RouterStatePortOffset):      "router_config_revision 1\n",
 		y.addresses.address(y.controllers[0].ip, settings.ControlStatePortOffset): "controller_primary 1\n",
 	} {
 		a, err := probes.Get("http://" + at + "/metrics")
--- /dev/null
+++ b/internal/router/accept.go
@@ -0,0 +1,145 @@
+package router
+
+import (
+	"io"
+	"net/http"
+	"time"
+
+	"shaletrestle/coord/attempt"
+	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/frontend"
+	"shaletrestle/internal/httpreply"
+	"shaletrestle/internal/longwork"
+	"shaletrestle/internal/placement"
+	"shaletrestle/internal/routing"
+	"shaletrestle/internal/settings"
+	"shaletrestle/internal/upstream"
+)
+
+// readyTimeout is how long a request waits for a first configuration and list of replicas: a start takes less.
+const readyTimeout = 1 * time.Second
+
+// request is one client's request on its way. It belongs to the goroutine that serves it.
+type request struct {
+	router  *Router
+	inbound *http.Request
+	writer  http.ResponseWriter
+	control *http.ResponseController // of writer
+	arrived time.Time
+	forPeer bool // another router owns it (peer.go)
+
+	// What the route says.
+	table    *routing.Table
+	route    *routing.Route
+	service  *routing.Pool
+	id       string // Attempt-Id
+	deadline time.Time
+
+	// What goes to replicas.
+	header        http.Header
+	body          []byte
+	reservedBytes int64 // of the memory for bodies
+	wanted        *placement.Request
+	work          *longwork.Work // nil: no long work
+
+	// What is known of it.
+	history     attempt.History
+	started     bool  // the client has the head of a response
+	lastEventID int64 // of the newest event that the client has, -1 before the first
+	eventStep   int64 // between the ids of two events; 0: not known
+}
+
+func newRequest(router *Router, writer http.ResponseWriter, inbound *http.Request) *request {
+	return &request{
+		router:      router,
+		writer:      writer,
+		inbound:     inbound,
+		control:     http.NewResponseController(writer),
+		table:       router.table.Load(),
+		arrived:     time.Now(),
+		lastEventID: -1,
+	}
+}
+
+// serve is the handler of all clients' requests.
+func (r *Router) serve(writer http.ResponseWriter, inbound *http.Request) {
+	r.inflight.Inc()
+	defer r.inflight.Dec()
+	r.counts.requests.Inc()
+	if r.closesConnections() {
+		writer.Header().Set("Connection", "close")
+	}
+	req := newRequest(r, writer, inbound)
+	defer req.release()
+	if !req.awaitReady() || !req.validate() {
+		return
+	}
+	req.route = req.table.Match(inbound.Host, inbound.RequestURI)
+	if req.route == nil {
+		_, _ = io.Copy(io.Discard, io.LimitReader(inbound.Body, settings.HeaderBytes))
+		httpreply.Error(writer, errkind.New(errkind.NoRoute, "no route"))
+		return
+	}
+	req.runSteps()
+}
+
+// awaitReady holds a request shortly while this process has no configuration or list of replicas yet; false if it was
+// answered.
+func (req *request) awaitReady() bool {
+	if req.router.ready.Load() {
+		return true
+	}
+	select {
+	case <-req.router.becameReady:
+		req.table = req.router.table.Load()
+		return true
+	case <-time.After(readyTimeout):
+		req.reject(errkind.Unavailable)
+	case <-req.inbound.Context().Done():
+		req.abort()
+	}
+	return false
+}
+
+// validate answers a request whose framing or header is not acceptable; false then.
+func (req *request) validate() bool {
+	if frontend.AmbiguousFraming(req.inbound) {
+		return req.refuseAndClose(errkind.InvalidInput, "both a length and chunks")
+	}
+	if limit := req.table.Limits.MaxHeaderBytes; limit > 0 && headerSize(req.inbound) > limit {
+		return req.refuseAndClose(errkind.HeaderTooLarge, "head over the limit")
+	}
+	if !upstream.CanForward(req.inbound.RequestURI) {
+		return req.refuseAndClose(errkind.InvalidInput, "a target that can't be passed on as it is")
+	}
+	return true
+}
+
+// refuseAndClose answers an unacceptable request and lets its connection end: what else comes on it may be of the same
+// kind. It returns false, for validate and readBody.
+func (req *request) refuseAndClose(kind errkind.Kind, text string) bool {
+	req.writer.Header().Set("Connection", "close")
+	httpreply.Error(req.writer, errkind.New(kind, "%s", text))
+	return false
+}
+
+// headerSize is about the size of a request's head on the wire, in bytes.
+func headerSize(inbound *http.Request) int {
+	size := len(inbound.Method) + len(inbound.RequestURI) + len(inbound.Host) + 20
+	for name, values := range inbound.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + 4
+		}
+	}
+	return size
+}
+
+// release gives back what a request holds in this process, whatever became of it.
+func (req *request) release() {
+	if req.work != nil {
+		req.work.Close()
+	}
+	if req.reservedBytes > 0 {
+		req.router.bodies.Release(req.route.Name, req.reservedBytes)
+	}
+}
--- /dev/null
+++ b/internal/router/body.go
@@ -0,0 +1,70 @@
+package router
+
+import (
+	"bytes"
+	"net/http"
+	"strings"
+	"time"
+
+	"shaletrestle/internal/adminapi"
+	"shaletrestle/internal/errkind"
+)
+
+const (
+	// bodyMemoryFraction is the part of memory_mb that bodies in flight may take.
+	bodyMemoryFraction = 0.25
+	// bodyTimeout is how long a client may take over its body.
+	bodyTimeout = 10 * time.Second
+)
+
+// readBody reads the body, complete, into accounted memory; false if the request was answered.
+func (req *request) readBody() bool {
+	limit := req.table.Limits.MaxBodyBytes
+	if limit <= 0 {
+		limit = adminapi.MaxConfigurationBytes
+	}
+	if req.inbound.ContentLength > limit {
+		return req.refuseAndClose(errkind.BodyTooLarge, "body over the limit")
+	}
+	if !req.reserveBody(max(req.inbound.ContentLength, 0)) {
+		return false
+	}
+	_ = req.control.SetReadDeadline(time.Now().Add(bodyTimeout))
+	var body bytes.Buffer
+	if req.reservedBytes > 0 {
+		body.Grow(int(req.reservedBytes) + bytes.MinRead)
+	}
+	n, err := body.ReadFrom(http.MaxBytesReader(req.writer, req.inbound.Body, limit))
+	if err != nil {
+		return req.refuseBody(err)
+	}
+	if n > req.reservedBytes && !req.reserveBody(n-req.reservedBytes) {
+		return false
+	}
+	_ = req.control.SetReadDeadline(time.Time{})
+	req.body = body.Bytes()
+	return true
+}
+
+// refuseBody answers a request whose body could not be read.
+func (req *request) refuseBody(err error) bool {
+	switch {
+	case strings.Contains(err.Error(), "too large"):
+		return req.refuseAndClose(errkind.BodyTooLarge, "body over the limit")
+	case strings.Contains(err.Error(), "timeout"):
+		return req.refuseAndClose(errkind.ClientTimeout, "body too slow")
+	}
+	return req.refuseAndClose(errkind.InvalidInput, "body can't be read")
+}
+
+// reserveBody reserves memory for a body. When it runs short, a route that has its fair share is rejected and the others
+// are not.
+func (req *request) reserveBody(size int64) bool {
+	if !req.router.bodies.TryAcquire(req.route.Name, size) {
+		req.writer.Header().Set("Connection", "close")
+		req.reject(errkind.Overloaded)
+		return false
+	}
+	req.reservedBytes += size
+	return true
+}
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -2,81 +2,41 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/recordedtest"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 )
 
-// TestJob_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages on long work between nodes of an earlier
-// version and this one.
-func TestJob_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
-	recording := recordedtest.Open(t, "testdata/jobs.txt")
-	const self = "10.0.0.1:7722"
-	for kind := handoff.Offer; kind <= handoff.Unknown; kind++ {
-		message := handoff.Message{
-			Kind:        kind,
-			Peer:        self,
-			Owner:       0x7001,
-			Job:         0x7002,
-			OfferNumber: 0x7003,
-			Ticket:      handoff.Ticket{Incarnation: 0x7004, Number: 0x7005},
-			Number:      0x7006,
-			Attempts:    2,
-			Body:        []byte("body"),
-		}
-		encoded := recording.Same(kind.String(), encodeMessage(self, message).Encode())
-		note, err := rpc.Decode(encoded)
-		require.NoError(t, err)
-		require.Equal(t, rpc.Job, note.Kind)
-		require.Equal(t, message, decodeMessage(note))
-	}
-}
-
-// TestTakenHead_RecordedBytes_ReadAndWrittenAsBefore holds the form of the first part of a job's answer.
-func TestTakenHead_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
-	recording := recordedtest.Open(t, "testdata/heads.txt")
-	head := takenHead{Status: 201, Header: http.Header{"X-A": {"1", "2"}, "X-B": {"3"}}, Events: true}
-	written, err := json.Marshal(head)
-	require.NoError(t, err)
-	var got takenHead
-	require.NoError(t, json.Unmarshal(recording.Same("events", written), &got))
-	require.Equal(t, head, got)
-}
-
-// TestPing_RecordedBytes_AnsweredAsBefore holds the form of the pings between nodes and of their answers.
+// TestPing_RecordedBytes_AnsweredAsBefore holds the form of the pings between nodes and of their answers. What a peer reads of them is
+// package longwork's, and tested there on the same recording.
 func TestPing_RecordedBytes_AnsweredAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/pings.txt")
-		w := newWorld(t, time.Second, step{})
+		w := newSimulation(t, time.Second, step{})
 		defer w.end()
-		env := *w.g.settings.Load()
+		env := *w.router.settings.Load()
 		env.LongWork = settings.LongWork{Enabled: true, MaxAcceptedJobs: 3}
-		w.g.settings.Store(&env)
+		w.router.settings.Store(&env)
 		const node = "10.0.0.9:7722"
-		for name, word := range map[string]string{"well": "", "slow": slowMark} {
-			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Text: word}
+		for name, mark := range map[string]string{"well": "", "slow": slowMark} {
+			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Text: mark}
 			read, err := rpc.Decode(recording.Same(name, ping.Encode()))
 			require.NoError(t, err)
 			require.Equal(t, ping, read)
-			answer, err := rpc.Decode(recording.Same(name+"-answer", w.g.handle(nil, read).Encode()))
+			answer, err := rpc.Decode(recording.Same(name+"-answer", w.router.handle(nil, read).Encode()))
 			require.NoError(t, err)
 			require.True(t, answer.Answer && answer.OK)
 			require.Equal(t, ping.Call, answer.Call)
-			w.g.longWork.recordPeer(node, answer)
-			require.Equal(t, peer{capacity: 3, zone: "a", at: time.Now()}, w.g.longWork.peers[node])
 		}
 	})
 }
@@ -99,8 +59,8 @@
 
 func (n recordingNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// TestRouter_RecordedBytes_TellsControllerAsBefore holds the form of what a node sends to its controller.
-func TestRouter_RecordedBytes_TellsControllerAsBefore(t *testing.T) {
+// TestRouter_RecordedBytes_ReportsToControllerAsBefore holds the form of what a node sends to its controller.
+func TestRouter_RecordedBytes_ReportsToControllerAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/controller.txt")
 		ctx, cancel := context.WithCancel(context.Background())
@@ -120,7 +80,7 @@
 			Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64},
 		}
 		r := New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: network})
-		nodes := []string{env.Port(routerPort), "10.0.0.7:9002"}
+		nodes := []string{env.Port(settings.RouterPortOffset), "10.0.0.7:9002"}
 		require.NoError(t, r.store.Update(state.EncodeEvent(state.UpdateFleet{Size: len(nodes), Nodes: nodes})))
 		go r.follower.Run(ctx)
 		synctest.Wait()
--- a/internal/router/compatibility_shares_test.go
+++ b/internal/router/compatibility_warmup_test.go
@@ -21,7 +21,7 @@
 	} {
 		var sharing []int
 		for i, self := range nodes {
-			if newColdStartShares(nodes, self).fraction(id) == 1.0/3 {
+			if newWarmupShares(nodes, self).fraction(id) == 1.0/3 {
 				sharing = append(sharing, i)
 			}
 		}
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -1,50 +1,38 @@
 package router
 
 import (
-	"github.com/cespare/xxhash/v2"
-
 	"shaletrestle/coord/slowness"
-
 	"shaletrestle/coord/wait"
-
 	"shaletrestle/internal/routing"
+	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 	"shaletrestle/internal/upstream"
 )
 
+const (
+	// defaultConnections is how many connections a node opens to a replica whose service names no limit.
+	defaultConnections = 8
+	// sweepEvery is how many looks at the own machine pass between two sweeps through idle connections: a second.
+	sweepEvery = 2
+)
+
 // connectionLimit is this process's share of the connections that each replica of a service takes.
-func (r *Router) connectionLimit(s *routing.Pool, id string) int {
-	if s == nil || s.MaxConnections <= 0 {
+func (r *Router) connectionLimit(service *routing.Pool, id string) int {
+	if service == nil || service.MaxConnections <= 0 {
 		return defaultConnections
 	}
-	v, n := r.store.View(), r.fleetSize()
-	if s.MaxConnections >= n || len(v.Nodes) == 0 {
-		return s.MaxConnections / n
+	view, fleetSize := r.store.View(), r.fleetSize()
+	if service.MaxConnections >= fleetSize || len(view.Nodes) == 0 {
+		return service.MaxConnections / fleetSize
 	}
 	// fewer connections than nodes: some nodes by rendezvous have one each, the others none
-	if rankOf(v.Nodes, id, r.settings.Load().Port(routerPort)) < s.MaxConnections {
+	if rankOf(view.Nodes, id, r.settings.Load().Port(settings.RouterPortOffset)) < service.MaxConnections {
 		return 1
 	}
 	return 0
 }
 
-// rankOf is a node's place among all by rendezvous for a key; the number of nodes if it is not among them.
-func rankOf(nodes []string, key, self string) int {
-	mine, rank, in := xxhash.Sum64String(key+self), 0, false
-	for _, n := range nodes {
-		switch h := xxhash.Sum64String(key + n); {
-		case n == self:
-			in = true
-		case h > mine || h == mine && n < self:
-			rank++
-		}
-	}
-	if !in {
-		return len(nodes)
-	}
-	return rank
-}
-
+// connections returns the pool of connections to a replica, a new one if there is none.
 func (r *Router) connections(replica *state.Replica, table *routing.Table) *upstream.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,13 +43,14 @@
 			keepAlive = &upstream.KeepAlive{}
 			r.keepAlives[replica.Pool] = keepAlive
 		}
-		pool = upstream.NewPool(replica.Address, r.dialer, r.connectionLimit(table.Pools[replica.Pool], replica.ID), keepAlive, &r.dialCounts)
+		limit := r.connectionLimit(table.Pools[replica.Pool], replica.ID)
+		pool = upstream.NewPool(replica.Address, r.dialer, limit, keepAlive, &r.dialCounts)
 		r.pools[replica.ID] = pool
 	}
 	return pool
 }
 
-// resizePools gives every pool its share anew, after the fleet's size or the setup changed.
+// resizePools gives every pool its share anew, after the fleet's size or the configuration changed.
 func (r *Router) resizePools(view *state.View, table *routing.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,26 +61,28 @@
 	}
 }
 
-// maintain looks at this process's own machine again and again, and through its idle connections now and then: one waking-up does for both.
+// maintain measures this process's own machine again and again, and sweeps through its idle connections now and then: one
+// waking-up does for both.
 func (r *Router) maintain() {
-	n := 0
+	looks := 0
 	wait.Every(r.ctx, slowness.Interval, func() bool {
 		r.machine.Measure()
-		if n++; n%sweepEvery == 0 {
+		if looks++; looks%sweepEvery == 0 {
 			r.sweepIdle()
 		}
 		return true
 	})
 }
 
+// sweepIdle closes connections whose idle time is over.
 func (r *Router) sweepIdle() {
 	r.mu.Lock()
-	var ps []*upstream.Pool
-	for _, p := range r.pools {
-		ps = append(ps, p)
+	pools := make([]*upstream.Pool, 0, len(r.pools))
+	for _, pool := range r.pools {
+		pools = append(pools, pool)
 	}
 	r.mu.Unlock()
-	for _, p := range ps {
-		p.Sweep()
+	for _, pool := range pools {
+		pool.Sweep()
 	}
 }
--- /dev/null
+++ b/internal/router/controllers.go
@@ -0,0 +1,83 @@
+package router
+
+import (
+	"time"
+
+	"shaletrestle/internal/state"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// controllerChoice is what a router knows of the controllers that it may follow; Router.mu guards it.
+type controllerChoice struct {
+	picks    int                  // made so far
+	failedAt map[string]time.Time // by address
+	left     string               // one that was left for a nearer one, not for failing
+}
+
+// nextController names the controller to follow next, after one that failed or was left: those of the own zone first,
+// others if these failed lately; empty if none is known.
+func (r *Router) nextController(failed string) string {
+	env := r.settings.Load()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	choice := &r.controllers
+	if failed != "" && failed != choice.left {
+		choice.failedAt[failed] = now
+	}
+	choice.left = ""
+	var near, far, all []string
+	listed := map[string]bool{}
+	for _, controller := range r.store.View().Controllers {
+		address := controller.Address
+		listed[address] = true
+		all = append(all, address)
+		switch {
+		case now.Sub(choice.failedAt[address]) < env.ContactTimeout():
+		case controller.Zone == env.Zone:
+			near = append(near, address)
+		default:
+			far = append(far, address)
+		}
+	}
+	for _, address := range env.SeedMembers() {
+		if listed[address] {
+			continue
+		}
+		all = append(all, address)
+		if now.Sub(choice.failedAt[address]) >= env.ContactTimeout() {
+			far = append(far, address)
+		}
+	}
+	choice.picks++
+	for _, candidates := range [][]string{near, far, all} {
+		if len(candidates) > 0 {
+			return candidates[(choice.picks+int(xxhash.Sum64String(env.NodeName)%1024))%len(candidates)]
+		}
+	}
+	return ""
+}
+
+// preferNearController changes over to a controller of the own zone once one is known, unless it failed lately.
+func (r *Router) preferNearController(view *state.View) {
+	source := r.follower.SourceAddress()
+	if source == "" {
+		return
+	}
+	env := r.settings.Load()
+	for _, controller := range view.Controllers {
+		if controller.Address == source && controller.Zone == env.Zone {
+			return
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, controller := range view.Controllers {
+		if controller.Zone == env.Zone && time.Since(r.controllers.failedAt[controller.Address]) >= 2*env.ContactTimeout() {
+			r.controllers.left = source
+			go r.follower.Disconnect()
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/router/metrics.go
@@ -0,0 +1,46 @@
+package router
+
+import "shaletrestle/internal/metrics"
+
+// samples are the metrics that the state port serves under metrics.Path (docs/metrics.md).
+func (r *Router) samples() []metrics.Sample {
+	view := r.store.View()
+	prefixes := r.prefixes.Stats()
+	counter := func(name, help string, count int64) metrics.Sample {
+		return metrics.Sample{Name: "router_" + name, Help: help, IsCounter: true, Value: float64(count)}
+	}
+	gauge := func(name, help string, value float64) metrics.Sample {
+		return metrics.Sample{Name: "router_" + name, Help: help, Value: value}
+	}
+	ready := 0.0
+	if r.ready.Load() && !r.draining.Load() {
+		ready = 1
+	}
+	samples := []metrics.Sample{
+		counter("requests_total", "Requests read from clients.", r.counts.requests.Load()),
+		counter("rejected_total", "Requests answered with a promise that nothing ran.", r.counts.rejected.Load()),
+		counter("failed_total", "Requests that ended without a replica's complete response and without such a promise.", r.counts.failed.Load()),
+		counter("retries_total", "Sends to a second or later replica.", r.counts.retries.Load()),
+		counter("connections_opened_total", "Connections opened to replicas.", r.dialCounts.All.Load()),
+		counter("prefix_lookups_total", "Prompts looked up in the prefix index.", prefixes.Lookups),
+		counter("prefix_hits_total", "Lookups that found a cached prefix.", prefixes.Hits),
+		gauge("prefix_runs", "Runs of blocks held in the prefix index.", float64(prefixes.Runs)),
+		gauge("inflight_requests", "Requests being served.", float64(r.inflight.Load())),
+		gauge("ready", "1 if the node calls itself ready.", ready),
+		gauge("config_revision", "Revision of the configuration in force.", float64(view.Config.Revision)),
+		gauge("update_number", "Newest update applied of the present epoch.", float64(r.cursor.Position().Number)),
+		gauge("update_contact_age_seconds", "Time since a controller was last heard from.", r.cursor.SinceContact().Seconds()),
+		gauge("fleet_nodes", "Routers that share the budgets.", float64(view.FleetSize)),
+		gauge("replicas", "Replicas on the list.", float64(len(view.Replicas))),
+		gauge("suspected_nodes", "Watched nodes that do not answer.", float64(len(r.detector.Suspected()))),
+	}
+	for service := range r.table.Load().Pools {
+		samples = append(samples, metrics.Sample{
+			Name:    "router_retry_budget_left",
+			Help:    "Retries that this node may still make, by service.",
+			Value:   r.budget.Remaining(service),
+			Service: service,
+		})
+	}
+	return samples
+}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -49,7 +49,7 @@
 
 // eachRoute runs a test for every kind of route.
 func eachRoute(t *testing.T, f func(t *testing.T, route string)) {
-	for route := range worldRoutes {
+	for route := range simulatedRoutes {
 		t.Run(route, func(t *testing.T) {
 			t.Parallel()
 			f(t, route)
@@ -57,21 +57,21 @@
 	}
 }
 
-// TestEveryPairOfReplicaAnswers plays all pairs of what two replicas may do, on all kinds of routes.
-func TestEveryPairOfReplicaAnswers(t *testing.T) {
+// TestServe_EveryPairOfReplicaResponses plays all pairs of what two replicas may do, on all kinds of routes.
+func TestServe_EveryPairOfReplicaResponses(t *testing.T) {
 	all := []step{stepOK, stepFull, stepBusy, stepWrong, stepNoID, stepError, stepLate, stepRan503, stepRan429, stepRan408, stepMissing,
 		stepNoSeal, stepStream, stepReset, stepSilent, stepStranger, stepTwice, stepFullTwo}
 	eachRoute(t, func(t *testing.T, route string) {
 		for _, first := range all {
 			for _, second := range all {
-				play(t, route, worldBudget, first.name+", "+second.name, first, second, stepFull)
+				play(t, route, clientTimeBudget, first.name+", "+second.name, first, second, stepFull)
 			}
 		}
 	})
 }
 
-// TestEveryByteOfAnAnswer cuts the first replica's answer after each byte, by a reset and by silence.
-func TestEveryByteOfAnAnswer(t *testing.T) {
+// TestServe_ResponseCutAtEveryByte cuts the first replica's answer after each byte, by a reset and by silence.
+func TestServe_ResponseCutAtEveryByte(t *testing.T) {
 	eachRoute(t, func(t *testing.T, route string) {
 		for _, first := range []step{stepOK, stepFull, stepError, stepStream} {
 			length := len(first.text(1, &http.Request{Header: http.Header{"Attempt-Id": {"first"}}}))
@@ -83,29 +83,29 @@
 				for _, how := range []then{resets, silence} {
 					cut := first
 					cut.sent, cut.then = sent, how
-					play(t, route, worldBudget, fmt.Sprint(first.name, " cut at ", sent), cut, last)
+					play(t, route, clientTimeBudget, fmt.Sprint(first.name, " cut at ", sent), cut, last)
 				}
 			}
 		}
 	})
 }
 
-// TestEveryByteOfARequest cuts the connection to the first replica after each byte of the request.
-func TestEveryByteOfARequest(t *testing.T) {
+// TestServe_RequestCutAtEveryByte cuts the connection to the first replica after each byte of the request.
+func TestServe_RequestCutAtEveryByte(t *testing.T) {
 	eachRoute(t, func(t *testing.T, route string) {
 		for read := 1; read < 170; read++ {
-			play(t, route, worldBudget, fmt.Sprint("request cut at ", read), step{read: read}, stepOK)
+			play(t, route, clientTimeBudget, fmt.Sprint("request cut at ", read), step{read: read}, stepOK)
 		}
 	})
 }
 
-// TestNothingIsHeldPastTheRoutesTimeout plays what keeps a request waiting, with the route's timeout
+// TestServe_RouteTimeout_NothingHeldLonger plays what keeps a request waiting, with the route's timeout
 // before the client's and the other way round.
-func TestNothingIsHeldPastTheRoutesTimeout(t *testing.T) {
+func TestServe_RouteTimeout_NothingHeldLonger(t *testing.T) {
 	slow := stepStream
 	slow.sent, slow.then = 160, silence
 	for _, timeout := range []time.Duration{300 * time.Millisecond, time.Second, 4 * time.Second} {
-		for route := range worldRoutes {
+		for route := range simulatedRoutes {
 			for _, s := range []step{stepSilent, slow, stepFull, stepReset, stepRan503} {
 				play(t, route, timeout, s.name, s)
 			}
@@ -114,7 +114,7 @@
 				"dials hang": func(net.Conn) (net.Conn, error) { time.Sleep(500 * time.Millisecond); return nil, errors.New("hung") },
 			} {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, timeout, stepOK)
+					w := newSimulation(t, timeout, stepOK)
 					defer w.end()
 					w.dial = dial
 					c := w.client()
@@ -139,9 +139,9 @@
 	return f.Conn.SetWriteDeadline(time.Time{})
 }
 
-// TestARouterThatWakesLateSendsNothing freezes a router for 17 s while it dials, and right before the first
+// TestServe_FrozenPastDeadline_SendsNothing freezes a router for 17 s while it dials, and right before the first
 // byte of a send. The client has a deadline of two seconds.
-func TestARouterThatWakesLateSendsNothing(t *testing.T) {
+func TestServe_FrozenPastDeadline_SendsNothing(t *testing.T) {
 	const span = 17 * time.Second
 	eachRoute(t, func(t *testing.T, route string) {
 		for name, dial := range map[string]func(net.Conn) (net.Conn, error){
@@ -149,7 +149,7 @@
 			"send": func(c net.Conn) (net.Conn, error) { return &frozen{c, span}, nil },
 		} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, worldBudget, stepOK)
+				w := newSimulation(t, clientTimeBudget, stepOK)
 				defer w.end()
 				w.dial = dial
 				c := w.client()
@@ -161,11 +161,11 @@
 	})
 }
 
-// TestWhatWasCheckedTooLongAgoIsCheckedAnew freezes a router for a second before its first byte: the client
+// TestServe_FrozenAfterChecks_ChecksAnew freezes a router for a second before its first byte: the client
 // still waits, so the request goes out, with the time that is left then.
-func TestWhatWasCheckedTooLongAgoIsCheckedAnew(t *testing.T) {
+func TestServe_FrozenAfterChecks_ChecksAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, worldBudget, step{name: "ok", runs: true, sent: -1, text: func(n int, r *http.Request) string {
+		w := newSimulation(t, clientTimeBudget, step{name: "ok", runs: true, sent: -1, text: func(n int, r *http.Request) string {
 			require.Less(t, len(r.Header.Get("Time-Budget-Ms")), 4, "less than a second is left")
 			return stepOK.text(n, r)
 		}})
@@ -185,14 +185,14 @@
 	})
 }
 
-// TestAClientThatGaveUpFreesItsPlace closes the client's connection while a replica is silent, while a
+// TestServe_ClientGone_FreesReplicaAtOnce closes the client's connection while a replica is silent, while a
 // connection is waited for and while none can be used.
-func TestAClientThatGaveUpFreesItsPlace(t *testing.T) {
+func TestServe_ClientGone_FreesReplicaAtOnce(t *testing.T) {
 	const leaves = 50 * time.Millisecond
 	eachRoute(t, func(t *testing.T, route string) {
 		for _, s := range []step{stepSilent, {name: "stream", text: events, runs: true, sent: 160, then: silence}} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, worldBudget, s)
+				w := newSimulation(t, clientTimeBudget, s)
 				defer w.end()
 				c := w.client()
 				time.AfterFunc(leaves, func() { _ = c.Close() })
@@ -201,12 +201,12 @@
 				synctest.Wait()
 				require.Len(t, w.deliveries, 1)
 				require.Equal(t, leaves, w.deliveries[0].closed.Sub(at), "the replica's place is free at once")
-				require.Zero(t, w.g.inflight.Load())
+				require.Zero(t, w.router.inflight.Load())
 			})
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, worldBudget, stepOK)
+		w := newSimulation(t, clientTimeBudget, stepOK)
 		defer w.end()
 		w.dial = func(net.Conn) (net.Conn, error) { return nil, errkind.New(errkind.UpstreamFailure, "refused") }
 		c := w.client()
@@ -214,7 +214,7 @@
 		w.ask(c, bufio.NewReader(c), "once", "first")
 		time.Sleep(2 * leaves / 5)
 		synctest.Wait()
-		require.Zero(t, w.g.inflight.Load())
+		require.Zero(t, w.router.inflight.Load())
 	})
 }
 
@@ -227,12 +227,12 @@
 // Read gives the request and then the end.
 func (h *halfClosed) Read(b []byte) (int, error) { return h.in.Read(b) }
 
-// TestAClientThatClosesItsOwnDirectionGetsNoEmptySuccess: the router takes it for gone; what it must not
+// TestServe_ClientHalfClosed_NoEmptySuccess: the router takes it for gone; what it must not
 // do is to answer 200 without a seal.
-func TestAClientThatClosesItsOwnDirectionGetsNoEmptySuccess(t *testing.T) {
+func TestServe_ClientHalfClosed_NoEmptySuccess(t *testing.T) {
 	eachRoute(t, func(t *testing.T, route string) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, worldBudget, stepSilent)
+			w := newSimulation(t, clientTimeBudget, stepSilent)
 			defer w.end()
 			near, far := net.Pipe()
 			w.doors <- &halfClosed{far, strings.NewReader(requestText(route, "first"))}
@@ -242,13 +242,13 @@
 	})
 }
 
-// TestRunsAreJoinedOnlyWhereTheyFit lets a second run of a stream begin at every event, with and without ids.
-func TestRunsAreJoinedOnlyWhereTheyFit(t *testing.T) {
+// TestServe_ResumedStream_JoinedOnlyWhereItFits lets a second run of a stream begin at every event, with and without ids.
+func TestServe_ResumedStream_JoinedOnlyWhereItFits(t *testing.T) {
 	from := func(first int, ids bool) func(int, *http.Request) string {
 		return func(n int, r *http.Request) string {
 			var b strings.Builder
 			fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nReplica-Seal: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Attempt-Id"), sealOf(n))
-			for i := first; i <= worldEvents; i++ {
+			for i := first; i <= streamEvents; i++ {
 				e := "d: x\n\n"
 				if ids {
 					e = fmt.Sprintf("id: %d\n%s", i, e)
@@ -262,9 +262,9 @@
 		whole := from(1, ids)
 		length := len(whole(1, &http.Request{Header: http.Header{"Attempt-Id": {"first"}}}))
 		for sent := 0; sent < length; sent += 5 { // shorter than any event
-			for first := 1; first <= worldEvents+1; first++ {
+			for first := 1; first <= streamEvents+1; first++ {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, worldBudget, step{text: whole, runs: true, sent: sent, then: resets}, step{text: from(first, true), runs: true, sent: -1})
+					w := newSimulation(t, clientTimeBudget, step{text: whole, runs: true, sent: sent, then: resets}, step{text: from(first, true), runs: true, sent: -1})
 					defer w.end()
 					c := w.client()
 					got := w.ask(c, bufio.NewReader(c), "resume", "first")
@@ -296,12 +296,12 @@
 	return ids
 }
 
-// TestPipelinedRequestsAreAnsweredInTurn sends three requests at once on one connection.
-func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
+// TestServe_PipelinedRequests_AnsweredInOrder sends three requests at once on one connection.
+func TestServe_PipelinedRequests_AnsweredInOrder(t *testing.T) {
 	eachRoute(t, func(t *testing.T, route string) {
 		for _, s := range []step{stepOK, stepReset, stepFull, stepError} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, worldBudget, s, stepOK)
+				w := newSimulation(t, clientTimeBudget, s, stepOK)
 				defer w.end()
 				c := w.client()
 				go func() {
--- a/internal/router/attempt_test.go
+++ b/internal/router/place_test.go
@@ -9,7 +9,7 @@
 	"shaletrestle/internal/placement"
 )
 
-func TestLettingInGoesByThePredictedWait(t *testing.T) {
+func TestAdmits_ByPredictedQueueingTime(t *testing.T) {
 	c := placement.Choice{PredictedTTFT: 5 * time.Second, UnloadedTTFT: time.Second}
 	require.False(t, admits(c, 3*time.Second), "the line alone outlasts the time left")
 	require.True(t, admits(c, 5*time.Second))
--- a/internal/router/ranks_test.go
+++ b/internal/router/rendezvous_test.go
@@ -13,7 +13,7 @@
 	"shaletrestle/internal/state"
 )
 
-func TestRanksEqualTheSortedOrder(t *testing.T) {
+func TestRankOf_EqualsSortedOrder(t *testing.T) {
 	r := rand.New(rand.NewPCG(2, 5))
 	for range 300 {
 		var ns []string
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRevisionsAreTheNewestOfEachServiceAndModel(t *testing.T) {
+func TestModelRevisions_NewestOfEachServiceAndModel(t *testing.T) {
 	rs := map[string]*state.Replica{
 		"a": {Pool: "p", Models: []state.Model{{Name: "m", Revision: 3}, {Name: "n", Revision: 1}}},
 		"b": {Pool: "p", Models: []state.Model{{Name: "m", Revision: 5}}},
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,3 @@
-// Package router is the traffic plane: it puts the parts together and carries inquiries to replicas.
 package router
 
 import (
@@ -8,20 +7,17 @@
 	"sync"
 	"time"
 
-	"shaletrestle/coord/wait"
-	"shaletrestle/internal/durations"
-
-	"github.com/cespare/xxhash/v2"
-	"go.uber.org/atomic"
-
 	"shaletrestle/coord/distribution"
 	"shaletrestle/coord/failuredetector"
 	"shaletrestle/coord/fairshare"
 	"shaletrestle/coord/outlier"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/coord/slowness"
+	"shaletrestle/coord/wait"
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/frontend"
+	"shaletrestle/internal/longwork"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/retrybudget"
@@ -29,193 +25,211 @@
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 	"shaletrestle/internal/upstream"
+
+	"github.com/cespare/xxhash/v2"
+	"go.uber.org/atomic"
 )
 
-// Options is what a router is built from.
+const (
+	bytesPerMB = 1 << 20
+	// readinessLinger is how long connections are accepted after SIGTERM: the platform asks each second and notices at two
+	// misses.
+	readinessLinger = 2500 * time.Millisecond
+)
+
+// Options are what a router is made from.
 type Options struct {
 	Settings      *settings.Settings
-	Net           rpc.Net
-	Dialer        upstream.Dialer
-	SlownessProbe func() time.Duration // does and times the piece of work that shows a slow machine; nil for the usual one
+	Net           rpc.Net              // for its own ports and messages between processes
+	Dialer        upstream.Dialer      // to replicas
+	SlownessProbe func() time.Duration // does and times the piece of work that shows a slow machine; nil: the usual one
 }
 
-// Router is one traffic process.
+// Router is the traffic plane of one process. Its exported methods may be called concurrently.
 type Router struct {
-	ctx                context.Context
-	log                *slog.Logger
-	settings           atomic.Pointer[settings.Settings]
-	net                rpc.Net
-	dialer             upstream.Dialer
-	store              *state.Store
-	cursor             *distribution.Cursor
-	follower           *distribution.Follower
-	server             *frontend.Server
-	detector           *failuredetector.Watcher
-	machine            *slowness.Monitor
-	prefixes           *prefixindex.Index
-	placer             *placement.Placer
-	budget             *retrybudget.Budget
-	table              atomic.Pointer[routing.Table]
-	revisions          atomic.Pointer[modelRevisions]
-	coldShares         atomic.Pointer[coldStartShares]
-	ready              atomic.Bool
-	becameReady        chan struct{}
-	leaving            atomic.Bool
-	inflight           atomic.Int64
-	bodies             *fairshare.Shares
-	dialCounts         upstream.DialCounts
-	counts             counts
-	mu                 sync.Mutex
-	pools              map[string]*upstream.Pool
-	keepAlives         map[string]*upstream.KeepAlive // by service
-	reportedAt         time.Time                      // when failures were told last
-	controllerIndex    int
-	controllerFailedAt map[string]time.Time // controllers and when they failed last
-	leftController     string               // one that was left for a nearer one, not for failing
-	longWork           *longWork
+	ctx    context.Context // of the process: all of it ends with it
+	log    *slog.Logger
+	net    rpc.Net
+	dialer upstream.Dialer
+
+	settings atomic.Pointer[settings.Settings] // replaced by Reload
+
+	// What controllers push, and what is derived from it by handleChange.
+	store        *state.Store
+	cursor       *distribution.Cursor
+	follower     *distribution.Follower
+	table        atomic.Pointer[routing.Table]
+	revisions    atomic.Pointer[modelRevisions]
+	warmupShares atomic.Pointer[warmupShares]
+	ready        atomic.Bool   // there was a configuration and a list of replicas
+	becameReady  chan struct{} // closed then
+
+	// The way of a request. Each of these guards its own state.
+	server   *frontend.Server
+	bodies   *fairshare.Shares // memory for bodies, in bytes, by route
+	prefixes *prefixindex.Index
+	placer   *placement.Placer
+	budget   *retrybudget.Budget
+	longWork *longwork.Coordinator
+	inflight atomic.Int64
+	draining atomic.Bool // Shutdown was called
+
+	// Other routers, and this machine among them.
+	detector *failuredetector.Watcher
+	machine  *slowness.Monitor
+
+	counts     counts
+	dialCounts upstream.DialCounts
+
+	mu          sync.Mutex                     // guards the fields below
+	pools       map[string]*upstream.Pool      // by replica id
+	keepAlives  map[string]*upstream.KeepAlive // by service
+	reportedAt  time.Time                      // when failures were reported last
+	controllers controllerChoice
 }
 
+// counts are since the start of the process.
 type counts struct {
 	requests, rejected, failed, retries, resumed atomic.Int64
 }
 
-// New builds a router.
-func New(ctx context.Context, log *slog.Logger, p Options) *Router {
-	env := p.Settings
-	self := env.Port(routerPort)
-	g := &Router{
-		ctx:                ctx,
-		log:                log,
-		net:                p.Net,
-		dialer:             p.Dialer,
-		store:              state.NewStore(state.Options{Monotonic: true}),
-		prefixes:           prefixindex.NewIndex(),
-		pools:              map[string]*upstream.Pool{},
-		keepAlives:         map[string]*upstream.KeepAlive{},
-		becameReady:        make(chan struct{}),
-		controllerFailedAt: map[string]time.Time{},
+// New returns a router that Run starts. It ends with the context.
+func New(ctx context.Context, log *slog.Logger, options Options) *Router {
+	env := options.Settings
+	self := env.Port(settings.RouterPortOffset)
+	r := &Router{
+		ctx:         ctx,
+		log:         log,
+		net:         options.Net,
+		dialer:      options.Dialer,
+		store:       state.NewStore(state.Options{Monotonic: true}),
+		becameReady: make(chan struct{}),
+		bodies:      fairshare.New(int64(env.Limits.MemoryMB*bytesPerMB*bodyMemoryFraction), fairshare.CalmFraction),
+		prefixes:    prefixindex.NewIndex(),
+		machine:     slowness.NewMonitor(log, options.SlownessProbe),
+		pools:       map[string]*upstream.Pool{},
+		keepAlives:  map[string]*upstream.KeepAlive{},
+		controllers: controllerChoice{failedAt: map[string]time.Time{}},
 	}
-	g.settings.Store(env)
-	g.placer = placement.NewPlacer(g.prefixes)
-	g.placer.Configure(env.Placement)
-	bodyBytes := int64(env.Limits.MemoryMB * (1 << 20) * bodyMemoryFraction)
-	g.bodies = fairshare.New(bodyBytes, fairshare.CalmFraction)
-	g.table.Store(routing.Compile(state.EmptyView().Config))
-	g.revisions.Store(newModelRevisions(nil))
-	g.coldShares.Store(newColdStartShares(nil, self))
-	g.cursor = distribution.NewCursor(g.store)
-	seat := rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone}
-	g.follower = distribution.NewFollower(distribution.FollowerOptions{
-		Net:        p.Net,
-		Sink:       g.cursor,
-		Self:       seat,
-		NextSource: g.pickController,
-		AckBody:    g.reports,
-		OnMessage:  g.receiveLoadSums,
+	r.settings.Store(env)
+	r.table.Store(routing.Compile(state.EmptyView().Config))
+	r.revisions.Store(newModelRevisions(nil))
+	r.warmupShares.Store(newWarmupShares(nil, self))
+	r.placer = placement.NewPlacer(r.prefixes)
+	r.placer.Configure(env.Placement)
+	r.cursor = distribution.NewCursor(r.store)
+	r.follower = distribution.NewFollower(distribution.FollowerOptions{
+		Net:        options.Net,
+		Sink:       r.cursor,
+		Self:       rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone},
+		NextSource: r.nextController,
+		AckBody:    r.failureReports,
+		OnMessage:  r.receiveLoadSums,
 	})
-	g.budget = retrybudget.New(retrybudget.Options{
+	r.budget = retrybudget.New(retrybudget.Options{
 		Ratio:  env.Bounds.BudgetRatio,
 		Slack:  env.Bounds.BudgetSlack,
 		Window: durations.FromSeconds(env.Bounds.BudgetWindowS),
 		Margin: fairshare.BudgetMargin,
-	}, controllerLender{g.follower}, g.fleetSize)
-	g.machine = slowness.NewMonitor(log, p.SlownessProbe)
-	g.longWork = newLongWork(g)
-	g.detector = g.newDetector(self)
-	g.store.OnChange(g.handleChange)
-	return g
+	}, controllerLender{r.follower}, r.fleetSize)
+	r.longWork = longwork.New(ctx, longwork.Options{
+		Log:    log,
+		Router: longWorkRouter{r},
+		Self:   self,
+		Lines:  rpc.NewPool(ctx, options.Net, r.handle),
+	})
+	r.detector = r.newDetector(self)
+	r.store.OnChange(r.handleChange)
+	return r
 }
 
-// newDetector makes the detector that asks other routers whether they are there and tells control of those that are not.
+// newDetector makes the detector that asks other routers whether they are there and reports those that are not to the
+// controller.
 func (r *Router) newDetector(self string) *failuredetector.Watcher {
-	every := max(durations.FromMilliseconds(r.settings.Load().HeartbeatMs), distribution.HeartbeatInterval)
-	nodes := func() []string { return r.store.View().Nodes }
-	ping := r.newPing(rpc.NewPool(r.ctx, r.net, r.handle), self)
-	tell := func(node string, alive bool) {
-		r.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Text: node})
-	}
 	return failuredetector.New(failuredetector.Options{
 		Log:      r.log,
 		Self:     self,
-		Interval: every,
-		Nodes:    nodes,
-		Ping:     ping,
-		Report:   tell,
+		Interval: max(durations.FromMilliseconds(r.settings.Load().HeartbeatMs), distribution.HeartbeatInterval),
+		Nodes:    func() []string { return r.store.View().Nodes },
+		Ping:     r.newPing(rpc.NewPool(r.ctx, r.net, r.handle), self),
+		Report: func(node string, alive bool) {
+			r.follower.Send(&rpc.Message{Kind: rpc.Suspect, OK: alive, Text: node})
+		},
 	})
 }
 
-// Run serves until the context ends.
+// Run serves until the context ends. The error says which address could not be listened on.
 func (r *Router) Run() error {
-	e := r.settings.Load()
-	fl, err := r.net.Listen(e.Bind.Front)
+	env := r.settings.Load()
+	clients, err := r.net.Listen(env.Bind.Front)
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "front address")
 	}
-	rl, err := r.net.Listen(e.Bind.Readiness)
+	readiness, err := r.net.Listen(env.Bind.Readiness)
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "readiness address")
 	}
-	pl, err := r.net.Listen(e.Port(settings.RouterStatePortOffset))
+	statePage, err := r.net.Listen(env.Port(settings.RouterStatePortOffset))
 	if err != nil {
 		return errkind.Wrap(errkind.Internal, err, "state page")
 	}
-	cl, err := r.net.Listen(e.Port(routerPort))
+	peers, err := r.net.Listen(env.Port(settings.RouterPortOffset))
 	if err != nil {
-		return errkind.Wrap(errkind.Internal, err, "crew port")
+		return errkind.Wrap(errkind.Internal, err, "router port")
 	}
-	go rpc.Serve(r.ctx, cl, r.handle)
-	r.server = frontend.New(r.ctx, r.log, fl, http.HandlerFunc(r.serve))
+	go rpc.Serve(r.ctx, peers, r.handle)
+	r.server = frontend.New(r.ctx, r.log, clients, http.HandlerFunc(r.serve))
 	r.server.SetLimits(r.table.Load().Limits)
-	rs := &http.Server{Handler: http.HandlerFunc(r.serveReadiness), ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
-	ps := &http.Server{Handler: http.HandlerFunc(r.serveState), ReadHeaderTimeout: settings.HeaderTimeout}
-	go func() { _ = rs.Serve(rl) }()
-	go func() { _ = ps.Serve(pl) }()
+	readinessServer := &http.Server{Handler: http.HandlerFunc(r.serveReadiness), ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
+	stateServer := &http.Server{Handler: http.HandlerFunc(r.serveState), ReadHeaderTimeout: settings.HeaderTimeout}
+	go func() { _ = readinessServer.Serve(readiness) }()
+	go func() { _ = stateServer.Serve(statePage) }()
 	go r.follower.Run(r.ctx)
 	go r.detector.Run(r.ctx)
-	go r.sendLoadSums()
+	go r.reportLoadSums()
 	go r.maintain()
-	go r.longWork.run()
+	go r.longWork.Run()
 	go r.server.Run()
-	r.log.Info("started", "part", "router", "node", e.NodeName)
+	r.log.Info("started", "part", "router", "node", env.NodeName)
 	<-r.ctx.Done()
-	_ = rs.Close()
-	_ = ps.Close()
+	_ = readinessServer.Close()
+	_ = stateServer.Close()
 	r.server.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.pools {
-		p.Close()
+	for _, pool := range r.pools {
+		pool.Close()
 	}
 	return nil
 }
 
-// Leave finishes what is held and returns when the process may end.
+// Shutdown says not ready, goes on accepting until the platform has noticed, and returns when the requests in flight have
+// ended, or the grace of the settings has.
 func (r *Router) Shutdown() {
-	r.leaving.Store(true)
-	r.longWork.drain()
+	r.draining.Store(true)
+	r.longWork.Drain()
 	grace := durations.FromSeconds(r.settings.Load().Bounds.GraceS)
 	start := time.Now()
-	linger := min(readinessLinger, grace/2)
-	wait.Sleep(r.ctx, linger)
+	wait.Sleep(r.ctx, min(readinessLinger, grace/2))
 	r.server.Shutdown(grace - settings.GraceMargin - time.Since(start))
-	r.longWork.wait(grace - settings.GraceMargin - time.Since(start))
+	r.longWork.Wait(grace - settings.GraceMargin - time.Since(start))
 }
 
-// Reload takes new settings.
-func (r *Router) Reload(e *settings.Settings) {
-	r.settings.Store(e)
-	r.placer.Configure(e.Placement)
-	r.coldShares.Store(newColdStartShares(r.store.View().Nodes, e.Port(routerPort)))
+// Reload takes new settings. Addresses and bounds of the budget stay those of the start.
+func (r *Router) Reload(env *settings.Settings) {
+	r.settings.Store(env)
+	r.placer.Configure(env.Placement)
+	r.warmupShares.Store(newWarmupShares(r.store.View().Nodes, env.Port(settings.RouterPortOffset)))
 }
 
-// MaySend tells whether a replica may be sent to, as this process knows it now.
+// MaySend reports whether a replica may be sent to, as this process knows it now.
 func (r *Router) MaySend(replica string) bool { return r.placer.Allowed(replica) }
 
-// InForce tells which configuration and which evacuations are in force here.
+// InForce returns the revision of the configuration and the zones under evacuation that are in force here.
 func (r *Router) InForce() (revision int64, evacuated map[string]bool) {
-	v := r.store.View()
-	return v.Config.Revision, v.Evacuated
+	view := r.store.View()
+	return view.Config.Revision, view.Evacuated
 }
 
-// Health tells what is held against replicas here.
+// Health returns what is held against replicas here, by id.
 func (r *Router) Health() map[string]outlier.ReplicaStats { return r.placer.Health().Stats(time.Now()) }
--- a/internal/router/world_client_test.go
+++ b/internal/router/simulation_client_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The clients of a world: they send requests to the front and keep what they saw.
+// The clients of a simulation: they send requests to the front and keep what they saw.
 
 // seen is what a client saw.
 type seen struct {
@@ -25,7 +25,7 @@
 }
 
 // client opens a connection to the front.
-func (w *world) client() net.Conn {
+func (w *simulation) client() net.Conn {
 	near, far := net.Pipe()
 	w.mu.Lock()
 	w.pipes = append(w.pipes, near)
@@ -35,11 +35,11 @@
 }
 
 func requestText(route, id string) string {
-	return fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Budget-Ms: %d\r\nContent-Length: 4\r\n\r\nfour", route, id, worldBudget.Milliseconds())
+	return fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nTime-Budget-Ms: %d\r\nContent-Length: 4\r\n\r\nfour", route, id, clientTimeBudget.Milliseconds())
 }
 
 // ask sends one request on a connection and reads what comes.
-func (w *world) ask(c net.Conn, br *bufio.Reader, route, id string) seen {
+func (w *simulation) ask(c net.Conn, br *bufio.Reader, route, id string) seen {
 	at := time.Now()
 	out := seen{id: id}
 	_, err := io.WriteString(c, requestText(route, id))
@@ -59,12 +59,12 @@
 	return out
 }
 
-// play runs one request of a route through a world and judges it, and a second one on the same connection
+// play runs one request of a route through a simulation and judges it, and a second one on the same connection
 // if that is still there.
 func play(t *testing.T, route string, timeout time.Duration, name string, steps ...step) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, timeout, steps...)
+		w := newSimulation(t, timeout, steps...)
 		defer w.end()
 		c := w.client()
 		br := bufio.NewReader(c)
--- a/internal/router/world_judge_test.go
+++ b/internal/router/simulation_judge_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The judge of a world: it compares what a client saw with what the replicas saw.
+// The judge of a simulation: it compares what a client saw with what the replicas saw.
 
 // judge checks one try by the rules.
-func (w *world) judge(route string, got *seen, timeout time.Duration) string {
+func (w *simulation) judge(route string, got *seen, timeout time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var mine []*delivery
@@ -24,7 +24,7 @@
 			return wrong
 		}
 	}
-	if got.took > min(timeout, worldBudget)+worldSlack {
+	if got.took > min(timeout, clientTimeBudget)+deadlineSlack {
 		return fmt.Sprint("held too long: ", got.took)
 	}
 	return ""
@@ -34,7 +34,7 @@
 
 // judgeSending: TWICE and the bound on attempts. Each sending of which a byte came counts.
 func judgeSending(route string, _ *seen, ds []*delivery) string {
-	if len(ds) > worldTries {
+	if len(ds) > maxAttempts {
 		return "more sendings than max_attempts"
 	}
 	open := 0
@@ -104,7 +104,7 @@
 		return ""
 	}
 	whole := ""
-	for i := 1; i <= worldEvents; i++ {
+	for i := 1; i <= streamEvents; i++ {
 		whole += fmt.Sprintf("id: %d\nd: x\n\n", i)
 	}
 	if !strings.HasPrefix(whole, got.body) {
--- a/internal/router/world_replica_test.go
+++ b/internal/router/simulation_replica_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The replicas of a world: each does the scripted steps and keeps what it saw.
+// The replicas of a simulation: each does the scripted steps and keeps what it saw.
 
 // then is how a replica goes on after the scripted bytes.
 type then int
@@ -51,7 +51,7 @@
 }
 
 // next is the step for the next request.
-func (w *world) next() step {
+func (w *simulation) next() step {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.steps[0]
@@ -62,7 +62,7 @@
 }
 
 // replica plays one connection.
-func (w *world) replica(addr string, c net.Conn) {
+func (w *simulation) replica(addr string, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	for {
 		first := make([]byte, 1)
@@ -85,7 +85,7 @@
 }
 
 // perform does one step; false ends the connection.
-func (w *world) perform(s step, d *delivery, number int, c net.Conn, first []byte) bool {
+func (w *simulation) perform(s step, d *delivery, number int, c net.Conn, first []byte) bool {
 	if s.read > 0 {
 		_, _ = io.ReadFull(c, make([]byte, s.read-1))
 		return false
@@ -115,7 +115,7 @@
 }
 
 // note keeps what a delivery was.
-func (w *world) note(s step, d *delivery, number int, r *http.Request, text string) {
+func (w *simulation) note(s step, d *delivery, number int, r *http.Request, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d.whole, d.ran = true, s.runs
@@ -146,7 +146,7 @@
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nReplica-Seal: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Attempt-Id"), sealOf(n))
-	for i := from + 1; i <= worldEvents; i++ {
+	for i := from + 1; i <= streamEvents; i++ {
 		e := fmt.Sprintf("id: %d\nd: x\n\n", i)
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", len(e), e)
 	}
--- a/internal/router/world_test.go
+++ b/internal/router/simulation_test.go
@@ -24,26 +24,28 @@
 // connections) over in-memory connections on simulated time, and judges by what both ends saw.
 
 const (
-	worldBudget = 2 * time.Second        // Time-Budget-Ms of the clients
-	worldSlack  = 250 * time.Millisecond // an answer may come so long after a deadline
-	worldEvents = 3                      // events of a whole stream
-	worldTries  = 2                      // max_attempts of the routes
+	clientTimeBudget = 2 * time.Second        // Time-Budget-Ms of the clients
+	deadlineSlack    = 250 * time.Millisecond // an answer may come so long after a deadline
+	streamEvents     = 3                      // events of a whole stream
+	maxAttempts      = 2                      // max_attempts of the routes
 )
 
-// noNet has nobody on it: the router under test follows no controller.
-type noNet struct{}
+// unreachableNet has nobody on it: the router under test follows no controller.
+type unreachableNet struct{}
 
 // Dial fails.
-func (noNet) Dial(string, time.Duration) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }
+func (unreachableNet) Dial(string, time.Duration) (net.Conn, error) {
+	return nil, os.ErrDeadlineExceeded
+}
 
 // Listen fails.
-func (noNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unreachableNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// world is one router with its clients and replicas.
-type world struct {
+// simulation is one router with its clients and replicas.
+type simulation struct {
 	cancel     context.CancelFunc // ends the router
 	t          *testing.T
-	g          *Router
+	router     *Router
 	front      *frontend.Server
 	doors      chan net.Conn
 	shut       chan struct{}
@@ -55,7 +57,7 @@
 }
 
 // Accept gives the next client.
-func (w *world) Accept() (net.Conn, error) {
+func (w *simulation) Accept() (net.Conn, error) {
 	select {
 	case c := <-w.doors:
 		return c, nil
@@ -65,28 +67,28 @@
 }
 
 // Close ends the listener.
-func (w *world) Close() error { close(w.shut); return nil }
+func (w *simulation) Close() error { close(w.shut); return nil }
 
 // Addr is no real address.
-func (w *world) Addr() net.Addr { return &net.UnixAddr{Name: "test"} }
+func (w *simulation) Addr() net.Addr { return &net.UnixAddr{Name: "test"} }
 
-var worldRoutes = map[string]string{
+var simulatedRoutes = map[string]string{
 	"once":   `"route_type":"non_idempotent"`,
 	"repeat": `"route_type":"idempotent"`,
 	"stream": `"route_type":"streaming","target_gap_ms":100`,
 	"resume": `"route_type":"streaming","stream_resume":true,"target_gap_ms":100`,
 }
 
-// newWorld makes a router with replicas r1 to r3 that do the steps in turn, and then the last one for ever.
-func newWorld(t *testing.T, timeout time.Duration, steps ...step) *world {
+// newSimulation makes a router with replicas r1 to r3 that do the steps in turn, and then the last one for ever.
+func newSimulation(t *testing.T, timeout time.Duration, steps ...step) *simulation {
 	env := &settings.Settings{NodeName: "g", Zone: "a", IP: "10.0.0.1", Ports: []int{9000, 9100}, Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64}}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps, cancel: cancel}
-	w.g = New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: noNet{}, Dialer: w})
+	w := &simulation{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps, cancel: cancel}
+	w.router = New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: unreachableNet{}, Dialer: w})
 	var routes []string
-	for name, kind := range worldRoutes {
+	for name, kind := range simulatedRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":"h","path_prefix":"/%s/","backend_pool":"p","timeout_ms":%d,"target_latency_ms":200,"max_attempts":%d,%s}`,
-			name, name, timeout.Milliseconds(), worldTries, kind))
+			name, name, timeout.Milliseconds(), maxAttempts, kind))
 	}
 	put := fmt.Sprintf(`{"revision":1,"route_table":[%s],"backend_pools":[{"name":"p","max_connections":4}]}`, strings.Join(routes, ","))
 	var replicas []*state.Replica
@@ -94,27 +96,27 @@
 		replicas = append(replicas, &state.Replica{ID: fmt.Sprint("r", i+1), Pool: "p", Address: fmt.Sprint("r", i+1), Zone: "a", State: "ready", Slots: 8})
 	}
 	for _, e := range []state.Event{
-		state.UpdateFleet{Size: 1, Nodes: []string{env.Port(routerPort)}},
+		state.UpdateFleet{Size: 1, Nodes: []string{env.Port(settings.RouterPortOffset)}},
 		state.NewPutConfig(0, []byte(put)).WithoutDigest(),
 		state.UpdateReplicas{Changed: replicas},
 	} {
-		require.NoError(t, w.g.store.Update(state.EncodeEvent(e)))
+		require.NoError(t, w.router.store.Update(state.EncodeEvent(e)))
 	}
-	require.True(t, w.g.ready.Load())
-	w.front = frontend.New(w.g.ctx, w.g.log, w, http.HandlerFunc(w.g.serve))
+	require.True(t, w.router.ready.Load())
+	w.front = frontend.New(w.router.ctx, w.router.log, w, http.HandlerFunc(w.router.serve))
 	w.front.SetLimits(routing.Limits{})
 	go w.front.Run()
 	return w
 }
 
 // end closes everything.
-func (w *world) end() {
+func (w *simulation) end() {
 	w.front.Close()
-	w.g.mu.Lock()
-	for _, p := range w.g.pools {
+	w.router.mu.Lock()
+	for _, p := range w.router.pools {
 		p.Close()
 	}
-	w.g.mu.Unlock()
+	w.router.mu.Unlock()
 	w.mu.Lock()
 	for _, c := range w.pipes {
 		_ = c.Close()
@@ -124,7 +126,7 @@
 }
 
 // DialReplica connects to a replica.
-func (w *world) DialReplica(addr string, _ time.Duration) (net.Conn, error) {
+func (w *simulation) DialReplica(addr string, _ time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
 	w.mu.Lock()
 	w.pipes = append(w.pipes, near, far)
--- a/internal/router/page.go
+++ b/internal/router/statepage.go
@@ -9,23 +9,24 @@
 	"shaletrestle/internal/metrics"
 )
 
-// serveState answers on the state port: the metrics under their path, else all that this process knows.
-func (r *Router) serveState(w http.ResponseWriter, request *http.Request) {
+// serveState answers on the state port: the metrics under their path, else all that this process knows. The keys of the
+// page stay as they were; they are not names of the code.
+func (r *Router) serveState(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == metrics.Path {
-		metrics.Serve(w, r.figures())
+		metrics.Serve(writer, r.samples())
 		return
 	}
-	v := r.store.View()
-	httpreply.JSON(w, http.StatusOK, map[string]any{
+	view := r.store.View()
+	httpreply.JSON(writer, http.StatusOK, map[string]any{
 		"program":       "router",
 		"version":       version.Number,
 		"node":          r.settings.Load().NodeName,
 		"ready":         r.ready.Load(),
-		"leaving":       r.leaving.Load(),
+		"leaving":       r.draining.Load(),
 		"news":          r.updateSection(),
-		"setup":         map[string]any{"revision": v.Config.Revision, "routes": r.table.Load().RouteCount},
-		"evacuated":     v.Evacuated,
-		"fleet":         v.FleetSize,
+		"setup":         map[string]any{"revision": view.Config.Revision, "routes": r.table.Load().RouteCount},
+		"evacuated":     view.Evacuated,
+		"fleet":         view.FleetSize,
 		"inflight":      r.inflight.Load(),
 		"inquiries":     r.counts.requests.Load(),
 		"refused":       r.counts.rejected.Load(),
@@ -39,7 +40,7 @@
 		"yard":          r.placer.Stats(),
 		"suspected":     r.detector.Suspected(),
 		"machine":       r.machine.State(),
-		"long_work":     r.longWork.state(),
+		"long_work":     r.longWork.State(),
 	})
 }
 
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -4,75 +4,78 @@
 	"time"
 
 	"shaletrestle/internal/discovery"
-
 	"shaletrestle/internal/durations"
 	"shaletrestle/internal/routing"
+	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 )
 
-// handleChange brings everything that is derived up to date with a new view.
-func (r *Router) handleChange(old, v *state.View, e state.Event) {
-	if suspects, ok := e.(state.UpdateSuspects); ok {
+// defaultFleetSize counts until a controller has said how many nodes there are.
+const defaultFleetSize = 16
+
+// handleChange brings everything that is derived from the view up to date with a new one. event is nil after a checkpoint.
+func (r *Router) handleChange(old, view *state.View, event state.Event) {
+	if suspects, ok := event.(state.UpdateSuspects); ok {
 		r.placer.Health().SetSuspects(suspects.Replicas, time.Now())
 		return
 	}
-	if old.Config != v.Config {
-		r.useConfiguration(v)
+	if old.Config != view.Config {
+		r.useConfiguration(view)
 	}
-	if state.ChangesPlacement(e) {
-		r.useReplicas(v)
+	if state.ChangesPlacement(event) {
+		r.useReplicas(view)
 	}
-	if _, fleet := e.(state.UpdateFleet); fleet || e == nil {
-		r.coldShares.Store(newColdStartShares(v.Nodes, r.settings.Load().Port(routerPort)))
+	if _, fleet := event.(state.UpdateFleet); fleet || event == nil {
+		r.warmupShares.Store(newWarmupShares(view.Nodes, r.settings.Load().Port(settings.RouterPortOffset)))
 	}
-	if old.FleetSize != v.FleetSize || old.Config != v.Config || e == nil {
-		r.resizePools(v, r.table.Load())
+	if old.FleetSize != view.FleetSize || old.Config != view.Config || event == nil {
+		r.resizePools(view, r.table.Load())
 	}
-	if v.Config.Revision > 0 && v.ReplicasKnown {
-		r.becomeReady(v)
+	if view.Config.Revision > 0 && view.ReplicasKnown {
+		r.becomeReady(view)
 	}
-	if _, controllers := e.(state.UpdateControllers); controllers || e == nil {
-		r.preferNearController(v)
+	if _, controllers := event.(state.UpdateControllers); controllers || event == nil {
+		r.preferNearController(view)
 	}
 }
 
 // useConfiguration compiles a new configuration and puts its limits in force.
-func (r *Router) useConfiguration(v *state.View) {
-	table := routing.Compile(v.Config)
+func (r *Router) useConfiguration(view *state.View) {
+	table := routing.Compile(view.Config)
 	r.table.Store(table)
 	if r.server != nil {
 		r.server.SetLimits(table.Limits)
 	}
 }
 
-// useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their answers.
-func (r *Router) useReplicas(v *state.View) {
-	back := durations.FromMilliseconds(r.settings.Load().Cloud.MaxLagMs) + 2*discovery.ListInterval
-	r.placer.SetReplicas(v.Replicas, v.Evacuated, back)
-	r.revisions.Store(newModelRevisions(v.Replicas))
+// useReplicas takes a new list of replicas or evacuations; connections to replicas that are gone end with their responses.
+func (r *Router) useReplicas(view *state.View) {
+	warmup := durations.FromMilliseconds(r.settings.Load().Cloud.MaxLagMs) + 2*discovery.ListInterval
+	r.placer.SetReplicas(view.Replicas, view.Evacuated, warmup)
+	r.revisions.Store(newModelRevisions(view.Replicas))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, pool := range r.pools {
-		if v.Replicas[id] == nil {
+		if view.Replicas[id] == nil {
 			delete(r.pools, id)
 			go pool.Close()
 		}
 	}
 }
 
-// becomeReady lets go the requests that waited for a first view.
-func (r *Router) becomeReady(v *state.View) {
+// becomeReady lets the requests go on that waited for a first view.
+func (r *Router) becomeReady(view *state.View) {
 	if !r.ready.CompareAndSwap(false, true) {
 		return
 	}
 	close(r.becameReady)
-	r.log.Info("ready", "part", "router", "revision", v.Config.Revision, "replicas", len(v.Replicas))
+	r.log.Info("ready", "part", "router", "revision", view.Config.Revision, "replicas", len(view.Replicas))
 }
 
-// fleetSize is the number of routers that share the budgets; a guess until control has told it.
+// fleetSize is the number of routers that share the budgets.
 func (r *Router) fleetSize() int {
-	if n := r.store.View().FleetSize; n > 0 {
-		return n
+	if nodes := r.store.View().FleetSize; nodes > 0 {
+		return nodes
 	}
 	return defaultFleetSize
 }
--- a/internal/settings/addresses.go
+++ b/internal/settings/addresses.go
@@ -14,6 +14,8 @@
 	ControlPortOffset = 0
 	// ControlStatePortOffset is the controller's state page.
 	ControlStatePortOffset = 1
+	// RouterPortOffset is where a router takes messages of other routers.
+	RouterPortOffset = 2
 	// RouterStatePortOffset is the router's state page.
 	RouterStatePortOffset = 3
 )
