--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -21,7 +21,7 @@
 // itemLists are the keys whose values are lists of named items, in the order in which JSON gives them.
 var itemLists = []string{keyRoutes, keyPools}
 
-// Document is one whole configuration. It is not changed after it was made.
+// Document is one complete configuration. It is not changed after it was made.
 type Document struct {
 	Revision int64 // set by the operator, rising; 0 for none yet
 	// Parsed is the typed form. Keys that this version doesn't know are left out of it.
@@ -56,7 +56,7 @@
 	}
 }
 
-// JSON gives the whole configuration, each item as it was sent. Two calls give the same bytes.
+// JSON gives the complete configuration, each item as it was sent. Two calls give the same bytes.
 func (d *Document) JSON() []byte {
 	var out bytes.Buffer
 	out.WriteString(`{"` + keyRevision + `":` + strconv.FormatInt(d.Revision, 10))
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,7 +12,7 @@
 // maxRevision is the largest revision: beyond it, JSON numbers of other languages are no longer exact.
 const maxRevision = 1 << 53
 
-// parseObject reads one whole JSON object in which no key stands twice, at any depth.
+// parseObject reads one complete JSON object in which no key stands twice, at any depth.
 func parseObject(body []byte) (map[string]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
--- a/internal/configcheck/check.go
+++ b/internal/configcheck/check.go
@@ -7,7 +7,7 @@
 	"shaletrestle/internal/state"
 )
 
-// Check checks a whole configuration, as it would be sent, against a view of the fleet (nil: against the rules of
+// Check checks a complete configuration, as it would be sent, against a view of the fleet (nil: against the rules of
 // validity alone), and notes the maintenance windows that are open now.
 func Check(body []byte, view *state.View, windows []calendar.Window) *Report {
 	report := &Report{Fleet: view != nil, Findings: []Finding{}}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 	replicated   *state.Store // configuration, evacuations, history; written by member alone
 	shuttingDown atomic.Bool
 
-	updates      *state.Store // what followers are told; written by feed alone
+	updates      *state.Store // what followers get; written by feed alone
 	feed         *distribution.Feed
 	follower     *distribution.Follower              // of the primary, as a relay
 	source       atomic.Pointer[distribution.Source] // nil while this process is not primary; written by member's callbacks
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -10,7 +10,7 @@
 //   - On disk: the log, the snapshots and the register of the member, written by coord/replication alone. They survive
 //     a restart. A process without a disk joins without a vote.
 //   - Controller.replicated: configuration, evacuations and the history of changes. Only replication writes it.
-//   - Controller.updates: what followers are told, that is the above and replicas, fleet and controllers. Only the feed
+//   - Controller.updates: what followers get, that is the above and replicas, fleet and controllers. Only the feed
 //     writes it. It is in memory; after a restart the primary's snapshot fills it, or if this process is the primary,
 //     the first reading of the list and the first followers.
 //   - In memory only, and begun anew after a restart or a change of the primary: the fleet's members, reports on
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -59,7 +59,7 @@
 	return true
 }
 
-// publishFleet tells the followers the fleet's nodes and where the control members are, if that changed.
+// publishFleet notifies the followers of the fleet's nodes and where the control members are, if that changed.
 func (c *Controller) publishFleet() {
 	if !c.IsActivePrimary() {
 		return
--- a/internal/controller/load_sums.go
+++ b/internal/controller/load_sums.go
@@ -12,12 +12,12 @@
 // loadInterval is how often a relay or the primary passes sums of load on.
 const loadInterval = 110 * time.Millisecond
 
-// shareLoadSums passes on, until the context ends, what waits at the replicas: a relay tells the primary the sum of
-// its own followers' reports, the primary tells everybody what stands out in the sum of all.
+// shareLoadSums passes on, until the context ends, what waits at the replicas: a relay sends the primary the sum
+// of its own followers' reports, the primary broadcasts what stands out in the sum of all.
 func (c *Controller) shareLoadSums() {
 	var view *state.View
 	var services *loadsum.Services // of view
-	published := false             // loads were published the last time: that they ended is told too
+	published := false             // loads were published the last time: their end is published too
 	wait.Every(c.ctx, loadInterval, func() bool {
 		loads := c.loadSums.Total(time.Now())
 		if !c.IsActivePrimary() {
--- a/internal/controller/outlier_reports.go
+++ b/internal/controller/outlier_reports.go
@@ -73,7 +73,7 @@
 	c.publishSuspects()
 }
 
-// publishSuspects tells the fleet which replicas its reports make suspect, when that changed or runs out, at most once
+// publishSuspects publishes which replicas the fleet's reports make suspect, when that changed or runs out, at most once
 // a heartbeat.
 func (c *Controller) publishSuspects() {
 	now := time.Now()
--- a/internal/discovery/differ.go
+++ b/internal/discovery/differ.go
@@ -2,11 +2,11 @@
 
 import "shaletrestle/internal/state"
 
-// missesUntilGone is the number of whole listings without a replica before it counts as gone: one may have been read
+// missesUntilGone is the number of complete listings without a replica before it counts as gone: one may have been read
 // while the list changed between two pages.
 const missesUntilGone = 2
 
-// Differ turns whole listings into changes. It is for one goroutine at a time.
+// Differ turns complete listings into changes. It is for one goroutine at a time.
 type Differ struct {
 	missed map[string]int // listings in a row without a known replica, by its id
 }
@@ -15,7 +15,7 @@
 func NewDiffer() *Differ { return &Differ{missed: map[string]int{}} }
 
 // Diff gives the event that turns the known replicas into the listed ones, nil if nothing changed. A replica counts as
-// gone at its second whole listing without it; an empty listing changes nothing. initialized tells whether a listing
+// gone at its second complete listing without it; an empty listing changes nothing. initialized tells whether a listing
 // was applied before: the first one is an event in any case.
 func (d *Differ) Diff(known map[string]*state.Replica, initialized bool, listed []*state.Replica) *state.UpdateReplicas {
 	if len(listed) == 0 && len(known) > 0 {
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -58,7 +58,7 @@
 // isLast tells whether no page follows.
 func (p *page) isLast() bool { return p.Next == nil || *p.Next == "" }
 
-// Read gives the whole list. If any page fails it gives none: the error is that of the call, a [StatusError], or one of
+// Read gives the complete list. If any page fails it gives none: the error is that of the call, a [StatusError], or one of
 // this package's for a list that can't be used.
 func (r *Reader) Read(ctx context.Context) ([]*state.Replica, error) {
 	var replicas []*state.Replica
--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -58,19 +58,19 @@
 		{"testdata/checkpoints-without-orders.txt", Options{Monotonic: true}},
 	} {
 		recording := recordedtest.Open(t, x.path)
-		b := NewStore(x.options)
+		store := NewStore(x.options)
 		restored := NewStore(x.options)
-		require.NoError(t, restored.Restore(recording.Same("00-empty", b.Snapshot())))
-		require.Equal(t, b.View(), restored.View())
+		require.NoError(t, restored.Restore(recording.Same("00-empty", store.Snapshot())))
+		require.Equal(t, store.View(), restored.View())
 		for _, e := range recordedEvents() {
-			require.NoError(t, b.Update(EncodeEvent(e.event)), e.name)
-			snapshot := b.Snapshot()
-			if len(b.View().Evacuated) > 1 || len(b.View().Replicas) > 1 { // written in any order
+			require.NoError(t, store.Update(EncodeEvent(e.event)), e.name)
+			snapshot := store.Snapshot()
+			if len(store.View().Evacuated) > 1 || len(store.View().Replicas) > 1 { // written in any order
 				snapshot = recording.Bytes(e.name)
 			}
 			restored := NewStore(x.options)
 			require.NoError(t, restored.Restore(recording.Same(e.name, snapshot)), e.name)
-			require.Equal(t, b.View(), restored.View(), e.name)
+			require.Equal(t, store.View(), restored.View(), e.name)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 // TestStore_SnapshotOfOtherOptions_IsRead crosses snapshots with and without a history.
 func TestStore_SnapshotOfOtherOptions_IsRead(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/last-checkpoints.txt")
-	b, guarded := NewStore(Options{History: true}), NewStore(Options{Monotonic: true})
+	replicated, followed := NewStore(Options{History: true}), NewStore(Options{Monotonic: true})
 	for _, x := range recordedEvents() {
-		require.NoError(t, b.Update(EncodeEvent(x.event)))
-		require.NoError(t, guarded.Update(EncodeEvent(x.event)))
+		require.NoError(t, replicated.Update(EncodeEvent(x.event)))
+		require.NoError(t, followed.Update(EncodeEvent(x.event)))
 	}
-	with := recording.Same("with-orders", b.Snapshot())
-	without := recording.Same("without-orders", guarded.Snapshot())
+	with := recording.Same("with-orders", replicated.Snapshot())
+	without := recording.Same("without-orders", followed.Snapshot())
 	follower := NewStore(Options{Monotonic: true})
 	require.NoError(t, follower.Restore(with))
 	require.Nil(t, follower.View().History)
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -23,7 +23,7 @@
 
 // Event is one change of the state. Its types are [PutConfig], [PatchConfig], [EvacuateZone], [ReadmitZone],
 // [UpdateReplicas], [UpdateFleet], [UpdateControllers] and [UpdateSuspects]; no others are written or read. An event
-// is not changed after it was made. A nil Event stands for a snapshot where one is told of changes ([Store.OnChange]).
+// is not changed after it was made. Where changes are notified ([Store.OnChange]), a nil Event stands for a snapshot.
 type Event interface {
 	// Kind is the stored name of the event's type.
 	Kind() Kind
@@ -74,7 +74,7 @@
 // PutConfig replaces the configuration.
 type PutConfig struct{ ConfigChange }
 
-// NewPutConfig makes the event of an operator's whole configuration, built on revision base.
+// NewPutConfig makes the event of an operator's complete configuration, built on revision base.
 func NewPutConfig(base int64, body []byte) PutConfig {
 	return PutConfig{newConfigChange(kindPutConfig, base, body)}
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -17,7 +17,7 @@
 	Monotonic bool
 }
 
-// ChangeFunc is told of each change of a store's view. The event is nil after a snapshot was restored.
+// ChangeFunc is notified of each change of a store's view. The event is nil after a snapshot was restored.
 type ChangeFunc func(old, current *View, event Event)
 
 // Store holds the newest view of one process. It may be used by many goroutines; events are applied one at a time.
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -11,7 +11,7 @@
 	"shaletrestle/internal/config"
 )
 
-// configuration gives the body of a whole configuration.
+// configuration gives the body of a complete configuration.
 func configuration(revision string) []byte {
 	return []byte(`{"revision":` + revision + `,"route_table":[{"name":"a","hostname":"h","path_prefix":"/","timeout_ms":1,"backend_pool":"s","x":1.0}],"backend_pools":[{"name":"s"}]}`)
 }
