--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -50,7 +50,7 @@
 
 // NewFeed makes a feed over a state, a relay for the time being. It sends heartbeats to its followers and closes the
 // silent ones until the context ends. onAck is called after each acknowledgement, without a lock, with the position
-// that all followers have taken; nil: nobody is told.
+// that all followers have taken; nil: nobody is notified.
 func NewFeed(ctx context.Context, log *slog.Logger, state State, onAck func(all Position)) *Feed {
 	f := &Feed{
 		log:         log.With("part", "distribution"),
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -133,18 +133,18 @@
 	f.channel.Store(channel)
 	channel.Send(subscribeMessage(f.options.Self, f.options.Sink.ResumeFrom(), f.role()))
 	f.source.Store(address)
-	silent := time.After(updateTimeout)
+	timeout := time.After(updateTimeout)
 	for {
 		select {
 		case <-channel.Done():
 			return
 		case <-ctx.Done():
 			return
-		case <-silent:
+		case <-timeout:
 			if channel.IdleTime() >= updateTimeout {
 				return
 			}
-			silent = time.After(updateTimeout - channel.IdleTime())
+			timeout = time.After(updateTimeout - channel.IdleTime())
 		}
 	}
 }
--- a/coord/distribution/source.go
+++ b/coord/distribution/source.go
@@ -61,7 +61,7 @@
 }
 
 // End ends the source, if this process is one: it is a relay again and, until its follower has heard of another source,
-// not current. The followers are told at once.
+// not current. The followers are notified at once.
 func (f *Feed) End() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coord/lease/compatibility_test.go
+++ b/coord/lease/compatibility_test.go
@@ -12,7 +12,7 @@
 	"shaletrestle/coord/rpc"
 )
 
-// recorder keeps what is asked and answers as one grantor does.
+// recordingCaller records requests and answers them as one grantor does.
 type recordingCaller struct {
 	grantor  *Grantor
 	requests []*rpc.Message
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -97,9 +97,9 @@
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
-		time.Sleep(5 * time.Second) // it stood still; the others went on
+		time.Sleep(5 * time.Second) // frozen; the others went on
 		require.True(t, b.Renew())
-		require.False(t, a.Held(), "asked again after the wait, it knows")
+		require.False(t, a.Held(), "the time is looked at in each call")
 		require.False(t, a.Renew())
 	})
 }
@@ -178,49 +178,60 @@
 	}
 }
 
+// contender is a holder and whether it wants the lease.
+type contender struct {
+	holder *Holder
+	wanted atomic.Bool
+}
+
+// step lets a contender change its mind or renew, or a grantor restart.
+func (f *grantors) step(random *rand.Rand, contenders []*contender) {
+	switch chosen := contenders[random.IntN(len(contenders))]; random.IntN(4) {
+	case 0, 1: // what is wanted changes hands, at times for a moment only
+		chosen.wanted.Store(!chosen.wanted.Load())
+		go chosen.holder.Renew()
+	case 2:
+		go chosen.holder.Renew()
+	case 3: // a grantor forgets what it granted
+		if random.IntN(4) == 0 {
+			f.mu.Lock()
+			f.members[random.IntN(len(f.members))] = NewGrantor()
+			f.mu.Unlock()
+		}
+	}
+}
+
 func TestHolders_RandomFaults_NeverTwoHold(t *testing.T) {
 	held := 0
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
-			r := rand.New(rand.NewPCG(seed, 11))
+			random := rand.New(rand.NewPCG(seed, 11))
 			f := newGrantors()
-			d := &faultyNetwork{grantors: f, random: rand.New(rand.NewPCG(seed, 12))}
+			network := &faultyNetwork{grantors: f, random: rand.New(rand.NewPCG(seed, 12))}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(10 * time.Second) }()
-			const holders = 3
-			wants := make([]atomic.Bool, holders)
-			hs := make([]*Holder, holders)
-			for i := range hs {
-				hs[i] = NewHolder(HolderOptions{
+			contenders := make([]*contender, 3)
+			for i := range contenders {
+				c := &contender{}
+				c.holder = NewHolder(HolderOptions{
 					Duty:     "list",
 					Self:     rpc.Member{ID: uint64(i + 1)},
-					Caller:   d,
+					Caller:   network,
 					Grantors: f.list,
-					Wanted:   wants[i].Load,
+					Wanted:   c.wanted.Load,
 				})
-				go hs[i].Run(ctx)
+				contenders[i] = c
+				go c.holder.Run(ctx)
 			}
 			next := time.Now()
 			for range 6000 {
 				if !time.Now().Before(next) {
-					switch i := r.IntN(holders); r.IntN(4) {
-					case 0, 1: // what is wanted changes hands, at times for a moment only
-						wants[i].Store(!wants[i].Load())
-						go hs[i].Renew()
-					case 2:
-						go hs[i].Renew()
-					case 3: // a grantor forgets what it gave
-						if r.IntN(4) == 0 {
-							f.mu.Lock()
-							f.members[r.IntN(len(f.members))] = NewGrantor()
-							f.mu.Unlock()
-						}
-					}
-					next = time.Now().Add(time.Duration(r.IntN(400)) * time.Millisecond)
+					f.step(random, contenders)
+					next = time.Now().Add(time.Duration(random.IntN(400)) * time.Millisecond)
 				}
 				var now []int
-				for i, h := range hs {
-					if h.Held() {
+				for i, c := range contenders {
+					if c.holder.Held() {
 						now = append(now, i)
 					}
 				}
@@ -295,6 +306,7 @@
 		time.Sleep(Duration)
 		a := f.holder(1)
 		require.True(t, a.Renew())
+		synctest.Wait() // one grantor's answer may be under way after a majority
 		f.lag = 20 * time.Millisecond
 		go a.release()
 		synctest.Wait()
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -66,58 +66,75 @@
 	return &faultyConn{Conn: a, random: rand.New(rand.NewPCG(seed, 2)), piecesPerBreak: n.piecesPerBreak}, nil
 }
 
+// slowServer answers each question after some time, with a body made of the question's, and counts what it handled.
+type slowServer struct {
+	mu      sync.Mutex
+	random  *rand.Rand
+	handled map[string]int // by the question's body
+}
+
+func (s *slowServer) handle(_ *Channel, question *Message) *Message {
+	s.mu.Lock()
+	s.handled[string(question.Body)]++
+	delay := time.Duration(s.random.IntN(60)) * time.Millisecond
+	s.mu.Unlock()
+	time.Sleep(delay)
+	answer := question.Reply(true)
+	answer.Body = append([]byte("answer to "), question.Body...)
+	return answer
+}
+
+// results counts the answers to many calls and collects the wrong ones.
+type results struct {
+	mu      sync.Mutex
+	answers int
+	wrong   []string
+}
+
+// call asks one question.
+func (r *results) call(pool *Pool, body string, timeout time.Duration) {
+	answer, err := pool.Call("x", &Message{Kind: Hello, Body: []byte(body)}, timeout)
+	if err != nil {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answers++
+	if string(answer.Body) != "answer to "+body {
+		r.wrong = append(r.wrong, fmt.Sprintf("%q got %q", body, answer.Body))
+	}
+}
+
 // TestPoolCall_DelaysAndBreaks_OwnAnswerOrError holds many calls against a model: each was answered with what its own
 // question asks for, or not at all, and no question was handled more than once, whatever the connection does.
 func TestPoolCall_DelaysAndBreaks_OwnAnswerOrError(t *testing.T) {
 	for seed := range uint64(30) {
 		synctest.Test(t, func(t *testing.T) {
-			r := rand.New(rand.NewPCG(seed, 5))
+			random := rand.New(rand.NewPCG(seed, 5))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer func() { cancel(); time.Sleep(time.Minute) }()
-			var mu sync.Mutex
-			handled := map[string]int{}
-			lag := rand.New(rand.NewPCG(seed, 6))
-			n := &faultyNet{ctx: ctx, random: rand.New(rand.NewPCG(seed, 7)), piecesPerBreak: []int{0, 30, 200}[seed%3]}
-			n.handler = func(_ *Channel, q *Message) *Message {
-				mu.Lock()
-				handled[string(q.Body)]++
-				wait := time.Duration(lag.IntN(60)) * time.Millisecond
-				mu.Unlock()
-				time.Sleep(wait)
-				a := q.Reply(true)
-				a.Body = append([]byte("answer to "), q.Body...)
-				return a
+			server := &slowServer{random: rand.New(rand.NewPCG(seed, 6)), handled: map[string]int{}}
+			network := &faultyNet{
+				ctx:            ctx,
+				random:         rand.New(rand.NewPCG(seed, 7)),
+				piecesPerBreak: []int{0, 30, 200}[seed%3],
+				handler:        server.handle,
 			}
-			l := NewPool(ctx, n, nil)
-			var all sync.WaitGroup
-			var wrong []string
-			got := 0
+			pool := NewPool(ctx, network, nil)
+			var calls sync.WaitGroup
+			var got results
 			for i := range 200 {
-				wait := time.Duration(5+r.IntN(120)) * time.Millisecond
-				body := fmt.Sprintf("question %d of %d", i, seed)
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					a, err := l.Call("x", &Message{Kind: Hello, Body: []byte(body)}, wait)
-					mu.Lock()
-					defer mu.Unlock()
-					if err != nil {
-						return
-					}
-					got++
-					if string(a.Body) != "answer to "+body {
-						wrong = append(wrong, fmt.Sprintf("%q got %q", body, a.Body))
-					}
-				}()
-				time.Sleep(time.Duration(r.IntN(12)) * time.Millisecond)
+				timeout := time.Duration(5+random.IntN(120)) * time.Millisecond
+				calls.Go(func() { got.call(pool, fmt.Sprintf("question %d of %d", i, seed), timeout) })
+				time.Sleep(time.Duration(random.IntN(12)) * time.Millisecond)
 			}
-			all.Wait()
+			calls.Wait()
 			time.Sleep(time.Second)
-			mu.Lock()
-			defer mu.Unlock()
-			require.Empty(t, wrong)
-			require.Positive(t, got)
-			for body, times := range handled {
+			require.Empty(t, got.wrong)
+			require.Positive(t, got.answers)
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			for body, times := range server.handled {
 				require.Equal(t, 1, times, body)
 			}
 		})
