--- a/coord/distribution/doc.go
+++ b/coord/distribution/doc.go
@@ -11,8 +11,8 @@
 //     another epoch begins, the whole state is sent instead (a snapshot).
 //   - At most one [Source] pushes to a feed. Its right ends with End, with the next Begin, and when the feed hears of a
 //     source with a higher epoch. That epochs are given to one process each is up to the caller (package replication).
-//   - A source or relay that has not heard of the primary for 1.2 s says so: nothing it has counts as current then, and
-//     its followers look elsewhere.
+//   - A relay that has not heard of the source for 1.2 s says so: nothing it has counts as current then, and its followers
+//     look elsewhere.
 //   - Nobody waits for a slow follower: updates are sent to it as it acknowledges them, at most 64 ahead.
 //
 // The feed owns its state and all that is known of its followers, the cursor its state; both are in memory, and a
--- a/coord/rpc/doc.go
+++ b/coord/rpc/doc.go
@@ -12,7 +12,7 @@
 //     connection does. A call is handled once at most; after an error it may or may not have been handled. Nothing is
 //     sent again by this package.
 //   - A call whose time-out has passed before it was written is not written any more.
-//   - Whoever sends never waits for the peer: a channel whose peer lags by outboxLen messages is closed.
+//   - Whoever sends never waits for the peer: a channel whose peer lags by 256 messages is closed.
 //   - A message that can't be read, or an answer of another kind than its call, closes the channel.
 //
 // All state is in memory and belongs to the channel and the pool; a restart loses it, and the peer sees a closed
