--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -18,9 +18,11 @@
 	Excluded        map[string]bool    // ids of replicas that must not be chosen; nil: none
 	Retriable       bool               // it may be sent again if it fails, and so may try suspected replicas more often
 
-	AllowsZone func(zone string) bool // zones that it may be sent to; nil: all
-	// WarmupRate gives the requests a second that this process may send to a replica that is warming up, 0 for none.
-	// It is called with the Placer locked, so it must not call it.
+	// AllowsZone reports whether it may be sent to a zone; nil: to all. It is called with the Placer locked, so it must
+	// not call it.
+	AllowsZone func(zone string) bool
+	// WarmupRate gives the requests a second that this process may send to a replica that is warming up, 0 for none. It
+	// must not be nil if a replica may be warming up, nor call the Placer.
 	WarmupRate func(replica string) float64
 }
 
