--- a/coord/loadsum/excess_test.go
+++ b/coord/loadsum/excess_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestExcess_LoadBeyondTheUsualOfItsService_Retained(t *testing.T) {
+func TestExcess_LoadBeyondTheUsualOfItsService_Remains(t *testing.T) {
 	s := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 10, "b": 2}}
 	var loads []Load
 	for i := range uint32(10) {
@@ -20,7 +20,7 @@
 	require.Empty(t, Excess([]Load{{20, usualTokens}}, s))
 }
 
-func TestExcess_TooManyLoads_HeaviestKept(t *testing.T) {
+func TestExcess_TooManyLoads_HeaviestRemain(t *testing.T) {
 	s := &Services{ByReplica: map[uint32]string{}, Replicas: map[string]int{"a": 10000}}
 	var loads []Load
 	for i := range uint32(3 * maxExcessLoads) {
--- a/coord/loadsum/sum_test.go
+++ b/coord/loadsum/sum_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSumTotal_TooManyLoads_HeaviestKept(t *testing.T) {
+func TestSumTotal_TooManyLoads_HeaviestRemain(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewSum()
 	for i := range uint32(3 * maxTotalLoads) {
