--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -79,12 +79,8 @@
 	defer m.calls.take(token)
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	select {
-	case m.events <- event:
-	case <-timer.C:
-		return ErrNotStarted
-	case <-m.stopped:
-		return ErrStopped
+	if err := m.enqueue(event, timer.C); err != nil {
+		return err
 	}
 	select {
 	case answer := <-waiting.result:
@@ -96,6 +92,18 @@
 	}
 }
 
+// enqueue gives the core an event unless the deadline comes first: ErrNotStarted, or ErrStopped.
+func (m *Member) enqueue(event core.Event, deadline <-chan time.Time) error {
+	select {
+	case m.events <- event:
+		return nil
+	case <-deadline:
+		return ErrNotStarted
+	case <-m.stopped:
+		return ErrStopped
+	}
+}
+
 // outcomeError is the error that a call with a result returns.
 func outcomeError(result core.Result) error {
 	switch result.Outcome {
@@ -116,11 +124,7 @@
 func (m *Member) Leave(deadline time.Time) (complete bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	select {
-	case m.events <- core.Leave{Deadline: deadline.Sub(m.startedAt)}:
-	case <-timer.C:
-		return false
-	case <-m.stopped:
+	if m.enqueue(core.Leave{Deadline: deadline.Sub(m.startedAt)}, timer.C) != nil {
 		return false
 	}
 	select {
--- a/coord/replication/capacity_test.go
+++ b/coord/replication/capacity_test.go
@@ -15,7 +15,6 @@
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/replication/store"
-	"shaletrestle/internal/state"
 )
 
 // The figures of docs/CAPACITY.md: go test ./coord/replication -run Capacity -control-figures -v
@@ -120,54 +119,7 @@
 		f.makeChange(t)
 	}
 	sent, _ := f.stateSent(member)
-	fmt.Printf("%d changes: snapshot %d bytes; on disk %d, of it log %d; heap of three members %d; longest answer %v; away for as many: a copy again %v after the other's loss, %d bytes sent\n",
+	fmt.Printf("%d changes: snapshot %d bytes; on disk %d, of it log %d; heap of three members %d; longest answer %v; away for as many: a replica again %v after the other's loss, %d bytes sent\n",
 		changes, snapshot, all, logs, heap, usual, time.Since(lost), sent)
 	f.requireReplicasAgree(t)
 }
-
-// TestCapacity_OrderStore_Print prints the size of the order store's snapshot at the size to come.
-func TestCapacity_OrderStore_Print(t *testing.T) {
-	if !*controlFigures {
-		t.Skip("only with -control-figures")
-	}
-	for _, orders := range []int{1, 512, 1000} {
-		book := state.NewStore(state.Options{History: true})
-		require.NoError(t, book.Update(state.EncodeEvent(state.NewPutConfig(0, fullConfiguration(400, 250, 26)))))
-		patch := 0
-		for number := 2; number <= orders; number++ {
-			body := fmt.Appendf(nil, `{"revision":%d,"upsert":{"route_table":[%s]}}`, number, routeText(number%400, 250, 26, 5000+number))
-			event := state.EncodeEvent(state.NewPatchConfig(int64(number-1), body))
-			require.NoError(t, book.Update(event))
-			patch = len(event)
-		}
-		plain := len(book.Snapshot())
-		list := state.UpdateReplicas{}
-		for i := range 1500 {
-			list.Changed = append(list.Changed, &state.Replica{
-				ID: fmt.Sprintf("replica-%05d", i), Pool: fmt.Sprintf("model-%02d", i%26), Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250),
-				Zone: fmt.Sprintf("zone-%02d", i%15), SoftwareRevision: "r1", Slots: 8, State: "ready",
-			})
-		}
-		require.NoError(t, book.Update(state.EncodeEvent(list)))
-		fmt.Printf("%d orders: snapshot of 400 routes, 250 tenants, 26 models %d bytes; with 1,500 replicas %d; a change of one route %d\n",
-			orders, plain, len(book.Snapshot()), patch)
-	}
-}
-
-// fullConfiguration is one as an operator writes it, with routes for tenants on models.
-func fullConfiguration(routes, tenants, models int) []byte {
-	var table, pools []string
-	for i := range routes {
-		table = append(table, routeText(i, tenants, models, 10000))
-	}
-	for i := range models {
-		pools = append(pools, fmt.Sprintf(`{"engine":{"kv_capacity_tokens":729140,"kv_token_bytes":18432,"link_mbps":370000,"models":[{"name":"model-%02d"}],"slots":8,"stride":6},"health_check_path":"/health","max_connections":600,"name":"model-%02d","protocol":"h1","tls":false,"warmup_per_s":20,"warmup_s":3}`, i, i))
-	}
-	return fmt.Appendf(nil, `{"backend_pools":[%s],"limits":{"header_timeout_ms":3000,"idle_timeout_ms":15000,"max_body_bytes":4194304,"max_header_bytes":16384},"revision":1,"route_table":[%s]}`,
-		strings.Join(pools, ","), strings.Join(table, ","))
-}
-
-func routeText(i, tenants, models, timeout int) string {
-	return fmt.Sprintf(`{"backend_pool":"model-%02d","hostname":"tenant-%03d.example","max_attempts":2,"name":"r-%05d","path_prefix":"/p%05d/","priority":%d,"route_type":"streaming","session_affinity":true,"stream_resume":true,"target_gap_ms":400,"target_latency_ms":800,"timeout_ms":%d}`,
-		i%models, i%tenants, i, i, i%3, timeout)
-}
--- a/coord/replication/links_test.go
+++ b/coord/replication/links_test.go
@@ -62,9 +62,7 @@
 
 func TestLinks_WhileDialing_MessagesShareOneChannel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		links, network, arrived := newLinkedPair(ctx, nil)
+		links, network, arrived := newLinkedPair(t.Context(), nil)
 		for round := range uint64(5) {
 			links.Send("b", confirmRound(round))
 		}
@@ -79,9 +77,7 @@
 
 func TestLinks_UnreachableMember_MessagesDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		links, network, arrived := newLinkedPair(ctx, nil)
+		links, network, arrived := newLinkedPair(t.Context(), nil)
 		network.unreachable = true
 		for round := range uint64(1000) {
 			links.Send("b", confirmRound(round))
@@ -99,9 +95,7 @@
 // TestLinks_SilentChannel_Replaced sends on a channel on which no answer comes: it is closed after the wait of an answer, and another is dialled.
 func TestLinks_SilentChannel_Replaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		links, network, _ := newLinkedPair(ctx, nil)
+		links, network, _ := newLinkedPair(t.Context(), nil)
 		for range 8 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(100 * time.Millisecond)
@@ -113,9 +107,7 @@
 
 func TestLinks_AnsweredChannel_Reused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		links, network, _ := newLinkedPair(ctx, func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
+		links, network, _ := newLinkedPair(t.Context(), func(channel *rpc.Channel) { channel.Send(&rpc.Message{Kind: rpc.Replication}) })
 		for range 30 {
 			links.Send("b", confirmRound(1))
 			time.Sleep(time.Second)
@@ -127,16 +119,14 @@
 // TestLinks_Reply_UsesTheChannelOfTheRequest sends to a member that sent on a channel of its own: nothing is dialled.
 func TestLinks_Reply_UsesTheChannelOfTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		links, network, _ := newLinkedPair(ctx, nil)
+		links, network, _ := newLinkedPair(t.Context(), nil)
 		near, far := net.Pipe()
 		received := make(chan *rpc.Message, 1)
-		rpc.Open(ctx, far, func(_ *rpc.Channel, frame *rpc.Message) *rpc.Message {
+		rpc.Open(t.Context(), far, func(_ *rpc.Channel, frame *rpc.Message) *rpc.Message {
 			received <- frame
 			return nil
 		})
-		accepted := rpc.Open(ctx, near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
+		accepted := rpc.Open(t.Context(), near, func(*rpc.Channel, *rpc.Message) *rpc.Message { return nil })
 		links.SetChannel("b", accepted)
 		links.Send("b", confirmRound(7))
 		synctest.Wait()
--- a/coord/replication/loss_scenarios_test.go
+++ b/coord/replication/loss_scenarios_test.go
@@ -16,7 +16,7 @@
 	{name: "witness replaced as planned", play: witnessReplacedAsPlanned},
 	{name: "primary replaced as planned", play: primaryReplacedAsPlanned},
 	{name: "wiped at its own address", play: wipedAtItsOwnAddress},
-	{name: "backup leaves", play: func(r *lossRun) { restarts(r, r.indexOf(r.view().Backups[0])) }},
+	{name: "backup leaves", play: func(r *lossRun) { restarts(r, firstBackup(r)) }},
 	{name: "primary leaves", play: func(r *lossRun) { restarts(r, r.primary()) }},
 	{name: "witnesses grow", needs: 2, members: 5, start: startThree, play: witnessesGrow},
 	{name: "zone lost", play: zoneLost},
@@ -25,22 +25,22 @@
 	{name: "seeds wiped in turn", play: seedsWipedInTurn},
 }
 
-func takeover(r *lossRun) {
-	primary := r.primary()
-	r.lose(false, primary)
-	time.Sleep(outageTime)
-	r.restart(primary)
-	time.Sleep(repairTime)
-}
+func takeover(r *lossRun) { outage(r, r.primary(), outageTime, false) }
 
-func backupReplacedAsReplica(r *lossRun) {
-	b := r.indexOf(r.view().Backups[0])
-	r.lose(false, b)
-	time.Sleep(outageTime)
-	r.restart(b)
+func backupReplacedAsReplica(r *lossRun) { outage(r, firstBackup(r), outageTime, false) }
+
+func wipedAtItsOwnAddress(r *lossRun) { outage(r, firstBackup(r), replaceTime, true) }
+
+// outage loses a member for a while, with its disk or not.
+func outage(r *lossRun, member int, duration time.Duration, wiped bool) {
+	r.lose(wiped, member)
+	time.Sleep(duration)
+	r.restart(member)
 	time.Sleep(repairTime)
 }
 
+func firstBackup(r *lossRun) int { return r.indexOf(r.view().Backups[0]) }
+
 // onlyWitness is a witness that is no replica, or else the last backup.
 func onlyWitness(r *lossRun) int {
 	view := r.view()
@@ -75,14 +75,6 @@
 	time.Sleep(repairTime)
 }
 
-func wipedAtItsOwnAddress(r *lossRun) {
-	b := r.indexOf(r.view().Backups[0])
-	r.lose(true, b)
-	time.Sleep(replaceTime)
-	r.restart(b)
-	time.Sleep(repairTime)
-}
-
 // restarts lets a member leave and start again with its disk.
 func restarts(r *lossRun, i int) {
 	r.leave(i, false)
@@ -142,12 +134,12 @@
 
 // oldDiskAtAnothersAddress replaces a backup, and then starts its old disk at the address of another member that is lost.
 func oldDiskAtAnothersAddress(r *lossRun) {
-	b := r.indexOf(r.view().Backups[0])
-	old := r.cluster.stores[b]
-	r.lose(true, b)
+	backup := firstBackup(r)
+	old := r.cluster.stores[backup]
+	r.lose(true, backup)
 	time.Sleep(replaceTime)
-	r.add(r.cluster.zones[b])
-	r.replaced(b)
+	r.add(r.cluster.zones[backup])
+	r.replaced(backup)
 	r.waitForLosses(0)
 	other := r.primary()
 	r.lose(true, other)
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -41,13 +41,20 @@
 	return ends
 }
 
+// fillSegment fills a directory and returns the path and the content of its log's segment.
+func fillSegment(t *testing.T, dir string) (id uint64, path string, content []byte) {
+	t.Helper()
+	id, _ = openFilled(t, dir).Identity()
+	path = requireOneFile(t, dir, "log-*/*")
+	content, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return id, path, content
+}
+
 func TestOpen_TornTail_TruncatedAtEveryByte(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	id, _ := openFilled(t, dir).Identity()
-	segment := requireOneFile(t, dir, "log-*/*")
-	complete, err := os.ReadFile(segment)
-	require.NoError(t, err)
+	id, segment, complete := fillSegment(t, dir)
 	ends := recordEnds(id, startEntries)
 	require.Equal(t, len(complete), ends[len(ends)-1])
 	for size := range complete {
@@ -72,10 +79,7 @@
 func TestOpen_LastRecordDamaged_Truncated(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	id, _ := openFilled(t, dir).Identity()
-	segment := requireOneFile(t, dir, "log-*/*")
-	complete, err := os.ReadFile(segment)
-	require.NoError(t, err)
+	id, segment, complete := fillSegment(t, dir)
 	for at := recordEnds(id, startEntries)[2]; at < len(complete); at++ {
 		content := append([]byte{}, complete...)
 		content[at] ^= 1
@@ -202,11 +206,7 @@
 // TestOpen_DamagedDisk_PowerCutAtEveryStep: whatever is left of a start on a damaged disk, nothing that was on it counts any more under any identity but the old one, which is still seen to be damaged.
 func TestOpen_DamagedDisk_PowerCutAtEveryStep(t *testing.T) {
 	for _, damagedFile := range []string{"register-", "snapshot-"} {
-		full := storetest.NewDisk()
-		s := openModel(t, full)
-		require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
-		require.NoError(t, s.SaveRegister(savedRegister))
-		id, _ := s.Identity()
+		full, id := newFilledDisk(t)
 		found, err := full.List(modelDir)
 		require.NoError(t, err)
 		for _, name := range found {
--- a/coord/replication/store/disk_faults_test.go
+++ b/coord/replication/store/disk_faults_test.go
@@ -23,6 +23,17 @@
 	return s
 }
 
+// newFilledDisk returns a model of a disk with a state and a register, and its id.
+func newFilledDisk(t *testing.T) (disk *storetest.Disk, id uint64) {
+	t.Helper()
+	disk = storetest.NewDisk()
+	s := openModel(t, disk)
+	require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
+	require.NoError(t, s.SaveRegister(savedRegister))
+	id, _ = s.Identity()
+	return disk, id
+}
+
 func TestStore_DiskFull_KeepsWhatWasSaved(t *testing.T) {
 	disk := storetest.NewDisk()
 	s := openModel(t, disk)
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -7,7 +7,6 @@
 
 	"shaletrestle/coord/replication/core"
 	"shaletrestle/coord/replication/store"
-	"shaletrestle/coord/replication/store/storetest"
 )
 
 const fuzzOwner = 7
@@ -71,11 +70,7 @@
 	f.Add(uint8(2), store.EncodeSnapshot(fuzzOwner, 1, startSnapshot))
 	f.Add(uint8(3), store.EncodeSegment(fuzzOwner, startEntries))
 	f.Fuzz(func(t *testing.T, which uint8, content []byte) {
-		disk := storetest.NewDisk()
-		s := openModel(t, disk)
-		require.NoError(t, s.SaveSnapshot(startSnapshot, startEntries))
-		require.NoError(t, s.SaveRegister(savedRegister))
-		id, _ := s.Identity()
+		disk, id := newFilledDisk(t)
 		names, err := disk.List(modelDir)
 		require.NoError(t, err)
 		path := modelDir + "/" + names[int(which)%len(names)]
