--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -43,15 +43,15 @@
 }
 
 // finish hands a result to the call that waits for it. It is called by the stepping goroutine.
-func (c *calls) finish(answer core.Result) {
-	taken := c.take(answer.Token)
+func (c *calls) finish(result core.Result) {
+	taken := c.take(result.Token)
 	if taken == nil {
 		return
 	}
-	if answer.Outcome == core.Current && taken.inspect != nil {
+	if result.Outcome == core.Current && taken.inspect != nil {
 		taken.inspect()
 	}
-	taken.result <- answer
+	taken.result <- result
 }
 
 // Propose makes one change. decide runs once at most, on the state as all earlier changes left it and with nothing in between, and returns the entry, nil if nothing is to be done, or the error of a rejection. It runs on the stepping goroutine and must not block; it may run after Propose has returned at its deadline.
@@ -83,8 +83,8 @@
 		return err
 	}
 	select {
-	case answer := <-waiting.result:
-		return outcomeError(answer)
+	case result := <-waiting.result:
+		return outcomeError(result)
 	case <-timer.C:
 		return fmt.Errorf("%w in time", ErrNotDecided)
 	case <-m.stopped:
--- a/coord/replication/doc.go
+++ b/coord/replication/doc.go
@@ -10,6 +10,8 @@
 //
 // Run is called once. All other exported methods of Member may be called from any goroutine, with two exceptions. What the stepping goroutine calls (the StateMachine, decide and inspect functions, Transport.Send, Config.OnBecomePrimary and Config.OnStepDown) must not call Propose, Read, Confirm or Leave, which wait for that goroutine. The StateMachine and decide functions must not call Members or State either, which take the lock that is held meanwhile. View, Witnesses, Primary, PrimaryEpoch, SincePrimaryContact and Self are for them too: they read what the last step published.
 //
+// Calls take a deadline, not a context: the core has to know it, since a change whose deadline has passed must not begin any more, and a call that is given up earlier has no clear answer either.
+//
 // # State
 //
 // In memory: the core, the calls that wait, the events and disk jobs that are queued. On disk, written by the disk goroutine alone: what the Store documents. A restart loses what is in memory: calls that waited have no clear answer, and a replica takes entries again only after it was given the state, or was found to have it, by the primary of a view.
--- a/coord/replication/errors.go
+++ b/coord/replication/errors.go
@@ -7,7 +7,7 @@
 	// ErrNotPrimary is returned by Propose, Read and Confirm of a member that is not the primary, or that ceased to be it before the call began. Nothing was done: the call can be repeated at the member that Primary names.
 	ErrNotPrimary = errors.New("not the primary")
 
-	// ErrNotStarted is returned by Propose, Read and Confirm when the deadline passed before the call was taken from the queue. Nothing was done.
+	// ErrNotStarted is returned by Propose, Read and Confirm when the deadline passed while the queue of the member was full. Nothing was done.
 	ErrNotStarted = errors.New("not begun in time")
 
 	// ErrNotDecided is returned by Propose, Read and Confirm when no clear answer was reached: the change may be made or not, now or later. It wraps the cause where one is known: core.ErrDeadlineExceeded, or core.ErrTooManyPending, after which the change was surely not made.
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -19,7 +19,7 @@
 	links map[string]*link
 }
 
-// link is the way to one address.
+// link is the connection to one address; the mutex of Links guards it.
 type link struct {
 	channel *rpc.Channel // nil: none yet
 	silent  *rpc.Channel // the one before, to be closed
@@ -29,9 +29,9 @@
 	sent    int            // bytes since then
 }
 
-// NewLinks makes the transport of a member.
-func NewLinks(lines *rpc.Pool) *Links {
-	return &Links{pool: lines, links: map[string]*link{}}
+// NewLinks returns a transport that dials with a pool, whose handler must pass what it receives to Member.Handle.
+func NewLinks(pool *rpc.Pool) *Links {
+	return &Links{pool: pool, links: map[string]*link{}}
 }
 
 // SetChannel makes a channel the one for an address.
--- a/coord/replication/store/encoding.go
+++ b/coord/replication/store/encoding.go
@@ -12,7 +12,7 @@
 type identity struct {
 	id             uint64
 	bootstrap      bool
-	bootstrapSeeds []string // of the bootstrap; nobody else's count for the first view
+	bootstrapSeeds []string // with which the group is bootstrapped; no others count for the first view
 }
 
 // identityPayload is the payload of an identity record; the id is the record's owner.
@@ -61,7 +61,7 @@
 	return register, true
 }
 
-// generation counts the states that a disk was given. The newest complete one is the state.
+// generation counts the states that a disk was given. Only the highest one with a snapshot counts.
 type generation uint64
 
 // snapshotHeaderBytes is the size of what precedes the data: generation, epoch, ballot, index, digest.
@@ -139,7 +139,7 @@
 	return out
 }
 
-// uint64Field is the field with a place in a payload of numbers.
+// uint64Field returns a field, counted from 0, of a payload that begins with numbers.
 func uint64Field(payload []byte, field int) uint64 {
 	return binary.LittleEndian.Uint64(payload[field*8:])
 }
--- a/coord/replication/store/segment.go
+++ b/coord/replication/store/segment.go
@@ -9,7 +9,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// A segment is a row of records, each preceded by its length as a uvarint: the layout of the log library.
+// A segment is a sequence of records, each preceded by its length as a uvarint: the layout of the log library.
 
 // AppendRecord adds a record to the content of a segment.
 func AppendRecord(segment, record []byte) []byte {
@@ -25,7 +25,7 @@
 	return segment
 }
 
-// readSegment gives the entries of a segment that follow a position, and how many bytes they take. What comes after them is the torn end of a write that was under way.
+// readSegment returns the entries of a segment that follow a position, and how many bytes they take. What comes after them is the torn end of a write that was under way.
 //
 // It is an error, and no torn end, if a record that is complete breaks the chain or comes after one that is not: entries that were synced are missing then.
 func readSegment(owner uint64, after core.Position, segment []byte) (entries []core.Entry, completeBytes int, err error) {
--- a/coord/replication/store/state.go
+++ b/coord/replication/store/state.go
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// readLog reads the log after a snapshot, cuts a torn write from its end, and opens it.
+// readLog reads the log after a snapshot, truncates a torn write at its end, and opens it.
 func (s *Store) readLog(start core.Position) ([]core.Entry, error) {
 	segment := path.Join(s.path(s.logName(s.current)), SegmentName(start.Index+1))
 	content, err := s.files.ReadFile(segment)
@@ -137,7 +137,7 @@
 	return entries, s.log.Sync()
 }
 
-// tryTruncate cuts a segment to a size, and tells whether the disk could.
+// tryTruncate truncates a segment and tells whether the disk could.
 func (s *Store) tryTruncate(segment string, size int) bool {
 	return s.files.Truncate(segment, int64(size)) == nil
 }
