--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -18,8 +18,8 @@
 // point, and thaw at any point; a restarted owner takes a new job under the number of the old one. A reset of the channel loses all
 // that is under way at once. Moments are relative in a state, so that the exploration has an end though time has none.
 const (
-	modelTurns = 2
-	modelParts = 1
+	modelOffers = 2
+	modelParts  = 1
 )
 
 var (
@@ -177,8 +177,9 @@
 	}
 }
 
-func (m *model) apply(fx []Effect, byOwner bool) {
-	for _, f := range fx {
+// apply carries out effects and judges each.
+func (m *model) apply(effects []Effect, byOwner bool) {
+	for _, f := range effects {
 		switch f.Action {
 		case Send:
 			if byOwner || !m.ownerDead {
@@ -187,36 +188,46 @@
 		case Begin:
 			m.begin(f.Message.Owner, f.Ticket)
 		case Stop:
-			for i := range m.runs {
-				if m.runs[i].ticket == f.Ticket {
-					m.runs[i].open, m.runs[i].mayHaveRun = false, true // it may have begun
-				}
-			}
+			m.stop(f.Ticket)
 		case Requeue:
 			m.pending = true
 		case Deliver:
-			if m.outcome != 0 {
-				m.fail("a part after the end")
-			}
-			if m.lastFrom != f.Message.Ticket {
-				if m.lastFrom != (Ticket{}) && !m.repeatable {
-					m.fail("parts of two runs")
-				}
-				m.lastFrom, m.delivered = f.Message.Ticket, 0
-			}
-			m.delivered++
-			if f.Message.Number != m.delivered {
-				m.fail("a part out of order")
-			}
+			m.deliver(f.Message)
 		case End:
 			if f.Outcome == Complete && (m.lastFrom != f.Message.Ticket || m.delivered != modelParts) {
-				m.fail("a whole answer with a part missing")
+				m.fail("a complete response with a part missing")
 			}
 			m.finish(f.Outcome)
 		}
 	}
 }
 
+// stop cancels a run, which may have begun.
+func (m *model) stop(ticket Ticket) {
+	for i := range m.runs {
+		if m.runs[i].ticket == ticket {
+			m.runs[i].open, m.runs[i].mayHaveRun = false, true
+		}
+	}
+}
+
+// deliver judges a part that the client gets.
+func (m *model) deliver(part Message) {
+	if m.outcome != 0 {
+		m.fail("a part after the end")
+	}
+	if m.lastFrom != part.Ticket {
+		if m.lastFrom != (Ticket{}) && !m.repeatable {
+			m.fail("parts of two runs")
+		}
+		m.lastFrom, m.delivered = part.Ticket, 0
+	}
+	m.delivered++
+	if part.Number != m.delivered {
+		m.fail("a part out of order")
+	}
+}
+
 // settle decides the fate of what is under way once no fault is left.
 func (m *model) settle() {
 	for i := range m.net {
@@ -244,63 +255,107 @@
 	})
 }
 
-// isOver tells that nothing can happen any more.
+// isOver reports whether nothing can happen any more.
 func (m *model) isOver() bool {
 	w, r := m.taker.Jobs()
 	return len(m.net) == 0 && w+r == 0 && (m.ownerDead || m.outcome != 0)
 }
 
-// successors lists every state that may follow, with what happened.
-func (m *model) successors() (out []*model) {
-	try := func(f func(c *model)) {
-		c := m.clone()
-		f(c)
-		c.normalize()
-		out = append(out, c)
-	}
-	reach := func(f inFlight) bool {
-		if f.toOwner {
-			return !m.ownerDead && !m.frozen[0]
-		}
-		return !m.frozen[1]
-	}
+// after is the state after a step of a copy.
+func (m *model) after(step func(c *model)) *model {
+	c := m.clone()
+	step(c)
+	c.normalize()
+	return c
+}
+
+// successors lists every state that may follow. The fates of new messages are decided first, one by one.
+func (m *model) successors() []*model {
 	for i, f := range m.net {
 		if f.undecided {
-			try(func(c *model) { c.net[i].undecided = false })
-			try(func(c *model) { c.net[i].undecided, c.net[i].delayed = false, true; c.faults--; c.settle() })
-			try(func(c *model) {
-				c.net = append(c.net, inFlight{message: f.message, toOwner: f.toOwner, delayed: true, undecided: c.faults > 1})
-				c.net[i].undecided = false
-				c.faults--
-				c.settle()
-			})
-			return out
+			return m.afterFate(i, f)
 		}
 	}
 	if m.isOver() {
 		return nil
 	}
-	prompt, first := false, [2]bool{}
+	out, prompt := m.afterDelivery()
+	if m.pending && !m.ownerDead && !m.frozen[0] && m.outcome == 0 {
+		out = append(out, m.afterPlacement()...)
+	}
+	out = append(out, m.afterRuns()...)
+	if m.resets > 0 && len(m.net) > 0 {
+		out = append(out, m.after(func(c *model) {
+			c.resets--
+			c.net = slices.DeleteFunc(c.net, func(f inFlight) bool { return !f.delayed })
+		}))
+	}
+	if m.crashes > 0 {
+		out = append(out, m.afterCrash()...)
+	}
+	out = append(out, m.afterTick()...)
+	if !prompt {
+		out = append(out, m.after((*model).passTime))
+	}
+	return out
+}
+
+// afterFate lists what may become of a new message: nothing, it is delayed, or a delayed copy is added.
+func (m *model) afterFate(i int, f inFlight) []*model {
+	return []*model{
+		m.after(func(c *model) { c.net[i].undecided = false }),
+		m.after(func(c *model) { c.net[i].undecided, c.net[i].delayed = false, true; c.faults--; c.settle() }),
+		m.after(func(c *model) {
+			c.net = append(c.net, inFlight{message: f.message, toOwner: f.toOwner, delayed: true, undecided: c.faults > 1})
+			c.net[i].undecided = false
+			c.faults--
+			c.settle()
+		}),
+	}
+}
+
+// canReach reports whether a message can be delivered now.
+func (m *model) canReach(f inFlight) bool {
+	if f.toOwner {
+		return !m.ownerDead && !m.frozen[0]
+	}
+	return !m.frozen[1]
+}
+
+// afterDelivery lists the states after one message: a delayed one, or the first of a direction. prompt says that one which
+// is not delayed can be delivered.
+func (m *model) afterDelivery() (out []*model, prompt bool) {
+	first := [2]bool{}
 	for i, f := range m.net {
-		d := bits(f.toOwner)
-		if reach(f) && (f.delayed || !first[d]) {
-			prompt = prompt || !f.delayed
-			first[d] = first[d] || !f.delayed
-			try(func(c *model) {
-				c.net = append(c.net[:i:i], c.net[i+1:]...)
-				if f.toOwner {
-					c.apply(c.owner.Step(c.now, f.message), true)
-				} else {
-					c.apply(c.taker.Step(c.now, f.message), false)
-				}
-			})
+		direction := bits(f.toOwner)
+		if !m.canReach(f) || !f.delayed && first[direction] {
+			continue
 		}
+		prompt = prompt || !f.delayed
+		first[direction] = first[direction] || !f.delayed
+		out = append(out, m.after(func(c *model) {
+			c.net = append(c.net[:i:i], c.net[i+1:]...)
+			if f.toOwner {
+				c.apply(c.owner.Step(c.now, f.message), true)
+			} else {
+				c.apply(c.taker.Step(c.now, f.message), false)
+			}
+		}))
 	}
-	if m.pending && !m.ownerDead && !m.frozen[0] && m.outcome == 0 {
-		if m.offers < modelTurns {
-			try(func(c *model) { c.pending = false; c.offers++; c.apply(c.owner.Offer(c.now, 1, "taker", nil), true) })
-		}
-		try(func(c *model) {
+	return out, prompt
+}
+
+// afterPlacement lists what an owner may do with a pending job.
+func (m *model) afterPlacement() (out []*model) {
+	if m.offers < modelOffers {
+		out = append(out, m.after(func(c *model) {
+			c.pending = false
+			c.offers++
+			c.apply(c.owner.Offer(c.now, 1, "taker", nil), true)
+		}))
+	}
+	return append(out,
+		m.after(func(c *model) {
 			c.pending = false
 			lost, _, ok := c.owner.Reclaim(c.now, 1)
 			if !ok {
@@ -313,77 +368,82 @@
 			c.begin(c.owner.incarnation, Ticket{})
 			c.lastFrom = Ticket{}
 			c.finish(Complete)
-		})
-		try(func(c *model) { c.pending = false; c.apply(c.owner.GiveUp(1), true) })
-	}
+		}),
+		m.after(func(c *model) { c.pending = false; c.apply(c.owner.GiveUp(1), true) }))
+}
+
+// afterRuns lists what may come of the taker's open runs.
+func (m *model) afterRuns() (out []*model) {
 	for i, r := range m.runs {
-		if !r.open || r.ticket == (Ticket{}) || r.ticket.Incarnation != m.taker.incarnation || m.frozen[1] {
-			continue
-		}
-		if r.parts < modelParts {
-			try(func(c *model) {
-				c.runs[i].parts++
-				c.runs[i].mayHaveRun = true
-				c.apply(c.taker.SendPart(r.ticket.Number, nil), false)
-			})
-		} else {
-			try(func(c *model) {
-				c.runs[i].open = false
-				c.apply(c.taker.Finish(r.ticket.Number, Done, 1), false)
-			})
-		}
-		if !r.mayHaveRun {
-			try(func(c *model) {
-				c.runs[i].open = false
-				c.apply(c.taker.Finish(r.ticket.Number, Returned, 1), false)
-			})
+		if r.open && r.ticket != (Ticket{}) && r.ticket.Incarnation == m.taker.incarnation && !m.frozen[1] {
+			out = append(out, m.afterRun(i, r)...)
 		}
 	}
-	if m.resets > 0 && len(m.net) > 0 {
-		try(func(c *model) {
-			c.resets--
-			c.net = slices.DeleteFunc(c.net, func(f inFlight) bool { return !f.delayed })
-		})
-	}
-	if m.crashes > 0 {
-		out = append(out, m.afterCrash()...)
+	return out
+}
+
+// afterRun lists what may come of one of them.
+func (m *model) afterRun(i int, r runState) (out []*model) {
+	if r.parts < modelParts {
+		out = append(out, m.after(func(c *model) {
+			c.runs[i].parts++
+			c.runs[i].mayHaveRun = true
+			c.apply(c.taker.SendPart(r.ticket.Number, nil), false)
+		}))
+	} else {
+		out = append(out, m.after(func(c *model) {
+			c.runs[i].open = false
+			c.apply(c.taker.Finish(r.ticket.Number, Done, 1), false)
+		}))
+	}
+	if !r.mayHaveRun {
+		out = append(out, m.after(func(c *model) {
+			c.runs[i].open = false
+			c.apply(c.taker.Finish(r.ticket.Number, Returned, 1), false)
+		}))
 	}
+	return out
+}
+
+// afterTick lists the states after a thaw or a look at the time.
+func (m *model) afterTick() (out []*model) {
 	for i := range m.frozen {
 		if m.frozen[i] {
-			try(func(c *model) { c.frozen[i] = false })
+			out = append(out, m.after(func(c *model) { c.frozen[i] = false }))
 		}
 	}
 	if !m.frozen[0] && !m.ownerDead {
-		try(func(c *model) { c.apply(c.owner.Tick(c.now), true) })
+		out = append(out, m.after(func(c *model) { c.apply(c.owner.Tick(c.now), true) }))
 	}
 	if !m.frozen[1] {
-		try(func(c *model) { c.apply(c.taker.Tick(c.now), false) })
-	}
-	if !prompt {
-		try(func(c *model) {
-			c.now++
-			if !c.frozen[0] && !c.ownerDead {
-				c.apply(c.owner.Tick(c.now), true)
-				if c.now >= c.deadline && c.outcome == 0 {
-					c.fail("a job without a final answer at its deadline")
-				}
-			}
-			if !c.frozen[1] {
-				c.apply(c.taker.Tick(c.now), false)
-				for _, e := range c.taker.entries {
-					if e.status == accepted && c.now >= e.expires || e.status == running && c.now-e.lastHeard >= modelBounds.Lease {
-						c.fail("a job is kept beyond its lease")
-					}
-				}
-				if len(c.taker.tombstones) > modelBounds.Tombstones || len(c.taker.entries) > modelBounds.Tombstones+c.taker.capacity {
-					c.fail("more is remembered than the bound")
-				}
-			}
-		})
+		out = append(out, m.after(func(c *model) { c.apply(c.taker.Tick(c.now), false) }))
 	}
 	return out
 }
 
+// passTime lets a step of time pass and judges what must have happened by then.
+func (m *model) passTime() {
+	m.now++
+	if !m.frozen[0] && !m.ownerDead {
+		m.apply(m.owner.Tick(m.now), true)
+		if m.now >= m.deadline && m.outcome == 0 {
+			m.fail("a job without a final answer at its deadline")
+		}
+	}
+	if m.frozen[1] {
+		return
+	}
+	m.apply(m.taker.Tick(m.now), false)
+	for _, e := range m.taker.entries {
+		if e.status == accepted && m.now >= e.expires || e.status == running && m.now-e.lastHeard >= modelBounds.Lease {
+			m.fail("a job is kept beyond its lease")
+		}
+	}
+	if len(m.taker.tombstones) > modelBounds.Tombstones || len(m.taker.entries) > modelBounds.Tombstones+m.taker.capacity {
+		m.fail("more is remembered than the bound")
+	}
+}
+
 // afterCrash lists the states after one death, restart or freeze.
 func (m *model) afterCrash() (out []*model) {
 	try := func(f func(c *model)) {
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -131,15 +131,14 @@
 	isCurrent := j != nil && j.stage == remote && j.ticket == m.Ticket
 	switch m.Kind {
 	case Decline:
-		if j != nil && j.stage == offered && j.peer == m.Peer && j.offerNumber == m.OfferNumber {
+		if j != nil && j.isOffered(&m) {
 			return o.requeue(j)
 		}
 	case Accept:
-		switch {
-		case j != nil && o.mayStart(now, j, &m):
-			j.stage, j.ticket, j.lastHeard, j.lastRenewed = remote, m.Ticket, now, now
-			return []Effect{{Action: Send, Message: o.message(j, Go)}}
-		case !isCurrent:
+		if j != nil && o.mayStart(now, j, &m) {
+			return o.start(now, j, m.Ticket)
+		}
+		if !isCurrent { // else it is a repeat
 			return dropOf(m)
 		}
 	case Started, Part:
@@ -155,6 +154,12 @@
 	return nil
 }
 
+// start gives the go-ahead for an acceptance.
+func (o *Owner) start(now time.Duration, j *job, ticket Ticket) []Effect {
+	j.stage, j.ticket, j.lastHeard, j.lastRenewed = remote, ticket, now, now
+	return []Effect{{Action: Send, Message: o.message(j, Go)}}
+}
+
 // dropOf tells a taker that it holds capacity, or runs, for nothing.
 func dropOf(m Message) []Effect {
 	m.Kind, m.Body = Drop, nil
@@ -187,13 +192,18 @@
 	return o.handleLoss(j)
 }
 
+// isOffered reports whether a message answers the open offer of the job.
+func (j *job) isOffered(m *Message) bool {
+	return j.stage == offered && j.peer == m.Peer && j.offerNumber == m.OfferNumber
+}
+
 // mayStart reports whether an acceptance may be answered with a go-ahead. An owner that was frozen may read it before it
 // has looked at the time: what has expired by then must not begin.
 func (o *Owner) mayStart(now time.Duration, j *job, m *Message) bool {
 	if now >= j.offerExpires || now >= j.deadline {
 		return false
 	}
-	return j.stage == offered && j.peer == m.Peer && j.offerNumber == m.OfferNumber
+	return j.isOffered(m)
 }
 
 // Tick does what has become due.
@@ -226,7 +236,7 @@
 			elsewhere++
 		}
 	}
-	return
+	return waiting, out, elsewhere
 }
 
 func (o *Owner) message(j *job, k Kind) Message {
--- a/coord/handoff/schedule_test.go
+++ b/coord/handoff/schedule_test.go
@@ -61,6 +61,7 @@
 	runs         map[Ticket]*clusterRun
 }
 
+// restart begins a new incarnation of a node, which knows of no job.
 func (c *cluster) restart(i int) {
 	c.incarnations++
 	n := &clusterNode{incarnation: c.incarnations, owner: NewOwner(c.incarnations, clusterBounds), taker: NewTaker(c.incarnations, clusterBounds), jobs: map[uint64]*clusterJob{}}
@@ -68,6 +69,7 @@
 	c.nodes[i] = n
 }
 
+// begin judges that a run may begin.
 func (c *cluster) begin(j *clusterJob, t Ticket) *clusterRun {
 	for _, r := range j.runs {
 		require.True(c.t, j.repeatable || !r.open && !r.mayHaveRun, "a second run")
@@ -78,6 +80,7 @@
 	return r
 }
 
+// finish judges the final outcome of a job.
 func (c *cluster) finish(j *clusterJob, as Outcome) {
 	require.Zero(c.t, j.outcome, "two final answers")
 	j.outcome = as
@@ -88,49 +91,22 @@
 	}
 }
 
-func (c *cluster) apply(i int, fx []Effect) {
+// apply carries out the effects of a node and judges each.
+func (c *cluster) apply(i int, effects []Effect) {
 	n := c.nodes[i]
-	for _, f := range fx {
+	for _, f := range effects {
 		switch f.Action {
 		case Send:
-			m := f.Message
-			to := 0
-			_, err := fmt.Sscan(m.Peer, &to)
-			require.NoError(c.t, err)
-			m.Peer = fmt.Sprint(i)
-			for again := true; again; again = c.random.IntN(12) == 0 {
-				if c.random.IntN(12) > 0 {
-					late := c.random.IntN(6)
-					if c.random.IntN(15) == 0 {
-						late = c.random.IntN(150)
-					}
-					c.inFlight = append(c.inFlight, delivery{c.now + 1 + late, to, m})
-				}
-			}
+			c.send(i, f.Message)
 		case Begin:
-			var j *clusterJob
-			for _, x := range c.jobs {
-				if x.incarnation == f.Message.Owner && x.number == f.Message.Job {
-					j = x
-				}
-			}
-			require.NotNil(c.t, j, "a run of no job")
 			require.Nil(c.t, c.runs[f.Ticket], "one ticket run twice")
-			require.Less(c.t, time.Duration(c.now), j.deadline+clusterBounds.AcceptTimeout, "begun after its deadline")
-			c.runs[f.Ticket] = c.begin(j, f.Ticket)
+			c.runs[f.Ticket] = c.begin(c.jobOf(f.Message), f.Ticket)
 		case Stop:
 			c.runs[f.Ticket].open, c.runs[f.Ticket].mayHaveRun = false, true
 		case Requeue:
 			n.jobs[f.Job].pending = true
 		case Deliver:
-			j := n.jobs[f.Job]
-			require.Zero(c.t, j.outcome, "a part after the end")
-			if j.from != f.Message.Ticket {
-				require.True(c.t, j.repeatable || j.from == Ticket{}, "parts of two runs")
-				j.from, j.delivered = f.Message.Ticket, 0
-			}
-			j.delivered++
-			require.Equal(c.t, j.delivered, f.Message.Number, "a part out of order")
+			c.deliver(n.jobs[f.Job], f.Message)
 		case End:
 			j := n.jobs[f.Job]
 			if f.Outcome == Complete {
@@ -138,104 +114,170 @@
 				if j.from == f.Message.Ticket {
 					got = j.delivered
 				}
-				require.Equal(c.t, c.runs[f.Message.Ticket].length, got, "a whole answer with a part missing")
+				require.Equal(c.t, c.runs[f.Message.Ticket].length, got, "a complete response with a part missing")
 			}
 			c.finish(j, f.Outcome)
 		}
 	}
 }
 
+// send puts a message on its way: mostly once and soon, sometimes late, lost or several times.
+func (c *cluster) send(from int, m Message) {
+	to := 0
+	_, err := fmt.Sscan(m.Peer, &to)
+	require.NoError(c.t, err)
+	m.Peer = fmt.Sprint(from)
+	for again := true; again; again = c.random.IntN(12) == 0 {
+		if c.random.IntN(12) > 0 {
+			late := c.random.IntN(6)
+			if c.random.IntN(15) == 0 {
+				late = c.random.IntN(150)
+			}
+			c.inFlight = append(c.inFlight, delivery{c.now + 1 + late, to, m})
+		}
+	}
+}
+
+// jobOf is the job that a run begins for.
+func (c *cluster) jobOf(m Message) (found *clusterJob) {
+	for _, j := range c.jobs {
+		if j.incarnation == m.Owner && j.number == m.Job {
+			found = j
+		}
+	}
+	require.NotNil(c.t, found, "a run of no job")
+	require.Less(c.t, time.Duration(c.now), found.deadline+clusterBounds.AcceptTimeout, "begun after its deadline")
+	return found
+}
+
+// deliver judges a part that a client gets.
+func (c *cluster) deliver(j *clusterJob, part Message) {
+	require.Zero(c.t, j.outcome, "a part after the end")
+	if j.from != part.Ticket {
+		require.True(c.t, j.repeatable || j.from == Ticket{}, "parts of two runs")
+		j.from, j.delivered = part.Ticket, 0
+	}
+	j.delivered++
+	require.Equal(c.t, j.delivered, part.Number, "a part out of order")
+}
+
+// step lets a unit of time pass: messages arrive, machines look at the time, nodes crash, freeze and thaw, pending jobs are
+// placed, runs go on.
 func (c *cluster) step() {
 	c.now++
-	now := time.Duration(c.now)
-	if c.random.IntN(200) == 0 { // a node's channels are reset: what is under way to it is lost
+	c.resetChannels()
+	c.deliverDue()
+	for i, n := range c.nodes {
+		c.tick(i, n)
+	}
+	for _, j := range c.jobs {
+		c.place(j)
+	}
+	for i, n := range c.nodes {
+		for _, e := range append([]*entry{}, n.taker.entries...) {
+			c.run(i, n, e)
+		}
+	}
+}
+
+// resetChannels sometimes resets a node's channels: what is in flight to it is lost.
+func (c *cluster) resetChannels() {
+	if c.random.IntN(200) == 0 {
 		to := c.random.IntN(len(c.nodes))
 		c.inFlight = slices.DeleteFunc(c.inFlight, func(x delivery) bool { return x.to == to })
 	}
+}
+
+// deliverDue delivers the messages whose time has come.
+func (c *cluster) deliverDue() {
+	now := time.Duration(c.now)
 	for k := 0; k < len(c.inFlight); k++ {
 		x := c.inFlight[k]
-		if n := c.nodes[x.to]; x.at <= c.now && !n.frozen {
-			c.inFlight = append(c.inFlight[:k:k], c.inFlight[k+1:]...)
-			k--
-			if x.message.Kind <= Drop {
-				c.apply(x.to, n.taker.Step(now, x.message))
-			} else {
-				c.apply(x.to, n.owner.Step(now, x.message))
-			}
-		}
-	}
-	for i, n := range c.nodes {
-		if n.frozen {
-			n.frozen = c.random.IntN(60) > 0
+		n := c.nodes[x.to]
+		if x.at > c.now || n.frozen {
 			continue
 		}
-		c.apply(i, n.owner.Tick(now))
-		c.apply(i, n.taker.Tick(now))
-		n.frozen = c.random.IntN(700) == 0
-		if c.random.IntN(900) == 0 {
-			for _, j := range n.jobs {
-				j.ownerDied = true
-			}
-			for t, r := range c.runs {
-				if t.Incarnation == n.incarnation && r.open {
-					r.open, r.mayHaveRun = false, true
-				}
-			}
-			c.restart(i)
+		c.inFlight = append(c.inFlight[:k:k], c.inFlight[k+1:]...)
+		k--
+		if x.message.Kind <= Drop {
+			c.apply(x.to, n.taker.Step(now, x.message))
+		} else {
+			c.apply(x.to, n.owner.Step(now, x.message))
 		}
 	}
-	for _, j := range c.jobs {
-		n := c.nodes[j.owner]
-		if !j.pending || j.ownerDied || j.outcome != 0 || n.frozen {
-			continue
+}
+
+// tick lets a node look at the time; sometimes it freezes, thaws or crashes.
+func (c *cluster) tick(i int, n *clusterNode) {
+	now := time.Duration(c.now)
+	if n.frozen {
+		n.frozen = c.random.IntN(60) > 0
+		return
+	}
+	c.apply(i, n.owner.Tick(now))
+	c.apply(i, n.taker.Tick(now))
+	n.frozen = c.random.IntN(700) == 0
+	if c.random.IntN(900) > 0 {
+		return
+	}
+	for _, j := range n.jobs {
+		j.ownerDied = true
+	}
+	for t, r := range c.runs {
+		if t.Incarnation == n.incarnation && r.open {
+			r.open, r.mayHaveRun = false, true
 		}
-		switch k := c.random.IntN(20); {
-		case k < 6 && j.offers < 4:
-			j.pending = false
-			j.offers++
-			fx := n.owner.Offer(now, j.number, fmt.Sprint((j.owner+1+c.random.IntN(len(c.nodes)-1))%len(c.nodes)), nil)
-			if fx == nil {
-				c.apply(j.owner, n.owner.GiveUp(j.number))
-			}
-			c.apply(j.owner, fx)
-		case k == 6:
-			if lost, _, ok := n.owner.Reclaim(now, j.number); ok {
-				require.True(c.t, j.repeatable || !lost, "run here after a loss")
-				c.begin(j, Ticket{}).mayHaveRun = true
-				c.finish(j, Complete)
-			}
-		case k == 7:
+	}
+	c.restart(i)
+}
+
+// place sometimes offers a pending job to another node, runs it at its owner, or gives it up.
+func (c *cluster) place(j *clusterJob) {
+	now, n := time.Duration(c.now), c.nodes[j.owner]
+	if !j.pending || j.ownerDied || j.outcome != 0 || n.frozen {
+		return
+	}
+	switch k := c.random.IntN(20); {
+	case k < 6 && j.offers < 4:
+		j.pending = false
+		j.offers++
+		peer := (j.owner + 1 + c.random.IntN(len(c.nodes)-1)) % len(c.nodes)
+		effects := n.owner.Offer(now, j.number, fmt.Sprint(peer), nil)
+		if effects == nil {
 			c.apply(j.owner, n.owner.GiveUp(j.number))
 		}
-	}
-	for _, n := range c.nodes {
-		for _, e := range append([]*entry{}, n.taker.entries...) {
-			r := c.runs[Ticket{n.incarnation, e.ticket}]
-			if e.status != running || n.frozen || c.random.IntN(5) > 0 {
-				continue
-			}
-			i := 0
-			for k := range c.nodes {
-				if c.nodes[k] == n {
-					i = k
-				}
-			}
-			switch {
-			case !r.mayHaveRun && c.random.IntN(6) == 0:
-				r.open = false
-				c.apply(i, n.taker.Finish(e.ticket, Returned, 1))
-			case r.mayHaveRun && c.random.IntN(20) == 0:
-				r.open = false
-				c.apply(i, n.taker.Finish(e.ticket, Failed, 1))
-			case r.parts < r.length:
-				r.parts++
-				r.mayHaveRun = true
-				c.apply(i, n.taker.SendPart(e.ticket, nil))
-			default:
-				r.open, r.mayHaveRun = false, true
-				c.apply(i, n.taker.Finish(e.ticket, Done, 1))
-			}
+		c.apply(j.owner, effects)
+	case k == 6:
+		if lost, _, ok := n.owner.Reclaim(now, j.number); ok {
+			require.True(c.t, j.repeatable || !lost, "run here after a loss")
+			c.begin(j, Ticket{}).mayHaveRun = true
+			c.finish(j, Complete)
 		}
+	case k == 7:
+		c.apply(j.owner, n.owner.GiveUp(j.number))
+	}
+}
+
+// run sometimes lets a run go on: it sends a part or ends.
+func (c *cluster) run(i int, n *clusterNode, e *entry) {
+	r := c.runs[Ticket{n.incarnation, e.ticket}]
+	if e.status != running || n.frozen || c.random.IntN(5) > 0 {
+		return
+	}
+	switch {
+	case !r.mayHaveRun && c.random.IntN(6) == 0:
+		r.open = false
+		c.apply(i, n.taker.Finish(e.ticket, Returned, 1))
+	case r.mayHaveRun && c.random.IntN(20) == 0:
+		r.open = false
+		c.apply(i, n.taker.Finish(e.ticket, Failed, 1))
+	case r.parts < r.length:
+		r.parts++
+		r.mayHaveRun = true
+		c.apply(i, n.taker.SendPart(e.ticket, nil))
+	default:
+		r.open, r.mayHaveRun = false, true
+		c.apply(i, n.taker.Finish(e.ticket, Done, 1))
 	}
 }
 
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -78,7 +78,7 @@
 			runs++
 		}
 	}
-	return
+	return waiting, runs
 }
 
 // Step takes a message from an owner.
