--- a/internal/longwork/longwork_test.go
+++ b/internal/longwork/longwork_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"io"
 	"log/slog"
 	"net/http"
@@ -214,8 +213,7 @@
 		defer work.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		err := work.Enter(ctx, false)
-		require.True(t, errors.Is(err, context.DeadlineExceeded), "got %v", err)
+		require.ErrorIs(t, work.Enter(ctx, false), context.DeadlineExceeded)
 		_, waiting, _ := queue.admission.Stats()
 		require.Zero(t, waiting)
 		require.Empty(t, queue.waiters)
--- a/internal/longwork/peers.go
+++ b/internal/longwork/peers.go
@@ -83,7 +83,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	env := c.router.Settings()
-	best, most := "", 0
+	best, capacity := "", 0
 	for node, candidate := range c.peers {
 		if time.Since(candidate.at) > peerLifetime {
 			delete(c.peers, node)
@@ -92,8 +92,8 @@
 		if candidate.capacity <= 0 || !candidate.mayHave(env, route) {
 			continue
 		}
-		if candidate.capacity > most || candidate.capacity == most && node < best {
-			best, most = node, candidate.capacity
+		if candidate.capacity > capacity || candidate.capacity == capacity && node < best {
+			best, capacity = node, candidate.capacity
 		}
 	}
 	if best != "" {
--- a/internal/retrybudget/shares_test.go
+++ b/internal/retrybudget/shares_test.go
@@ -13,37 +13,42 @@
 	"shaletrestle/coord/fairshare"
 )
 
-func TestShares_WholeFleet_StayWithinRule(t *testing.T) {
+// testWindow is that of the rule.
+const testWindow = 10 * time.Second
+
+// within counts the moments of the last window.
+func within(moments []time.Time) (n float64) {
+	for _, moment := range moments {
+		if time.Since(moment) <= testWindow {
+			n++
+		}
+	}
+	return n
+}
+
+func TestShares_AllNodes_StayWithinRule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet, ratio, slack = 11, 0.2, 62.0
 		var nodes []*shares
 		for range fleet {
-			nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: 10 * time.Second, Margin: 0.8}))
+			nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: testWindow, Margin: 0.8}))
 		}
-		var asked, extra []time.Time
+		var requests, retries []time.Time
 		for step := range 400 { // 40 s, every request wants two retries
 			for i := range 1 + step%7 {
 				b := nodes[(step+i)%fleet]
 				b.recordRequest("p")
-				asked = append(asked, time.Now())
+				requests = append(requests, time.Now())
 				for range 2 {
 					if b.take("p", fleet) {
-						extra = append(extra, time.Now())
+						retries = append(retries, time.Now())
 					}
 				}
 			}
-			in := func(ms []time.Time) (n float64) {
-				for _, m := range ms {
-					if time.Since(m) <= 10*time.Second {
-						n++
-					}
-				}
-				return
-			}
-			require.LessOrEqual(t, in(extra), ratio*in(asked)+slack)
+			require.LessOrEqual(t, within(retries), ratio*within(requests)+slack)
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.NotEmpty(t, extra)
+		require.NotEmpty(t, retries)
 		require.False(t, newShares(Options{Ratio: ratio, Slack: slack, Window: time.Second, Margin: 0.8}).take("p", 1000), "a share below one is none")
 	})
 }
@@ -53,43 +58,43 @@
 func TestSharesAndLoans_RandomSchedules_StayWithinRule(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
-			r := rand.New(rand.NewPCG(seed, 77))
-			const ratio, window = 0.2, 10 * time.Second
-			fleet := []int{3, 12, 88, 390}[r.IntN(4)]
-			slack := float64(40 + r.IntN(300))
+			random := rand.New(rand.NewPCG(seed, 77))
+			const ratio = 0.2
+			fleet := []int{3, 12, 88, 390}[random.IntN(4)]
+			slack := float64(40 + random.IntN(300))
 			var nodes []*shares
 			for range fleet {
-				nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: window, Margin: fairshare.BudgetMargin}))
+				nodes = append(nodes, newShares(Options{Ratio: ratio, Slack: slack, Window: testWindow, Margin: fairshare.BudgetMargin}))
 			}
-			room := int64(fairshare.BudgetMargin * fairshare.LentFraction * slack)
+			lendable := int64(fairshare.BudgetMargin * fairshare.LentFraction * slack)
 			newLender := func() (*fairshare.Lender, time.Time) {
-				return fairshare.NewLender(room, window+fairshare.LoanLifetime), time.Now()
+				return fairshare.NewLender(lendable, testWindow+fairshare.LoanLifetime), time.Now()
 			}
 			lender, since := newLender()
 			known := fleet // what nodes believe
-			var asked, extra []time.Time
+			var requests, retries []time.Time
 			lent := 0
 			for range 600 { // 60 s
-				if r.IntN(120) == 0 {
+				if random.IntN(120) == 0 {
 					lender, since = newLender() // another one is the lender, and knows of no loan
 				}
-				if r.IntN(50) == 0 { // a node dies, a new one takes its place with an empty account
-					nodes[r.IntN(fleet)] = newShares(Options{Ratio: ratio, Slack: slack, Window: window, Margin: fairshare.BudgetMargin})
+				if random.IntN(50) == 0 { // a node dies, a new one takes its place with an empty account
+					nodes[random.IntN(fleet)] = newShares(Options{Ratio: ratio, Slack: slack, Window: testWindow, Margin: fairshare.BudgetMargin})
 				}
-				if r.IntN(40) == 0 {
-					known = fleet - r.IntN(1+fleet/failuredetector.SuspectDivisor)
+				if random.IntN(40) == 0 {
+					known = fleet - random.IntN(1+fleet/failuredetector.SuspectDivisor)
 				}
-				for range r.IntN(30) {
-					b := nodes[r.IntN(fleet)]
-					if r.IntN(3) == 0 {
+				for range random.IntN(30) {
+					b := nodes[random.IntN(fleet)]
+					if random.IntN(3) == 0 {
 						b = nodes[0] // one sees more than the others
 					}
 					b.recordRequest("p")
-					asked = append(asked, time.Now())
-					for range r.IntN(4) {
+					requests = append(requests, time.Now())
+					for range random.IntN(4) {
 						if !b.take("p", known) {
 							start := time.Now()
-							if n := lender.Lend("p", fairshare.LoanRetries, since, time.Now()); n > 0 && r.IntN(4) > 0 { // else the answer is lost
+							if n := lender.Lend("p", fairshare.LoanRetries, since, time.Now()); n > 0 && random.IntN(4) > 0 { // else the answer is lost
 								lent++
 								b.addLoan("p", n, start.Add(fairshare.LoanLifetime))
 							}
@@ -97,21 +102,13 @@
 								break
 							}
 						}
-						extra = append(extra, time.Now())
-					}
-				}
-				in := func(ms []time.Time) (n float64) {
-					for _, m := range ms {
-						if time.Since(m) <= window {
-							n++
-						}
+						retries = append(retries, time.Now())
 					}
-					return
 				}
-				require.LessOrEqual(t, in(extra), ratio*in(asked)+slack)
+				require.LessOrEqual(t, within(retries), ratio*within(requests)+slack)
 				time.Sleep(100 * time.Millisecond)
 			}
-			require.NotEmpty(t, extra)
+			require.NotEmpty(t, retries)
 			require.Positive(t, lent)
 		})
 	}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -38,7 +38,7 @@
 	stepFullTwo  = step{name: "refusal twice", text: twice(answer(503, "Not-Executed: 1\r\n")), sent: -1}
 )
 
-// strangers is a whole answer to somebody else.
+// strangers is a complete response to somebody else.
 func strangers(n int, r *http.Request) string {
 	return strings.Replace(answer(200, "SEAL\r\n")(n, r), "Attempt-Id: ", "Attempt-Id: other-", 1)
 }
@@ -259,12 +259,12 @@
 		}
 	}
 	for _, ids := range []bool{true, false} {
-		whole := from(1, ids)
-		length := len(whole(1, &http.Request{Header: http.Header{"Attempt-Id": {"first"}}}))
+		complete := from(1, ids)
+		length := len(complete(1, &http.Request{Header: http.Header{"Attempt-Id": {"first"}}}))
 		for sent := 0; sent < length; sent += 5 { // shorter than any event
 			for first := 1; first <= streamEvents+1; first++ {
 				synctest.Test(t, func(t *testing.T) {
-					w := newSimulation(t, clientTimeBudget, step{text: whole, runs: true, sent: sent, then: resets}, step{text: from(first, true), runs: true, sent: -1})
+					w := newSimulation(t, clientTimeBudget, step{text: complete, runs: true, sent: sent, then: resets}, step{text: from(first, true), runs: true, sent: -1})
 					defer w.end()
 					c := w.client()
 					got := w.ask(c, bufio.NewReader(c), "resume", "first")
--- a/internal/router/peer.go
+++ b/internal/router/peer.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"errors"
 	"net/http"
 	"time"
 
@@ -88,7 +89,7 @@
 	req.forPeer = true
 	defer func() {
 		cause := recover()
-		if cause != nil && cause != http.ErrAbortHandler {
+		if err, ok := cause.(error); cause != nil && !(ok && errors.Is(err, http.ErrAbortHandler)) {
 			panic(cause)
 		}
 		req.release()
--- a/internal/router/simulation_judge_test.go
+++ b/internal/router/simulation_judge_test.go
@@ -15,7 +15,7 @@
 	defer w.mu.Unlock()
 	var mine []*delivery
 	for _, d := range w.deliveries {
-		if d.id == got.id || !d.whole {
+		if d.id == got.id || !d.complete {
 			mine = append(mine, d)
 		}
 	}
@@ -79,8 +79,8 @@
 	return "a seal on another status"
 }
 
-// judgeSuccess: a success is a replica's, with its id and seal, and whole if it looks whole.
-func judgeSuccess(route string, got *seen, ds []*delivery) string {
+// judgeSuccess: a success is a replica's, with its id and seal, and complete if it looks so.
+func judgeSuccess(_ string, got *seen, ds []*delivery) string {
 	if got.silent || got.status >= 300 {
 		return ""
 	}
@@ -103,15 +103,15 @@
 	if got.silent || !strings.HasPrefix(got.head.Get("Content-Type"), "text/event-stream") {
 		return ""
 	}
-	whole := ""
+	complete := ""
 	for i := 1; i <= streamEvents; i++ {
-		whole += fmt.Sprintf("id: %d\nd: x\n\n", i)
+		complete += fmt.Sprintf("id: %d\nd: x\n\n", i)
 	}
-	if !strings.HasPrefix(whole, got.body) {
+	if !strings.HasPrefix(complete, got.body) {
 		return "events missing, twice or of two runs"
 	}
-	if got.complete && got.body != whole {
-		return "a cut stream that looks whole"
+	if got.complete && got.body != complete {
+		return "a cut stream that looks complete"
 	}
 	return ""
 }
--- a/internal/router/simulation_replica_test.go
+++ b/internal/router/simulation_replica_test.go
@@ -37,17 +37,17 @@
 
 // delivery is what a replica saw of one sending.
 type delivery struct {
-	replica string
-	at      time.Time
-	id      string
-	lastID  string
-	whole   bool // all of the request came
-	ran     bool
-	refused bool // a whole answer promised that it was not run
-	status  int
-	seal    string
-	body    string
-	closed  time.Time // the connection ended
+	replica  string
+	at       time.Time
+	id       string
+	lastID   string
+	complete bool // all of the request came
+	ran      bool
+	refused  bool // a complete response promised that it was not run
+	status   int
+	seal     string
+	body     string
+	closed   time.Time // the connection ended
 }
 
 // next is the step for the next request.
@@ -100,7 +100,7 @@
 	}
 	require.Equal(w.t, "four", string(body))
 	text := s.text(number, r)
-	w.note(s, d, number, r, text)
+	w.record(s, d, number, r, text)
 	sent := s.sent
 	if sent < 0 {
 		sent = len(text)
@@ -114,11 +114,11 @@
 	return s.then == serves
 }
 
-// note keeps what a delivery was.
-func (w *simulation) note(s step, d *delivery, number int, r *http.Request, text string) {
+// record keeps what a delivery was.
+func (w *simulation) record(s step, d *delivery, number int, r *http.Request, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d.whole, d.ran = true, s.runs
+	d.complete, d.ran = true, s.runs
 	d.id, d.lastID = r.Header.Get("Attempt-Id"), r.Header.Get("Last-Event-Id")
 	d.seal = sealOf(number)
 	complete := s.sent < 0 || s.sent >= len(text)
--- a/internal/upstream/model_lifetime_test.go
+++ b/internal/upstream/model_lifetime_test.go
@@ -49,7 +49,7 @@
 }
 
 // SetWriteDeadline comes right before the write.
-func (s *stalled) SetWriteDeadline(at time.Time) error {
+func (s *stalled) SetWriteDeadline(time.Time) error {
 	time.Sleep(s.freeze)
 	return s.Conn.SetWriteDeadline(time.Time{})
 }
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -223,13 +223,13 @@
 		if len(event) > maxEventBytes {
 			return errEventTooLarge
 		}
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err == io.EOF && len(event) == 0 {
+		if errors.Is(err, io.EOF) && len(event) == 0 {
 			return nil
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return errEventCut
 		}
 		if err != nil {
