--- a/internal/emulator/daemon.go
+++ b/internal/emulator/daemon.go
@@ -79,6 +79,8 @@
 		return
 	}
 	d.cancel()
-	_ = <-d.done // it was cancelled
+	if err := <-d.done; err != nil {
+		d.log.Debug("daemon ended", "error", err)
+	}
 	d.ctx = nil
 }
