--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -7,6 +7,7 @@
 	"slices"
 	"sync/atomic"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -109,26 +110,25 @@
 }
 
 // newCluster starts members in the zones named and waits until they serve.
-func newCluster(losses int, zones ...string) *cluster {
-	t := startCluster(losses, zones...)
+func newCluster(maxFailures int, zones ...string) *cluster {
+	c := startCluster(maxFailures, zones...)
 	time.Sleep(2 * time.Second)
-	return t
+	return c
 }
 
 // startCluster starts members in the zones named, all at once.
-func startCluster(losses int, zones ...string) *cluster {
-	t := makeCluster(losses, zones...)
-	t.startAll()
-	return t
+func startCluster(maxFailures int, zones ...string) *cluster {
+	c := makeCluster(maxFailures, zones...)
+	c.startAll()
+	return c
 }
 
-func makeCluster(losses int, zones ...string) *cluster {
-	t := &cluster{network: newNetwork(), maxFailures: losses}
-	for _, z := range zones {
-		t.add(z)
-		t.stores[len(t.stores)-1].joinedLater = false
+func makeCluster(maxFailures int, zones ...string) *cluster {
+	c := &cluster{network: newNetwork(), maxFailures: maxFailures}
+	for _, zone := range zones {
+		c.stores[c.add(zone)].joinedLater = false
 	}
-	return t
+	return c
 }
 
 // add puts up one more machine, with an empty disk; it is not started.
@@ -146,7 +146,21 @@
 	}
 }
 
-func newThreeMembers() *cluster { return newCluster(1, "a", "b", "c") }
+// withCluster runs a test in simulated time on a cluster that serves, and ends the cluster.
+func withCluster(t *testing.T, maxFailures int, zones []string, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		c := newCluster(maxFailures, zones...)
+		defer c.end()
+		test(t, c)
+	})
+}
+
+// withThreeMembers is withCluster with three members in a zone each, one of which may be lost.
+func withThreeMembers(t *testing.T, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	withCluster(t, 1, []string{"a", "b", "c"}, test)
+}
 
 func (c *cluster) end() {
 	for _, cancel := range c.cancels {
--- a/coord/replication/loss_check_test.go
+++ b/coord/replication/loss_check_test.go
@@ -28,14 +28,14 @@
 // requireServedAgain requires an acknowledged command soon after each loss that no other follows.
 func (r *lossRun) requireServedAgain() {
 	r.mu.Lock()
-	losses, acked := slices.Clone(r.losses), slices.Clone(r.acknowledged)
+	losses, acknowledged := slices.Clone(r.losses), slices.Clone(r.acknowledged)
 	r.mu.Unlock()
 	for i, lost := range losses {
 		limit := lost.Add(serviceTime)
 		if i+1 < len(losses) && losses[i+1].Before(limit) {
 			continue
 		}
-		served := slices.ContainsFunc(acked, func(o acknowledgedCommand) bool { return o.at.After(lost) && !o.at.After(limit) })
+		served := slices.ContainsFunc(acknowledged, func(o acknowledgedCommand) bool { return o.at.After(lost) && !o.at.After(limit) })
 		if !served {
 			r.fail("no command was acknowledged within %s of the loss at %s", serviceTime, lost.Format("05.000"))
 		}
@@ -45,7 +45,7 @@
 // requireReads requires that a confirmed primary has all that was acknowledged, each once.
 func (r *lossRun) requireReads() {
 	r.mu.Lock()
-	acked := slices.Clone(r.acknowledged)
+	acknowledged := slices.Clone(r.acknowledged)
 	r.mu.Unlock()
 	primary := r.primary()
 	text, current := r.cluster.read(primary)
@@ -56,7 +56,7 @@
 	for _, name := range strings.Split(text, ";") {
 		count[name]++
 	}
-	for _, o := range acked {
+	for _, o := range acknowledged {
 		if count[o.name] != 1 {
 			r.fail("command %s, acknowledged at %s, is read %d times", o.name, o.at.Format("05.000"), count[o.name])
 		}
--- a/coord/replication/loss_scenarios_test.go
+++ b/coord/replication/loss_scenarios_test.go
@@ -85,8 +85,8 @@
 }
 
 // startThree starts as many members as bear one loss where two are wanted.
-func startThree(losses int, zones []string) *cluster {
-	return newCluster(losses, zones[0], zones[2], zones[len(zones)-1])
+func startThree(maxFailures int, zones []string) *cluster {
+	return newCluster(maxFailures, zones[0], zones[2], zones[len(zones)-1])
 }
 
 // witnessesGrow adds two members. Until these count, one loss is tolerated.
@@ -119,7 +119,7 @@
 	time.Sleep(repairTime)
 }
 
-func startEmpty(losses int, zones []string) *cluster { return startCluster(losses, zones...) }
+func startEmpty(maxFailures int, zones []string) *cluster { return startCluster(maxFailures, zones...) }
 
 // firstView loses a seed while the first view is made, its disk kept, where a further loss must be tolerated then. The first witnesses are the three seeds, so one disk of theirs may be lost until they are five.
 func firstView(r *lossRun) {
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -20,9 +20,7 @@
 func TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, step := range []string{"before append", "append lost", "answer lost", "after answer"} {
 		t.Run(step, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				c := newThreeMembers()
-				defer c.end()
+			withThreeMembers(t, func(t *testing.T, c *cluster) {
 				primary := c.primary()
 				require.GreaterOrEqual(t, primary, 0)
 				require.NoError(t, c.propose(primary, "first"))
@@ -68,9 +66,7 @@
 }
 
 func TestPrimary_Deposed_AcknowledgesNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		c.network.setDisconnected(fmt.Sprint("m", primary), true)
 		require.Error(t, c.propose(primary, "alone"))
@@ -92,9 +88,7 @@
 // TestPrimary_Disconnected_GivesNoClearRejection asks a primary all the time while it is disconnected and followed, and after it is back: a rejection or an "in force already" of its own comes only while nobody else is primary.
 func TestPrimary_Disconnected_GivesNoClearRejection(t *testing.T) {
 	for _, gone := range []time.Duration{1050, 1100, 1150, 1200, 1300, 2000} {
-		synctest.Test(t, func(t *testing.T) {
-			c := newThreeMembers()
-			defer c.end()
+		withThreeMembers(t, func(t *testing.T, c *cluster) {
 			primary := c.primary()
 			c.network.setDisconnected(fmt.Sprint("m", primary), true)
 			start := time.Now()
@@ -128,9 +122,7 @@
 }
 
 func TestTakeover_Repeated_LosesNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		want := ""
 		for i := range 12 {
 			primary := c.primary()
@@ -147,9 +139,7 @@
 }
 
 func TestBackup_Restarted_RejectsEntriesUntilItHasTheState(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		view := c.members[primary].View()
 		b := c.indexOf(view.Backups[0])
@@ -170,9 +160,7 @@
 func TestPrimary_DisconnectedDuringAWrite_StepsDown(t *testing.T) {
 	for _, held := range []string{"by the backups", "by the disk"} {
 		t.Run(held, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				c := newThreeMembers()
-				defer c.end()
+			withThreeMembers(t, func(t *testing.T, c *cluster) {
 				primary := c.primary()
 				if held == "by the disk" {
 					defer c.stores[primary].stall()()
@@ -195,9 +183,7 @@
 }
 
 func TestMembers_SecondHandReport_ReplacesNobodySeen(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		m := c.members[0]
 		m.Receive(core.HelloReply{
 			Envelope: core.Envelope{From: c.members[1].self, To: m.self.ID, ToAddress: "m0"},
@@ -214,9 +200,7 @@
 }
 
 func TestTakeover_EarlierProposal_FinishedFirst(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		before := c.members[primary].View()
 		var mu sync.Mutex
@@ -251,9 +235,7 @@
 
 // TestRead_Primary_SeesTheConfirmedState looks at the state where it is confirmed, not later.
 func TestRead_Primary_SeesTheConfirmedState(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		text, current := c.read(primary)
@@ -270,9 +252,7 @@
 
 // TestPropose_PastDeadline_NotDecided gives a primary whose disk stands still a command with little time.
 func TestPropose_PastDeadline_NotDecided(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		resume := c.stores[primary].stall()
 		first := make(chan error, 1)
@@ -291,9 +271,7 @@
 
 // TestMember_Idle_WakesSeldom counts the ticks of members that have nothing to do: the primary has one a heartbeat, the others have none while they hear it.
 func TestMember_Idle_WakesSeldom(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newThreeMembers()
-		defer c.end()
+	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		time.Sleep(3 * time.Second)
 		primary := c.primary()
 		ticks := make([]map[time.Duration]bool, len(c.members))
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -20,9 +20,7 @@
 
 // TestMember_ReplacedWhileAnotherIsDown_LosesNothing takes a machine away for good, adds one at another address, and loses another meanwhile.
 func TestMember_ReplacedWhileAnotherIsDown_LosesNothing(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(2, "a", "b", "c", "d", "e")
-		defer c.end()
+	withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		down := c.indexOf(c.members[primary].View().Backups[0])
@@ -44,11 +42,9 @@
 	})
 }
 
-// TestMember_DiskFull_DoesNotChurnViews keeps a member whose disk is full: the views don't churn, and commands are taken.
+// TestMember_DiskFull_DoesNotChurnViews keeps a member whose disk is full: the views don't churn, and commands are taken. Three members can't tolerate two losses: they serve as well as it goes.
 func TestMember_DiskFull_DoesNotChurnViews(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(2, "a", "b", "c") // three members can't tolerate two losses: served as well as it goes
-		defer c.end()
+	withCluster(t, 2, []string{"a", "b", "c"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		require.Len(t, c.members[primary].View().Replicas(), 3)
@@ -68,9 +64,7 @@
 
 // TestPropose_TooFewReplicas_NotAcknowledged leaves one backup that takes the state where two losses must be tolerated.
 func TestPropose_TooFewReplicas_NotAcknowledged(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(2, "a", "b", "c", "d", "e")
-		defer c.end()
+	withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		backups := c.members[primary].View().Backups
@@ -98,9 +92,7 @@
 
 // TestBackup_AfterProposing_RejectsEntries: what it transferred may still be chosen, so its old primary must not write past it.
 func TestBackup_AfterProposing_RejectsEntries(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(2, "a", "b", "c", "d", "e")
-		defer c.end()
+	withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		view := c.members[primary].View()
@@ -149,9 +141,7 @@
 }
 
 func TestStateTransfer_OlderBallot_Rejected(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(1, "a", "b", "c")
-		defer c.end()
+	withCluster(t, 1, []string{"a", "b", "c"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		view := c.members[primary].View()
 		m := c.members[c.indexOf(view.Backups[0])]
@@ -179,9 +169,7 @@
 
 // TestPropose_LargeEntry_KeepsTheView sends 4 MB to two backups over a link that needs 0.7 s for them: no view is changed.
 func TestPropose_LargeEntry_KeepsTheView(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(2, "a", "b", "c", "d", "e")
-		defer c.end()
+	withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
 		require.NoError(t, c.propose(primary, "first"))
 		e := c.members[primary].View().Epoch
@@ -195,9 +183,7 @@
 }
 
 func TestRelay_WithoutDisk_RejectsEveryRole(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(1, "a", "b", "c")
-		defer c.end()
+	withCluster(t, 1, []string{"a", "b", "c"}, func(t *testing.T, c *cluster) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		m, err := New(slog.New(slog.DiscardHandler), Config{
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -17,12 +17,12 @@
 
 // TestMember_RandomFaults_KeepsWhatWasAcknowledged plays random kills, wipes, partitions, full disks, losses of messages and restarts, never more at once than must be tolerated, among proposals. A confirmed primary must hold all that was acknowledged before it was asked.
 func TestMember_RandomFaults_KeepsWhatWasAcknowledged(t *testing.T) {
-	for name, x := range layouts {
+	for name, layout := range layouts {
 		for seed := range 60 {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					schedule(t, newCluster(x.losses, x.zones...), rand.New(rand.NewSource(int64(seed))))
+					schedule(t, newCluster(layout.maxFailures, layout.zones...), rand.New(rand.NewSource(int64(seed))))
 				})
 			})
 		}
--- a/coord/replication/second_loss_test.go
+++ b/coord/replication/second_loss_test.go
@@ -18,30 +18,30 @@
 // lossScenario is a repair or a replacement, at each step of which a further member is lost.
 type lossScenario struct {
 	name    string
-	start   func(losses int, zones []string) *cluster // nil: all members serve
-	needs   int                                       // losses to tolerate
-	members int                                       // fewest members
+	start   func(maxFailures int, zones []string) *cluster // nil: all members serve
+	needs   int                                            // losses to tolerate
+	members int                                            // fewest members
 	play    func(r *lossRun)
 }
 
 // TestMember_LossDuringRepair_KeepsWhatWasAcknowledged plays each scenario once to count its steps, and once for each step, member and fate of its disk, or as many of these as the flag allows.
 func TestMember_LossDuringRepair_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, scenario := range lossScenarios {
-		for name, x := range layouts {
-			if x.losses < scenario.needs || len(x.zones) < scenario.members {
+		for name, layout := range layouts {
+			if layout.maxFailures < scenario.needs || len(layout.zones) < scenario.members {
 				continue
 			}
 			t.Run(scenario.name+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				secondLosses(t, scenario, x.losses, x.zones)
+				secondLosses(t, scenario, layout.maxFailures, layout.zones)
 			})
 		}
 	}
 }
 
-func secondLosses(t *testing.T, scenario lossScenario, losses int, zones []string) {
+func secondLosses(t *testing.T, scenario lossScenario, maxFailures int, zones []string) {
 	steps := 0
-	synctest.Test(t, func(t *testing.T) { steps = playLosses(t, scenario, losses, zones, nil) })
+	synctest.Test(t, func(t *testing.T) { steps = playLosses(t, scenario, maxFailures, zones, nil) })
 	all := 2 * steps * len(zones)
 	runs := all
 	if *secondLossRuns > 0 {
@@ -52,7 +52,7 @@
 		loss := spreadLoss(i, runs, steps, len(zones))
 		t.Run(loss.String(), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { playLosses(t, scenario, losses, zones, &loss) })
+			synctest.Test(t, func(t *testing.T) { playLosses(t, scenario, maxFailures, zones, &loss) })
 		})
 	}
 }
@@ -66,12 +66,12 @@
 }
 
 // playLosses plays a scenario and gives the number of its steps.
-func playLosses(t *testing.T, scenario lossScenario, losses int, zones []string, loss *furtherLoss) int {
+func playLosses(t *testing.T, scenario lossScenario, maxFailures int, zones []string, loss *furtherLoss) int {
 	start := scenario.start
 	if start == nil {
-		start = func(losses int, zones []string) *cluster { return newCluster(losses, zones...) }
+		start = func(maxFailures int, zones []string) *cluster { return newCluster(maxFailures, zones...) }
 	}
-	c := start(losses, zones)
+	c := start(maxFailures, zones)
 	defer c.end()
 	r := newLossRun(t, c, *secondLossUsual, loss)
 	defer r.stopProposals()
@@ -80,7 +80,7 @@
 	}
 	r.locked(func() { r.counting = true })
 	scenario.play(r)
-	r.finish(losses)
+	r.finish(maxFailures)
 	return r.steps
 }
 
--- a/coord/replication/tolerance_test.go
+++ b/coord/replication/tolerance_test.go
@@ -16,8 +16,8 @@
 
 // layouts are the clusters that the tests below run on: zones of the members, and the losses that they tolerate.
 var layouts = map[string]struct {
-	losses int
-	zones  []string
+	maxFailures int
+	zones       []string
 }{
 	"three members": {1, []string{"a", "b", "c"}},
 	"four members":  {1, []string{"a", "b", "c", "d"}},
@@ -25,14 +25,11 @@
 	"six in three":  {2, []string{"a", "a", "b", "b", "c", "c"}},
 }
 
-func eachLayout(t *testing.T, f func(t *testing.T, c *cluster)) {
-	for name, x := range layouts {
+func eachLayout(t *testing.T, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	for name, layout := range layouts {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				c := newCluster(x.losses, x.zones...)
-				defer c.end()
-				f(t, c)
-			})
+			withCluster(t, layout.maxFailures, layout.zones, test)
 		})
 	}
 }
@@ -74,23 +71,21 @@
 
 // TestMember_AnyDisksLost_KeepsWhatWasAcknowledged loses every set of disks that must be tolerated, with and without the power of all others.
 func TestMember_AnyDisksLost_KeepsWhatWasAcknowledged(t *testing.T) {
-	for name, x := range layouts {
-		for set := range 1 << len(x.zones) {
+	for name, layout := range layouts {
+		for set := range 1 << len(layout.zones) {
 			var lost []int
-			for i := range x.zones {
+			for i := range layout.zones {
 				if set>>i&1 == 1 {
 					lost = append(lost, i)
 				}
 			}
-			if len(lost) != x.losses {
+			if len(lost) != layout.maxFailures {
 				continue
 			}
 			for _, dark := range []bool{false, true} {
 				t.Run(fmt.Sprint(name, lost, dark), func(t *testing.T) {
 					t.Parallel()
-					synctest.Test(t, func(t *testing.T) {
-						c := newCluster(x.losses, x.zones...)
-						defer c.end()
+					withCluster(t, layout.maxFailures, layout.zones, func(t *testing.T, c *cluster) {
 						require.NoError(t, c.propose(c.primary(), "first"))
 						for i := range c.members {
 							if gone := slices.Contains(lost, i); gone || dark {
@@ -183,9 +178,7 @@
 	for _, kind := range []core.Message{core.Prepare{}, core.SnapshotChunk{}, core.Accept{}, core.Install{}} {
 		for _, after := range []bool{false, true} {
 			t.Run(fmt.Sprint(typeName(kind), after), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					c := newCluster(2, "a", "b", "c", "d", "e")
-					defer c.end()
+				withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 					primary := c.primary()
 					require.NoError(t, c.propose(primary, "first"))
 					next := c.members[primary].View().Backups[0]
