--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -38,7 +38,7 @@
 }
 func (w *textState) Snapshot() []byte { w.mu.Lock(); defer w.mu.Unlock(); return []byte(w.text) }
 
-// begin makes a feed the source of an epoch over the state that it has, and gives how to push changes.
+// beginSource makes a feed the source of an epoch over the state that it has, and gives how to push changes.
 func beginSource(f *Feed, epoch uint64) func(string) uint64 {
 	source := f.Begin(epoch, f.state.Snapshot)
 	return func(change string) uint64 {
@@ -50,7 +50,7 @@
 	}
 }
 
-// pipes is a network of in-memory connections to one feed.
+// pipeNetwork is a network of in-memory connections to one feed.
 type pipeNetwork struct {
 	ctx         context.Context
 	feed        *Feed
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -346,7 +346,7 @@
 	}
 }
 
-// sever breaks the connections between two processes; if cut is set no new ones come.
+// disconnect breaks the connections between two processes; if cut is set no new ones come.
 func (w *cluster) disconnect(from, to string, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coord/outlier/aggregator_test.go
+++ b/coord/outlier/aggregator_test.go
@@ -99,7 +99,7 @@
 	greyEnd    float64
 }
 
-// counts of the requests of some time.
+// requestCounts counts the requests of some time.
 type requestCounts struct {
 	failed int
 	all    int
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// judge reads a member. If it is confirmed to be current, all that was acknowledged before must be in its text.
+// checkRead reads a member. If it is confirmed to be current, all that was acknowledged before must be in its text.
 func (s *scheduleRun) checkRead(m *Member, machine *textMachine, own *incarnation) (current bool) {
 	s.mu.Lock()
 	n := len(s.acknowledged)
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -66,7 +66,7 @@
 // recordedEnd is the end of the history in the directory "whole": its digest covers all before it.
 var recordedEnd = core.Position{Index: 12, Digest: 0xbb6daa166ebf69ef}
 
-// requireWhole compares a store with what was saved in the directory "whole".
+// requireComplete compares a store with what was saved in the directory "whole".
 func requireComplete(t *testing.T, s *Store) {
 	t.Helper()
 	recording := recordedtest.Open(t, "testdata/whole.txt")
--- a/coord/replication/store/damage_test.go
+++ b/coord/replication/store/damage_test.go
@@ -15,7 +15,7 @@
 	"shaletrestle/coord/replication/store/storetest"
 )
 
-// requireStartedOver checks that a directory is taken for an empty disk with another identity.
+// requireReset checks that a directory is taken for an empty disk with another identity.
 func requireReset(t *testing.T, dir string, oldID uint64) {
 	t.Helper()
 	s := openDir(t, dir)
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -13,7 +13,7 @@
 
 const modelDir = "data"
 
-// heldState is a state as it is on disk.
+// savedState is a state as it is on disk.
 type savedState struct {
 	Snapshot *core.Snapshot
 	Entries  []core.Entry
--- a/coord/replication/store/mutation_test.go
+++ b/coord/replication/store/mutation_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// skipFolderSync leaves out the syncs of directories whose path begins with something.
+// skipDirSync leaves out the syncs of directories whose path begins with something.
 func skipDirSync(prefix string) func(*storetest.Disk, storetest.Operation) bool {
 	return func(_ *storetest.Disk, operation storetest.Operation) bool {
 		return operation.Kind == storetest.SyncDir && strings.HasPrefix(operation.Path, prefix)
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// removesEarly removes other snapshots as soon as a new one has its name.
+// earlyRemoval removes other snapshots as soon as a new one has its name.
 type earlyRemoval struct {
 	*storetest.Disk
 }
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// inPlace writes files without a name of their own for what is unfinished.
+// inPlaceWrites writes files without a name of their own for what is unfinished.
 type inPlaceWrites struct {
 	*storetest.Disk
 	prefix string
--- a/coord/replication/store/power_test.go
+++ b/coord/replication/store/power_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// secondLife starts on what a loss of power has left, and writes a little.
+// secondIncarnation starts on what a loss of power has left, and writes a little.
 func (p *powerSearch) secondIncarnation(h *history, files store.FileSystem) error {
 	s, err := h.open(files)
 	if err != nil {
--- a/coord/replication/store/random_faults_test.go
+++ b/coord/replication/store/random_faults_test.go
@@ -119,7 +119,7 @@
 	return r.history.append(s, string(rune('a'+r.random.IntN(26))))
 }
 
-// end kills the process or turns the power off.
+// stop kills the process or turns the power off.
 func (r *faultRun) stop() {
 	choose := storetest.Random(r.random)
 	switch r.random.IntN(4) {
--- a/coord/replication/store/store_test.go
+++ b/coord/replication/store/store_test.go
@@ -11,7 +11,7 @@
 	"shaletrestle/coord/replication/store"
 )
 
-// follow makes the entries with some data that follow a position.
+// entriesAfter makes the entries with some data that follow a position.
 func entriesAfter(position core.Position, data ...string) []core.Entry {
 	var entries []core.Entry
 	for _, d := range data {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// fill makes a store with a snapshot, an entry in its tail and three more.
+// openFilled makes a store with a snapshot, an entry in its tail and three more.
 func openFilled(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	s, err := store.Open(store.OSFiles{}, dir, store.Options{Bootstrap: true})
@@ -79,7 +79,7 @@
 	return s
 }
 
-// only gives the one file that a pattern means.
+// requireOneFile gives the one file that a pattern means.
 func requireOneFile(t *testing.T, dir, pattern string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, pattern))
