--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -63,8 +63,11 @@
 	id := choice.Replica.ID
 	ctx := req.inbound.Context()
 	left := time.Until(req.deadline)
-	wait := min(left, max(placeRetryInterval, time.Until(req.rejectAfter())))
-	connection, err := req.router.connections(choice.Replica, req.table).Get(req.route.Name, wait, !req.route.IsRetriable(), ctx.Done())
+	connection, err := req.router.connections(choice.Replica, req.table).Get(ctx, upstream.GetOptions{
+		Owner:        req.route.Name,
+		Timeout:      min(left, max(placeRetryInterval, time.Until(req.rejectAfter()))),
+		Unrepeatable: !req.route.IsRetriable(),
+	})
 	if ctx.Err() != nil {
 		if connection != nil {
 			connection.Release()
@@ -74,7 +77,7 @@
 	}
 	if err != nil {
 		req.wanted.Excluded[id] = true
-		if errkind.KindOf(err) == errkind.UpstreamFailure {
+		if errors.Is(err, upstream.ErrDial) {
 			req.recordFault(id, outlier.ConnectionRefused)
 		} else {
 			req.router.longWork.RecordShortage()
--- a/internal/router/receive.go
+++ b/internal/router/receive.go
@@ -49,7 +49,7 @@
 			wait = untilDue
 		}
 		late := time.NewTimer(max(0, wait))
-		part, ok := r.response.Next(late.C, ctx.Done())
+		part, ok := r.response.Next(ctx, late.C)
 		late.Stop()
 		if ok {
 			r.lastPartAt = time.Now()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -35,9 +35,6 @@
 	ErrSameAttempt = errors.New("the connection has answered this Attempt-Id before")
 )
 
-// ErrAbandoned is the error of Pool.Get when the caller is gone.
-var ErrAbandoned = errors.New("the caller is gone")
-
 // Request is a client's request as it is sent to one replica.
 type Request struct {
 	Method    string
@@ -73,7 +70,7 @@
 	closed     chan struct{}
 	isClosed   atomic.Bool
 	idleSince  time.Time
-	idleBefore time.Duration // how long it was idle before this use, 0 for a new one; set under the pool's lock
+	idleBefore time.Duration // how long it was idle before this use, 0 for a new one; guarded by the pool's lock
 	expires    time.Time
 	owner      string // who uses it now; guarded by the pool's lock
 	used       bool   // it has carried an exchange to its end
--- a/internal/upstream/keepalive.go
+++ b/internal/upstream/keepalive.go
@@ -5,10 +5,20 @@
 	"time"
 )
 
+const (
+	maxIdleTime       = 10 * time.Minute       // that no loss has shortened: the responses' Keep-Alive decides
+	minIdleTime       = 100 * time.Millisecond // no loss shortens the idle time below this: bursts still share connections
+	staleIdleFraction = 0.7                    // part of the idle time of a stale connection that the others are used up to
+	idleGrowth        = 10 * time.Second       // after a loss the allowed idle time doubles this often
+	reuseLifetime     = 5 * time.Second        // for so long a connection that worked shows that shorter idle times are safe
+	cautionTime       = 30 * time.Second       // for so long after a loss, what may not be retried takes young connections only
+	minStaleIdle      = 50 * time.Millisecond  // a connection idle less than this was not dropped: its reset is the replica's
+)
+
 // KeepAlive estimates how long the replicas of one service keep idle connections, beside what their responses promise: a
 // replica may drop one sooner, without notice. Its zero value has seen no such loss. It may be used concurrently.
 type KeepAlive struct {
-	mu         sync.Mutex
+	mu         sync.Mutex    // guards the fields below
 	limit      time.Duration // idle time at the newest loss, less a margin; 0: none was lost
 	lostAt     time.Time
 	reusedIdle time.Duration // longest recent idle time after which a connection worked
--- a/internal/upstream/model_lifetime_test.go
+++ b/internal/upstream/model_lifetime_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"context"
 	"io"
 	"net"
 	"strings"
@@ -124,10 +125,10 @@
 		p := NewPool("x", &pipes{play: func(_ int, c net.Conn) { _, _ = io.Copy(io.Discard, c) }}, 1, &KeepAlive{}, &DialCounts{})
 		defer p.Close()
 		defer get(t, p).Close()
-		quit := make(chan struct{})
-		time.AfterFunc(time.Second, func() { close(quit) })
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
 		at := time.Now()
-		_, err := p.Get("o", time.Hour, false, quit)
+		_, err := p.Get(ctx, GetOptions{Owner: "o", Timeout: time.Hour})
 		require.ErrorIs(t, err, ErrAbandoned)
 		require.Equal(t, time.Second, time.Since(at))
 	})
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net"
 	"net/http"
@@ -73,7 +74,7 @@
 	late := time.NewTimer(modelPatience)
 	defer late.Stop()
 	for {
-		p, ok := answer.Next(late.C, nil)
+		p, ok := answer.Next(context.Background(), late.C)
 		if !ok {
 			return out
 		}
@@ -95,7 +96,7 @@
 }
 
 func get(t *testing.T, p *Pool) *Connection {
-	c, err := p.Get("o", time.Second, false, nil)
+	c, err := p.Get(t.Context(), GetOptions{Owner: "o", Timeout: time.Second})
 	require.NoError(t, err)
 	return c
 }
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -19,7 +19,7 @@
 		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "Response_Cut"},
 		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "Response_Cut"},
 		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "Response_Cut"},
-		{Name: "a dropped answer leaves its connection open", File: "response.go", From: "\t\ta.connection.Close()\n", To: "", Run: "Response_Cut"},
+		{Name: "a dropped answer leaves its connection open", File: "response.go", From: "\t\tr.connection.Close()\n", To: "", Run: "Response_Cut"},
 		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -2,79 +2,68 @@
 
 import (
 	"context"
-	"net"
+	"errors"
+	"fmt"
 	"sync"
-	"syscall"
 	"time"
 
-	"go.uber.org/atomic"
-	"golang.org/x/sys/unix"
-
 	"shaletrestle/coord/fairshare"
-	"shaletrestle/internal/errkind"
 )
 
-// Dialer opens connections to replicas.
-type Dialer interface {
-	DialReplica(addr string, d time.Duration) (net.Conn, error)
-}
-
-// TCP is the real network: unacknowledged bytes and silent peers end a connection soon.
-type TCP struct{}
-
-// DialReplica connects.
-func (TCP) DialReplica(addr string, d time.Duration) (net.Conn, error) {
-	x := net.Dialer{Timeout: d, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) {
-			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnacknowledgedTimeout.Milliseconds()))
-		})
-	}, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: KeepAliveIdle, Interval: KeepAliveInterval, Count: KeepAliveProbes}}
-	return x.DialContext(context.Background(), "tcp4", addr)
-}
-
-// DialCounts counts why connections were opened.
-type DialCounts struct {
-	All       atomic.Int64 `json:"all"`
-	First     atomic.Int64 `json:"first"`   // the first to that replica
-	Reopened  atomic.Int64 `json:"again"`   // earlier ones were closed
-	AllInUse  atomic.Int64 `json:"crowded"` // all were in use
-	Expired   atomic.Int64 `json:"expired"` // the kept ones had been idle too long
-	Untrusted atomic.Int64 `json:"wary"`    // a kept one was there and not trusted
-	Stale     atomic.Int64 `json:"forgot"`  // kept ones that the replica had forgotten
-	Closing   atomic.Int64 `json:"closing"` // answers that said Connection: close
-}
+// Errors of Pool.Get.
+var (
+	// ErrPoolClosed says that the replica is gone.
+	ErrPoolClosed = errors.New("the replica is gone")
+	// ErrNoShare says that this process has no share of the replica's connections.
+	ErrNoShare = errors.New("no share of the replica's connections")
+	// ErrNoConnection says that no connection became free in time.
+	ErrNoConnection = errors.New("no connection is free")
+	// ErrAbandoned says that the caller's context ended first.
+	ErrAbandoned = errors.New("the caller is gone")
+	// ErrDial says that the replica could not be connected to; it wraps the dialer's error.
+	ErrDial = errors.New("dial")
+)
 
-// Pool holds the connections to one life of a replica.
+// Pool holds the connections to one incarnation of a replica. It is safe for concurrent use.
 type Pool struct {
-	addr      string
+	address   string
 	dialer    Dialer
-	keepAlive *KeepAlive
-	mu        sync.Mutex
-	idle      []*Connection
-	open      int
-	limit     int
-	closed    bool
-	dialed    bool // a connection was opened before
-	waiting   []chan struct{}
+	keepAlive *KeepAlive // of the service
 	counts    *DialCounts
 	shares    *fairshare.Shares // connections in use, by owner
+
+	mu      sync.Mutex // guards the fields below, and Connection.owner and idleBefore
+	idle    []*Connection
+	open    int // idle and in use
+	limit   int // on open
+	closed  bool
+	dialed  bool            // a connection was opened before
+	waiting []chan struct{} // one of each Get that waits
 }
 
-// NewPool makes a pool; most is this process's share of the replica's connections, keep what is known of how long the service's replicas keep idle ones.
-func NewPool(addr string, d Dialer, most int, keep *KeepAlive, made *DialCounts) *Pool {
-	return &Pool{addr: addr, dialer: d, limit: most, keepAlive: keep, counts: made, shares: fairshare.New(int64(most), fairshare.CalmFraction)}
+// NewPool returns a pool without connections. limit is this process's share of the replica's connections, keepAlive is
+// shared by the pools of a service, counts by all.
+func NewPool(address string, dialer Dialer, limit int, keepAlive *KeepAlive, counts *DialCounts) *Pool {
+	return &Pool{
+		address:   address,
+		dialer:    dialer,
+		limit:     limit,
+		keepAlive: keepAlive,
+		counts:    counts,
+		shares:    fairshare.New(int64(limit), fairshare.CalmFraction),
+	}
 }
 
-// SetLimit changes the share. Idle connections over a smaller one are closed; those in use end with their answers.
-func (p *Pool) SetLimit(most int) {
+// SetLimit changes the share. Idle connections over a smaller one are closed; those in use end with their responses.
+func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
-	if p.limit == most {
+	if p.limit == limit {
 		p.mu.Unlock()
 		return
 	}
-	p.limit = most
-	p.shares.Resize(int64(most))
-	n := min(max(0, p.open-most), len(p.idle))
+	p.limit = limit
+	p.shares.Resize(int64(limit))
+	n := min(max(0, p.open-limit), len(p.idle))
 	over := p.idle[:n:n]
 	p.idle = append([]*Connection{}, p.idle[n:]...)
 	p.signal()
@@ -82,166 +71,170 @@
 	closeAll(over)
 }
 
-// closeAll closes connections that were taken out of their pool: nobody can get one of them meanwhile.
-func closeAll(taken []*Connection) {
-	for _, connection := range taken {
-		connection.Close()
-	}
-}
-
-// removeIdle takes the idle connections out that meet a condition; the caller holds the pool.
-func (p *Pool) removeIdle(which func(*Connection) bool) (taken []*Connection) {
-	rest := make([]*Connection, 0, len(p.idle))
-	for _, connection := range p.idle {
-		if which(connection) {
-			taken = append(taken, connection)
-		} else {
-			rest = append(rest, connection)
-		}
-	}
-	p.idle = rest
-	return taken
+// GetOptions say what connection Get is to give.
+type GetOptions struct {
+	Owner        string        // its user: when nearly all are in use, each has its fair share
+	Timeout      time.Duration // of the wait for one
+	Unrepeatable bool          // it is for a request that may not be retried: none that the replica may have dropped
 }
 
-// Get gives an owner an idle connection or a new one, waiting at most d. When they are nearly all in use, each owner has its portion. A wary one takes no connection that the replica may have forgotten. A wait ends when quit closes.
-func (p *Pool) Get(owner string, d time.Duration, wary bool, quit <-chan struct{}) (*Connection, error) {
-	end := time.Now().Add(d)
+// Get returns an idle connection or a new one, which the caller must use for one request or Release.
+func (p *Pool) Get(ctx context.Context, options GetOptions) (*Connection, error) {
+	end := time.Now().Add(options.Timeout)
 	for {
-		p.mu.Lock()
-		if p.closed {
-			p.mu.Unlock()
-			return nil, errkind.New(errkind.Unavailable, "the replica is gone")
-		}
-		if p.limit < 1 {
-			p.mu.Unlock()
-			return nil, errkind.New(errkind.Overloaded, "no share of the replica's connections")
+		connection, freed, err := p.take(options.Owner, options.Unrepeatable)
+		switch {
+		case connection != nil || err != nil:
+			return connection, err
+		case freed == nil:
+			return p.dial(options.Owner, end)
 		}
-		if p.shares.TryAcquire(owner, 1) {
-			had := len(p.idle)
-			if ch := p.takeIdle(wary); ch != nil {
-				ch.owner = owner
-				p.mu.Unlock()
-				return ch, nil
-			}
-			if p.open < p.limit {
-				switch {
-				case len(p.idle) > 0:
-					p.counts.Untrusted.Inc()
-				case had > 0:
-					p.counts.Expired.Inc()
-				case p.open > 0:
-					p.counts.AllInUse.Inc()
-				case p.dialed:
-					p.counts.Reopened.Inc()
-				default:
-					p.counts.First.Inc()
-				}
-				p.dialed = true
-				p.open++
-				p.mu.Unlock()
-				return p.dial(owner, end)
-			}
-			p.shares.Release(owner, 1)
-		}
-		w := make(chan struct{}, 1)
-		p.waiting = append(p.waiting, w)
-		p.mu.Unlock()
 		select {
-		case <-w:
-		case <-quit:
+		case <-freed:
+		case <-ctx.Done():
 			return nil, ErrAbandoned
 		case <-time.After(time.Until(end)):
-			return nil, errkind.New(errkind.Overloaded, "no connection is free")
+			return nil, ErrNoConnection
 		}
 	}
 }
 
-// takeIdle takes the connection used last, if it may still be used; the caller holds the pool.
-func (p *Pool) takeIdle(wary bool) *Connection {
+// take takes an idle connection. If it gives none, the caller waits for the channel and takes again; without a channel the
+// caller dials, as what it opens is counted already.
+func (p *Pool) take(owner string, unrepeatable bool) (connection *Connection, freed chan struct{}, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return nil, nil, ErrPoolClosed
+	}
+	if p.limit < 1 {
+		return nil, nil, ErrNoShare
+	}
+	if p.shares.TryAcquire(owner, 1) {
+		idle := len(p.idle)
+		if connection := p.takeIdle(unrepeatable); connection != nil {
+			connection.owner = owner
+			return connection, nil, nil
+		}
+		if p.open < p.limit {
+			p.countDial(idle)
+			p.dialed = true
+			p.open++
+			return nil, nil, nil
+		}
+		p.shares.Release(owner, 1)
+	}
+	freed = make(chan struct{}, 1)
+	p.waiting = append(p.waiting, freed)
+	return nil, freed, nil
+}
+
+// countDial counts why a connection is opened, given how many were idle before; the caller holds the lock.
+func (p *Pool) countDial(idle int) {
+	switch {
+	case len(p.idle) > 0:
+		p.counts.Untrusted.Inc()
+	case idle > 0:
+		p.counts.Expired.Inc()
+	case p.open > 0:
+		p.counts.AllInUse.Inc()
+	case p.dialed:
+		p.counts.Reopened.Inc()
+	default:
+		p.counts.First.Inc()
+	}
+}
+
+// takeIdle takes the connection used last, if it may still be used; the caller holds the lock.
+func (p *Pool) takeIdle(unrepeatable bool) *Connection {
 	now := time.Now()
 	for len(p.idle) > 0 {
-		ch := p.idle[len(p.idle)-1]
-		idle := now.Sub(ch.idleSince)
-		if now.Before(ch.expires) && !ch.isClosed.Load() && idle < p.keepAlive.MaxIdle(now) {
-			if wary && idle >= p.keepAlive.MaxIdleUnrepeatable(now) && p.open < p.limit {
-				return nil // it is left for one that may be sent again
+		last := p.idle[len(p.idle)-1]
+		idle := now.Sub(last.idleSince)
+		if now.Before(last.expires) && !last.isClosed.Load() && idle < p.keepAlive.MaxIdle(now) {
+			if unrepeatable && idle >= p.keepAlive.MaxIdleUnrepeatable(now) && p.open < p.limit {
+				return nil // it is left for a request that may be retried
 			}
 			p.idle = p.idle[:len(p.idle)-1]
-			ch.idleBefore = idle
-			return ch
+			last.idleBefore = idle
+			return last
 		}
 		p.idle = p.idle[:len(p.idle)-1]
-		go ch.Close()
+		go last.Close() // it takes the lock that is held here
 	}
 	return nil
 }
 
-// recordStale notes that a kept connection was reset when it was used again: those that were idle as long are closed, and the service's others are kept less long. It is false if that was no forgetting.
-func (p *Pool) recordStale(rested time.Duration) bool {
-	now := time.Now()
-	if !p.keepAlive.RecordStale(rested, now) {
-		return false
-	}
-	p.counts.Stale.Inc()
-	p.mu.Lock()
-	old := p.removeIdle(func(c *Connection) bool { return now.Sub(c.idleSince) >= rested })
-	p.mu.Unlock()
-	closeAll(old)
-	return true
-}
-
+// dial opens a connection for an owner.
 func (p *Pool) dial(owner string, end time.Time) (*Connection, error) {
-	c, err := p.dialer.DialReplica(p.addr, min(dialTimeout, time.Until(end)))
+	conn, err := p.dialer.DialReplica(p.address, min(dialTimeout, time.Until(end)))
 	if err != nil {
 		p.mu.Lock()
+		defer p.mu.Unlock()
 		p.open--
 		p.shares.Release(owner, 1)
 		p.signal()
-		p.mu.Unlock()
-		return nil, errkind.Wrap(errkind.UpstreamFailure, err, "dial")
+		return nil, fmt.Errorf("%w: %w", ErrDial, err)
 	}
 	p.counts.All.Inc()
-	return open(p, c, owner), nil
+	return open(p, conn, owner), nil
+}
+
+// recordStale records that an idle connection was reset when it was reused: those that were idle as long are closed, and
+// the service's others are kept less long. It returns false if idleness was not the reason.
+func (p *Pool) recordStale(idle time.Duration) bool {
+	now := time.Now()
+	if !p.keepAlive.RecordStale(idle, now) {
+		return false
+	}
+	p.counts.Stale.Inc()
+	p.mu.Lock()
+	old := p.removeIdle(func(c *Connection) bool { return now.Sub(c.idleSince) >= idle })
+	p.mu.Unlock()
+	closeAll(old)
+	return true
 }
 
+// signal wakes all who wait; the caller holds the lock.
 func (p *Pool) signal() {
-	for _, w := range p.waiting {
+	for _, freed := range p.waiting {
 		select {
-		case w <- struct{}{}:
+		case freed <- struct{}{}:
 		default:
 		}
 	}
 	p.waiting = nil
 }
 
-// releaseShare ends an owner's use of a connection; the caller holds the pool.
-func (p *Pool) releaseShare(ch *Connection) {
-	if ch.owner != "" {
-		p.shares.Release(ch.owner, 1)
-		ch.owner = ""
+// releaseShare ends an owner's use of a connection; the caller holds the lock.
+func (p *Pool) releaseShare(connection *Connection) {
+	if connection.owner != "" {
+		p.shares.Release(connection.owner, 1)
+		connection.owner = ""
 	}
 }
 
 // put takes a connection back; false if it isn't wanted any more: the caller closes it.
-func (p *Pool) put(ch *Connection) bool {
+func (p *Pool) put(connection *Connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.releaseShare(ch)
+	p.releaseShare(connection)
 	if p.closed || p.open > p.limit {
 		return false
 	}
-	p.idle = append(p.idle, ch)
+	p.idle = append(p.idle, connection)
 	p.signal()
 	return true
 }
 
-func (p *Pool) remove(ch *Connection) {
+// remove takes a closed connection out.
+func (p *Pool) remove(connection *Connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.releaseShare(ch)
-	for i, x := range p.idle {
-		if x == ch {
+	p.releaseShare(connection)
+	for i, each := range p.idle {
+		if each == connection {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
 			break
 		}
@@ -249,6 +242,28 @@
 	p.signal()
 }
 
+// removeIdle takes out the idle connections that meet a condition; the caller holds the lock.
+func (p *Pool) removeIdle(meets func(*Connection) bool) (removed []*Connection) {
+	kept := make([]*Connection, 0, len(p.idle))
+	for _, connection := range p.idle {
+		if meets(connection) {
+			removed = append(removed, connection)
+		} else {
+			kept = append(kept, connection)
+		}
+	}
+	p.idle = kept
+	return removed
+}
+
+// closeAll closes connections that were taken out of their pool: nobody can get one of them meanwhile. The caller must not
+// hold the lock.
+func closeAll(removed []*Connection) {
+	for _, connection := range removed {
+		connection.Close()
+	}
+}
+
 // Sweep closes connections whose idle time is over.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
@@ -258,15 +273,16 @@
 	closeAll(old)
 }
 
+// closeIdle closes all idle connections.
 func (p *Pool) closeIdle() {
 	p.mu.Lock()
-	free := p.idle
+	idle := p.idle
 	p.idle = nil
 	p.mu.Unlock()
-	closeAll(free)
+	closeAll(idle)
 }
 
-// Close closes idle connections and gives out no more.
+// Close closes idle connections and gives out no more; those in use end with their responses.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,8 +14,6 @@
 	"shaletrestle/coord/fairshare"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/internal/errkind"
 )
 
 // server answers over pipes and drops connections that were idle for a while.
@@ -59,14 +57,14 @@
 var ids atomic.Int64 // every request has an id of its own
 
 func use(t *testing.T, p *Pool, unrepeatable bool) (*Connection, Part) {
-	ch, err := p.Get("o", time.Second, unrepeatable, nil)
+	ch, err := p.Get(t.Context(), GetOptions{Owner: "o", Timeout: time.Second, Unrepeatable: unrepeatable})
 	require.NoError(t, err)
 	id, end := fmt.Sprint("x", ids.Add(1)), time.Now().Add(time.Second)
 	a, _, err := ch.Send(&Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{HeaderAttemptID: {id}}, AttemptID: id, NotAfter: end, Deadline: end})
 	require.NoError(t, err)
 	defer a.Close()
 	for {
-		p, ok := a.Next(nil, nil)
+		p, ok := a.Next(t.Context(), nil)
 		require.True(t, ok)
 		if p.Kind == PartEnd || p.Kind == PartFailure {
 			return ch, p
@@ -117,12 +115,12 @@
 		defer p.Close()
 		var chs []*Connection
 		for range 2 {
-			ch, err := p.Get("o", time.Second, false, nil)
+			ch, err := p.Get(t.Context(), GetOptions{Owner: "o", Timeout: time.Second})
 			require.NoError(t, err)
 			chs = append(chs, ch)
 		}
 		for _, o := range []string{"a", "b"} {
-			ch, err := p.Get(o, time.Second, false, nil)
+			ch, err := p.Get(t.Context(), GetOptions{Owner: o, Timeout: time.Second})
 			require.NoError(t, err)
 			chs = append(chs, ch)
 		}
@@ -136,10 +134,10 @@
 		p.SetLimit(0)
 		synctest.Wait()
 		require.Zero(t, s.now())
-		_, err := p.Get("o", time.Hour, false, nil)
-		require.Equal(t, errkind.Overloaded, errkind.KindOf(err), "without a share it fails at once")
+		_, err := p.Get(t.Context(), GetOptions{Owner: "o", Timeout: time.Hour})
+		require.ErrorIs(t, err, ErrNoShare, "without a share it fails at once")
 		p.SetLimit(3)
-		ch, err := p.Get("o", fairshare.LoanTimeout, false, nil)
+		ch, err := p.Get(t.Context(), GetOptions{Owner: "o", Timeout: fairshare.LoanTimeout})
 		require.NoError(t, err)
 		ch.Release()
 	})
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -18,8 +18,14 @@
 )
 
 const (
-	maxSurplusResponses = 3   // responses to others that are skipped before a connection is given up
-	maxStatus           = 599 // the largest status that is an answer
+	// MaxAnswerBytes bounds one complete response held in memory.
+	MaxAnswerBytes = 32 << 20
+
+	maxEventBytes       = 1 << 20                // of one event of a stream
+	keepAliveMargin     = 300 * time.Millisecond // an idle connection is not used this long before its Keep-Alive ends
+	defaultIdleTime     = 20 * time.Second       // of connections whose responses name no Keep-Alive
+	maxSurplusResponses = 3                      // responses to others that are skipped before a connection is given up
+	maxStatus           = 599                    // the largest status that is an answer
 )
 
 // Reasons for which what came is not the response to the request.
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -49,37 +50,38 @@
 	exchange   *exchange
 }
 
-// Next waits for the next part; ok is false if late or quit fired first.
-func (a *Response) Next(late <-chan time.Time, quit <-chan struct{}) (p Part, ok bool) {
+// Next waits for the next part; ok is false if the context ended or late fired first. A part that has come is given in any
+// case.
+func (r *Response) Next(ctx context.Context, late <-chan time.Time) (p Part, ok bool) {
 	select {
-	case p = <-a.exchange.parts:
+	case p = <-r.exchange.parts:
 		return p, true
 	default:
 	}
 	select {
-	case p = <-a.exchange.parts:
-	case <-a.connection.closed: // what was delivered before still counts
+	case p = <-r.exchange.parts:
+	case <-r.connection.closed: // what was delivered before still counts
 		select {
-		case p = <-a.exchange.parts:
+		case p = <-r.exchange.parts:
 		default:
 			p = Part{Kind: PartFailure, Cause: "closed"}
 		}
 	case <-late:
 		return p, false
-	case <-quit:
+	case <-ctx.Done():
 		return p, false
 	}
 	return p, true
 }
 
 // Close ends the interest in the response; a connection whose response was not read to its end is closed.
-func (a *Response) Close() {
-	if a.connection.exchange.CompareAndSwap(a.exchange, abandonedExchange) {
-		a.connection.Close()
+func (r *Response) Close() {
+	if r.connection.exchange.CompareAndSwap(r.exchange, abandonedExchange) {
+		r.connection.Close()
 	}
 	select {
-	case <-a.exchange.abandoned:
+	case <-r.exchange.abandoned:
 	default:
-		close(a.exchange.abandoned)
+		close(r.exchange.abandoned)
 	}
 }
