--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// stage is where a job is.
 type stage uint8
 
 const (
@@ -14,6 +15,7 @@
 	remote               // a go-ahead was given: it may have begun
 )
 
+// job is one request of a client, from Take to its End or until it leaves the owner.
 type job struct {
 	number       uint64
 	deadline     time.Duration
@@ -26,14 +28,15 @@
 	offerNumber  uint64
 	ticket       Ticket
 	offerExpires time.Duration // offered: the offer's end
-	lastHeard    time.Duration // gone: the taker's last word
-	lastRenewed  time.Duration // gone: the newest go-ahead
-	parts        uint64        // passed on under this ticket
+	lastHeard    time.Duration // remote: the taker's last message
+	lastRenewed  time.Duration // remote: the newest go-ahead
+	parts        uint64        // delivered under this ticket
 }
 
-// Owner is the state machine of the jobs that this process took from clients. It alone answers them, and lets at most one
-// run of a job be open at a time; a job that is not repeatable never has a second run after one that may have begun. Its
-// methods must not be called concurrently; now must not go back.
+// Owner is the state machine of the jobs that this process took from clients. It alone answers them, each once. It gives a
+// go-ahead for one ticket of a job at a time, and for a job that is not repeatable never after a run that may have begun.
+// An End effect with Rejected is a promise that no run has begun and none will. Its methods must not be called
+// concurrently; now must not go back.
 type Owner struct {
 	incarnation uint64
 	lastNumber  uint64
@@ -49,6 +52,7 @@
 // Incarnation is the incarnation that the owner was made with.
 func (o *Owner) Incarnation() uint64 { return o.incarnation }
 
+// find returns a job and its place; where it would be, and nil, if there is none.
 func (o *Owner) find(number uint64) (at int, j *job) {
 	at = sort.Search(len(o.jobs), func(i int) bool { return o.jobs[i].number >= number })
 	if at < len(o.jobs) && o.jobs[at].number == number {
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// status is where a peer's job is.
 type status uint8
 
 const (
@@ -14,10 +15,12 @@
 	ended                  // remembered, to answer for it
 )
 
+// offerID names one offer of a job.
 type offerID struct {
 	owner, job, number uint64
 }
 
+// entry is one accepted offer, and later what is remembered of it.
 type entry struct {
 	offerID   offerID
 	peer      string
--- a/internal/router/headers.go
+++ b/internal/router/headers.go
@@ -7,7 +7,7 @@
 	"shaletrestle/internal/upstream"
 )
 
-// hopByHopHeaders are the heads that concern one connection only.
+// hopByHopHeaders concern one connection only and are never forwarded. Content-Length is written anew with the body.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -22,27 +22,29 @@
 	"Expect":              true,
 }
 
-// forwardHeader copies an inquiry's heads, all but those of one connection.
-func forwardHeader(h http.Header) http.Header {
-	o := make(http.Header, len(h)+4)
+// forwardHeader returns what a replica gets of a client's header: all but what concerns one connection. The values are
+// shared with the original.
+func forwardHeader(header http.Header) http.Header {
+	forwarded := make(http.Header, len(header)+4)
 	named := map[string]bool{}
-	for _, v := range h["Connection"] {
-		for _, x := range strings.Split(v, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(x))] = true
+	for _, value := range header["Connection"] {
+		for _, name := range strings.Split(value, ",") {
+			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	for k, v := range h {
-		if !hopByHopHeaders[k] && (!named[k] || k == upstream.HeaderAttemptID || k == upstream.HeaderTimeBudget) {
-			o[k] = v
+	for name, values := range header {
+		isNamed := named[name] && name != upstream.HeaderAttemptID && name != upstream.HeaderTimeBudget
+		if !hopByHopHeaders[name] && !isNamed {
+			forwarded[name] = values
 		}
 	}
-	if _, ok := o["User-Agent"]; !ok {
-		o["User-Agent"] = []string{""}
+	if _, ok := forwarded["User-Agent"]; !ok {
+		forwarded["User-Agent"] = []string{""} // or the standard library would write its own
 	}
-	return o
+	return forwarded
 }
 
-// responseHeaders is the allow list of heads of an answer.
+// responseHeaders may reach the client.
 var responseHeaders = []string{
 	"Content-Type",
 	"Attempt-Id",
@@ -65,14 +67,14 @@
 	"Replica-Id",
 }
 
-// copyResponseHeader copies the heads of an answer that may reach the client.
+// copyResponseHeader copies what of a response's header may reach the client.
 func copyResponseHeader(to, from http.Header) {
-	for _, k := range responseHeaders {
-		if v, ok := from[k]; ok {
-			to[k] = v
+	for _, name := range responseHeaders {
+		if values, ok := from[name]; ok {
+			to[name] = values
 		}
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil
+		to["Content-Type"] = nil // or the standard library would guess one
 	}
 }
