--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -10,12 +10,12 @@
 	"sync"
 	"time"
 
+	"github.com/labstack/echo/v4"
+	"go.uber.org/atomic"
+
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
-
-	"github.com/labstack/echo/v4"
-	"go.uber.org/atomic"
 )
 
 // acceptPause is the wait after an accept that failed: descriptors may have run out.
--- a/internal/longwork/compatibility_test.go
+++ b/internal/longwork/compatibility_test.go
@@ -7,12 +7,12 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/recordedtest"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/settings"
-
-	"github.com/stretchr/testify/require"
 )
 
 // TestJob_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages on long work between nodes of an earlier
--- a/internal/longwork/coordinator.go
+++ b/internal/longwork/coordinator.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
+	"go.uber.org/atomic"
+
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/settings"
-
-	"go.uber.org/atomic"
 )
 
 const (
--- a/internal/longwork/longwork_test.go
+++ b/internal/longwork/longwork_test.go
@@ -11,12 +11,12 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"shaletrestle/coord/handoff"
 	"shaletrestle/internal/durations"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
-
-	"github.com/stretchr/testify/require"
 )
 
 // testRouter is a router with nothing to do.
@@ -71,9 +71,9 @@
 	c.taker.Step(0, handoff.Message{Kind: handoff.Go, Owner: 1, Job: 1, OfferNumber: 1, Ticket: handoff.Ticket{Incarnation: 5, Number: 1}})
 	w := &partWriter{coordinator: c, ticket: 1, header: http.Header{}}
 	w.WriteHeader(http.StatusServiceUnavailable)
-	n, err := w.Write([]byte("crowded"))
+	n, err := w.Write([]byte("rejected"))
 	require.NoError(t, err)
-	require.Equal(t, 7, n)
+	require.Equal(t, len("rejected"), n)
 	require.True(t, w.isOwn)
 	effects := c.taker.Finish(1, handoff.Returned, 0)
 	require.Equal(t, handoff.Returned, effects[0].Message.Kind, "no part was sent, so the promise may be passed on")
--- a/internal/longwork/messages.go
+++ b/internal/longwork/messages.go
@@ -3,10 +3,9 @@
 import (
 	"context"
 
-	"shaletrestle/internal/settings"
-
 	"shaletrestle/coord/handoff"
 	"shaletrestle/coord/rpc"
+	"shaletrestle/internal/settings"
 )
 
 const (
--- a/internal/longwork/peers.go
+++ b/internal/longwork/peers.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"shaletrestle/coord/fairshare"
-
 	"shaletrestle/coord/rpc"
 	"shaletrestle/internal/routing"
 	"shaletrestle/internal/settings"
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -6,9 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"shaletrestle/coord/fairshare"
-
 	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/fairshare"
 )
 
 // slowLender lends a number of retries a while after it was asked.
--- a/internal/retrybudget/shares_test.go
+++ b/internal/retrybudget/shares_test.go
@@ -6,10 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"shaletrestle/coord/failuredetector"
-
 	"github.com/stretchr/testify/require"
 
+	"shaletrestle/coord/failuredetector"
 	"shaletrestle/coord/fairshare"
 )
 
--- a/internal/router/controllers.go
+++ b/internal/router/controllers.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"shaletrestle/internal/state"
-
 	"github.com/cespare/xxhash/v2"
+
+	"shaletrestle/internal/state"
 )
 
 // controllerChoice is what a router knows of the controllers that it may follow; Router.mu guards it.
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -9,12 +9,12 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"shaletrestle/internal/durations"
 	"shaletrestle/internal/longwork"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/routing"
-
-	"github.com/stretchr/testify/require"
 )
 
 func TestRunForPeer_FrozenPastDeadline_SendsNothing(t *testing.T) {
--- a/internal/router/reports.go
+++ b/internal/router/reports.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
+
 	"shaletrestle/coord/distribution"
 	"shaletrestle/coord/loadsum"
 	"shaletrestle/coord/outlier"
 	"shaletrestle/coord/rpc"
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/settings"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 const (
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -7,6 +7,9 @@
 	"sync"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
+	"go.uber.org/atomic"
+
 	"shaletrestle/coord/distribution"
 	"shaletrestle/coord/failuredetector"
 	"shaletrestle/coord/fairshare"
@@ -25,9 +28,6 @@
 	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 	"shaletrestle/internal/upstream"
-
-	"github.com/cespare/xxhash/v2"
-	"go.uber.org/atomic"
 )
 
 const (
--- a/internal/router/statepage.go
+++ b/internal/router/statepage.go
@@ -3,10 +3,9 @@
 import (
 	"net/http"
 
-	"shaletrestle/internal/version"
-
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/metrics"
+	"shaletrestle/internal/version"
 )
 
 // serveState answers on the state port: the metrics under their path, else all that this process knows. The keys of the
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -3,9 +3,9 @@
 import (
 	"sync"
 
-	"shaletrestle/internal/state"
-
 	"github.com/cespare/xxhash/v2"
+
+	"shaletrestle/internal/state"
 )
 
 const (
--- a/internal/upstream/model_answer_test.go
+++ b/internal/upstream/model_answer_test.go
@@ -31,7 +31,7 @@
 	name   string
 	text   string
 	events bool
-	state  attempt.State // after the whole of it; Sent: it is no answer to the request
+	state  attempt.State // after all of it; Sent: it is no answer to the request
 	status int
 	body   string
 	parts  []string // events
@@ -76,13 +76,13 @@
 // judge compares what a caller saw with what was written of an answer.
 func (w *written) judge(t *testing.T, got *result, sent int) {
 	t.Helper()
-	whole := sent >= len(w.text) && w.state != attempt.Sent
-	require.Equal(t, whole, got.ended, "%s: %d of %d bytes", w.name, sent, len(w.text))
+	complete := sent >= len(w.text) && w.state != attempt.Sent
+	require.Equal(t, complete, got.ended, "%s: %d of %d bytes", w.name, sent, len(w.text))
 	for i, e := range got.events {
-		require.Equal(t, w.parts[i], e, "%s: events come whole and in order", w.name)
+		require.Equal(t, w.parts[i], e, "%s: events are complete and in order", w.name)
 	}
-	if !whole {
-		require.Equal(t, attempt.Sent, got.state, "%s: what was not answered whole may have run", w.name)
+	if !complete {
+		require.Equal(t, attempt.Sent, got.state, "%s: what was not answered completely may have run", w.name)
 		require.Nil(t, got.body, "%s: no part of a body is given away", w.name)
 		return
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
-	"shaletrestle/coord/fairshare"
-
 	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/fairshare"
 )
 
 // server answers over pipes and drops connections that were idle for a while.
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -12,9 +12,8 @@
 	"syscall"
 	"time"
 
-	"shaletrestle/internal/durations"
-
 	"shaletrestle/coord/attempt"
+	"shaletrestle/internal/durations"
 )
 
 const (
