--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -22,18 +22,18 @@
 func TestPing_RecordedBytes_AnsweredAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/pings.txt")
-		w := newSimulation(t, time.Second, step{})
-		defer w.end()
-		env := *w.router.settings.Load()
+		sim := newSimulation(t, time.Second, step{})
+		defer sim.end()
+		env := *sim.router.settings.Load()
 		env.LongWork = settings.LongWork{Enabled: true, MaxAcceptedJobs: 3}
-		w.router.settings.Store(&env)
+		sim.router.settings.Store(&env)
 		const node = "10.0.0.9:7722"
 		for name, mark := range map[string]string{"well": "", "slow": slowMark} {
 			ping := &rpc.Message{Kind: rpc.Hello, Call: 0x7101, From: rpc.Member{Address: node}, Text: mark}
 			read, err := rpc.Decode(recording.Same(name, ping.Encode()))
 			require.NoError(t, err)
 			require.Equal(t, ping, read)
-			answer, err := rpc.Decode(recording.Same(name+"-answer", w.router.handle(nil, read).Encode()))
+			answer, err := rpc.Decode(recording.Same(name+"-answer", sim.router.handle(nil, read).Encode()))
 			require.NoError(t, err)
 			require.True(t, answer.Answer && answer.OK)
 			require.Equal(t, ping.Call, answer.Call)
@@ -42,13 +42,13 @@
 }
 
 // recordingNet has one controller on it, which notes what it is sent; nobody else is there.
-type recordingNet struct {
+type recordingNetwork struct {
 	controller string
 	ctx        context.Context
 	handle     rpc.Handler
 }
 
-func (n recordingNet) Dial(address string, _ time.Duration) (net.Conn, error) {
+func (n recordingNetwork) Dial(address string, _ time.Duration) (net.Conn, error) {
 	if address != n.controller {
 		return nil, net.ErrClosed
 	}
@@ -57,7 +57,7 @@
 	return near, nil
 }
 
-func (n recordingNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (n recordingNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // TestRouter_RecordedBytes_ReportsToControllerAsBefore holds the form of what a node sends to its controller.
 func TestRouter_RecordedBytes_ReportsToControllerAsBefore(t *testing.T) {
@@ -65,7 +65,7 @@
 		recording := recordedtest.Open(t, "testdata/controller.txt")
 		ctx, cancel := context.WithCancel(context.Background())
 		received := map[rpc.Kind][]byte{}
-		network := recordingNet{controller: "10.0.0.5:9000", ctx: ctx, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
+		network := recordingNetwork{controller: "10.0.0.5:9000", ctx: ctx, handle: func(_ *rpc.Channel, message *rpc.Message) *rpc.Message {
 			received[message.Kind] = message.Encode()
 			if message.Kind != rpc.Loan {
 				return nil
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -19,27 +19,27 @@
 
 func TestRunForPeer_FrozenPastDeadline_SendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, clientTimeBudget, stepOK)
-		defer w.end()
+		sim := newSimulation(t, clientTimeBudget, stepOK)
+		defer sim.end()
 		offeredAt := time.Now()
 		<-time.After(durations.FromSeconds(17)) // the taker was frozen before it came to run the job
 		request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("once", "a"))))
 		require.NoError(t, err)
-		run := longWorkRouter{w.router}.RunForPeer(httptest.NewRecorder(), request, 1, offeredAt)
-		require.Empty(t, w.deliveries, "its time was over")
+		run := longWorkRouter{sim.router}.RunForPeer(httptest.NewRecorder(), request, 1, offeredAt)
+		require.Empty(t, sim.deliveries, "its time was over")
 		require.Equal(t, longwork.Run{}, run)
-		require.Zero(t, w.router.inflight.Load())
+		require.Zero(t, sim.router.inflight.Load())
 	})
 }
 
 func TestRunForPeer_CompleteResponse_TellsWhatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, clientTimeBudget, stepError, stepOK)
-		defer w.end()
+		sim := newSimulation(t, clientTimeBudget, stepError, stepOK)
+		defer sim.end()
 		request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("repeat", "a"))))
 		require.NoError(t, err)
 		recorder := httptest.NewRecorder()
-		run := longWorkRouter{w.router}.RunForPeer(recorder, request, 1, time.Now())
+		run := longWorkRouter{sim.router}.RunForPeer(recorder, request, 1, time.Now())
 		require.Equal(t, http.StatusInternalServerError, recorder.Code)
 		require.Equal(t, longwork.Run{Attempts: 1, MayHaveRun: true}, run, "the peer allowed one attempt only")
 	})
@@ -60,16 +60,16 @@
 	for name, forPeer := range map[string]bool{"of a client": false, "of a peer": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimulation(t, clientTimeBudget, stepOK)
-				defer w.end()
-				env := *w.router.settings.Load()
+				sim := newSimulation(t, clientTimeBudget, stepOK)
+				defer sim.end()
+				env := *sim.router.settings.Load()
 				env.LongWork.Enabled = true
-				w.router.settings.Store(&env)
-				fillLongWork(t, w.router.longWork, "p")
-				go w.router.longWork.Run()
+				sim.router.settings.Store(&env)
+				fillLongWork(t, sim.router.longWork, "p")
+				go sim.router.longWork.Run()
 				recorder := httptest.NewRecorder()
 				req := &request{
-					router:   w.router,
+					router:   sim.router,
 					writer:   recorder,
 					inbound:  httptest.NewRequest(http.MethodPost, "/", nil),
 					wanted:   &placement.Request{Pool: "p"},
@@ -86,7 +86,7 @@
 				} else {
 					require.Equal(t, durations.FromSeconds(rejectFraction), took)
 				}
-				service := w.router.longWork.State().Services["p"]
+				service := sim.router.longWork.State().Services["p"]
 				require.Equal(t, 32, service.Running)
 				require.Zero(t, service.Waiting)
 			})
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -31,8 +31,8 @@
 	stepMissing  = step{name: "404 of its own", text: answer(404, "SEAL\r\n"), runs: true, sent: -1}
 	stepNoSeal   = step{name: "no seal", text: answer(200, ""), runs: true, sent: -1}
 	stepStream   = step{name: "stream", text: events, runs: true, sent: -1}
-	stepReset    = step{name: "reset", text: answer(200, "SEAL\r\n"), runs: true, sent: 0, then: resets}
-	stepSilent   = step{name: "silent", text: answer(200, "SEAL\r\n"), runs: true, sent: 0, then: silence}
+	stepReset    = step{name: "reset", text: answer(200, "SEAL\r\n"), runs: true, sent: 0, ending: resets}
+	stepSilent   = step{name: "silent", text: answer(200, "SEAL\r\n"), runs: true, sent: 0, ending: silence}
 	stepStranger = step{name: "another's answer", text: strangers, runs: true, sent: -1}
 	stepTwice    = step{name: "answer twice", text: twice(answer(200, "SEAL\r\n")), runs: true, sent: -1}
 	stepFullTwo  = step{name: "refusal twice", text: twice(answer(503, "Not-Executed: 1\r\n")), sent: -1}
@@ -80,9 +80,9 @@
 				last = stepStream
 			}
 			for sent := range length {
-				for _, how := range []then{resets, silence} {
+				for _, how := range []ending{resets, silence} {
 					cut := first
-					cut.sent, cut.then = sent, how
+					cut.sent, cut.ending = sent, how
 					play(t, route, clientTimeBudget, fmt.Sprint(first.name, " cut at ", sent), cut, last)
 				}
 			}
@@ -103,7 +103,7 @@
 // before the client's and the other way round.
 func TestServe_RouteTimeout_NothingHeldLonger(t *testing.T) {
 	slow := stepStream
-	slow.sent, slow.then = 160, silence
+	slow.sent, slow.ending = 160, silence
 	for _, timeout := range []time.Duration{300 * time.Millisecond, time.Second, 4 * time.Second} {
 		for route := range simulatedRoutes {
 			for _, s := range []step{stepSilent, slow, stepFull, stepReset, stepRan503} {
@@ -114,12 +114,12 @@
 				"dials hang": func(net.Conn) (net.Conn, error) { time.Sleep(500 * time.Millisecond); return nil, errors.New("hung") },
 			} {
 				synctest.Test(t, func(t *testing.T) {
-					w := newSimulation(t, timeout, stepOK)
-					defer w.end()
-					w.dial = dial
-					c := w.client()
-					got := w.ask(c, bufio.NewReader(c), route, "first")
-					require.Empty(t, w.judge(route, &got, max(timeout, 500*time.Millisecond)), name)
+					sim := newSimulation(t, timeout, stepOK)
+					defer sim.end()
+					sim.dial = dial
+					c := sim.client()
+					got := sim.ask(c, bufio.NewReader(c), route, "first")
+					require.Empty(t, sim.judge(route, &got, max(timeout, 500*time.Millisecond)), name)
 					require.Equal(t, http.StatusServiceUnavailable, got.status, name)
 				})
 			}
@@ -149,12 +149,12 @@
 			"send": func(c net.Conn) (net.Conn, error) { return &frozen{c, span}, nil },
 		} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimulation(t, clientTimeBudget, stepOK)
-				defer w.end()
-				w.dial = dial
-				c := w.client()
-				got := w.ask(c, bufio.NewReader(c), route, "first")
-				require.Empty(t, w.deliveries, "%s, frozen in its %s", route, name)
+				sim := newSimulation(t, clientTimeBudget, stepOK)
+				defer sim.end()
+				sim.dial = dial
+				c := sim.client()
+				got := sim.ask(c, bufio.NewReader(c), route, "first")
+				require.Empty(t, sim.deliveries, "%s, frozen in its %s", route, name)
 				require.Equal(t, http.StatusServiceUnavailable, got.status, "nothing was sent")
 			})
 		}
@@ -165,23 +165,23 @@
 // still waits, so the request goes out, with the time that is left then.
 func TestServe_FrozenAfterChecks_ChecksAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, clientTimeBudget, step{name: "ok", runs: true, sent: -1, text: func(n int, r *http.Request) string {
+		sim := newSimulation(t, clientTimeBudget, step{name: "ok", runs: true, sent: -1, text: func(n int, r *http.Request) string {
 			require.Less(t, len(r.Header.Get("Time-Budget-Ms")), 4, "less than a second is left")
 			return stepOK.text(n, r)
 		}})
-		defer w.end()
+		defer sim.end()
 		first := true
-		w.dial = func(c net.Conn) (net.Conn, error) {
+		sim.dial = func(c net.Conn) (net.Conn, error) {
 			if first {
 				first = false
 				return &frozen{c, 1100 * time.Millisecond}, nil
 			}
 			return c, nil
 		}
-		c := w.client()
-		got := w.ask(c, bufio.NewReader(c), "once", "first")
+		c := sim.client()
+		got := sim.ask(c, bufio.NewReader(c), "once", "first")
 		require.Equal(t, http.StatusOK, got.status)
-		require.Len(t, w.deliveries, 1)
+		require.Len(t, sim.deliveries, 1)
 	})
 }
 
@@ -190,31 +190,31 @@
 func TestServe_ClientGone_FreesReplicaAtOnce(t *testing.T) {
 	const leaves = 50 * time.Millisecond
 	eachRoute(t, func(t *testing.T, route string) {
-		for _, s := range []step{stepSilent, {name: "stream", text: events, runs: true, sent: 160, then: silence}} {
+		for _, s := range []step{stepSilent, {name: "stream", text: events, runs: true, sent: 160, ending: silence}} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimulation(t, clientTimeBudget, s)
-				defer w.end()
-				c := w.client()
+				sim := newSimulation(t, clientTimeBudget, s)
+				defer sim.end()
+				c := sim.client()
 				time.AfterFunc(leaves, func() { _ = c.Close() })
 				at := time.Now()
-				w.ask(c, bufio.NewReader(c), route, "first")
+				sim.ask(c, bufio.NewReader(c), route, "first")
 				synctest.Wait()
-				require.Len(t, w.deliveries, 1)
-				require.Equal(t, leaves, w.deliveries[0].closed.Sub(at), "the replica's place is free at once")
-				require.Zero(t, w.router.inflight.Load())
+				require.Len(t, sim.deliveries, 1)
+				require.Equal(t, leaves, sim.deliveries[0].closed.Sub(at), "the replica's place is free at once")
+				require.Zero(t, sim.router.inflight.Load())
 			})
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, clientTimeBudget, stepOK)
-		defer w.end()
-		w.dial = func(net.Conn) (net.Conn, error) { return nil, errkind.New(errkind.UpstreamFailure, "refused") }
-		c := w.client()
+		sim := newSimulation(t, clientTimeBudget, stepOK)
+		defer sim.end()
+		sim.dial = func(net.Conn) (net.Conn, error) { return nil, errkind.New(errkind.UpstreamFailure, "refused") }
+		c := sim.client()
 		time.AfterFunc(leaves/10, func() { _ = c.Close() })
-		w.ask(c, bufio.NewReader(c), "once", "first")
+		sim.ask(c, bufio.NewReader(c), "once", "first")
 		time.Sleep(2 * leaves / 5)
 		synctest.Wait()
-		require.Zero(t, w.router.inflight.Load())
+		require.Zero(t, sim.router.inflight.Load())
 	})
 }
 
@@ -232,10 +232,10 @@
 func TestServe_ClientHalfClosed_NoEmptySuccess(t *testing.T) {
 	eachRoute(t, func(t *testing.T, route string) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newSimulation(t, clientTimeBudget, stepSilent)
-			defer w.end()
+			sim := newSimulation(t, clientTimeBudget, stepSilent)
+			defer sim.end()
 			near, far := net.Pipe()
-			w.doors <- &halfClosed{far, strings.NewReader(requestText(route, "first"))}
+			sim.clients <- &halfClosed{far, strings.NewReader(requestText(route, "first"))}
 			b, _ := io.ReadAll(near)
 			require.Empty(t, string(b))
 		})
@@ -264,10 +264,10 @@
 		for sent := 0; sent < length; sent += 5 { // shorter than any event
 			for first := 1; first <= streamEvents+1; first++ {
 				synctest.Test(t, func(t *testing.T) {
-					w := newSimulation(t, clientTimeBudget, step{text: complete, runs: true, sent: sent, then: resets}, step{text: from(first, true), runs: true, sent: -1})
-					defer w.end()
-					c := w.client()
-					got := w.ask(c, bufio.NewReader(c), "resume", "first")
+					sim := newSimulation(t, clientTimeBudget, step{text: complete, runs: true, sent: sent, ending: resets}, step{text: from(first, true), runs: true, sent: -1})
+					defer sim.end()
+					c := sim.client()
+					got := sim.ask(c, bufio.NewReader(c), "resume", "first")
 					if got.silent || got.status != http.StatusOK {
 						return
 					}
@@ -301,9 +301,9 @@
 	eachRoute(t, func(t *testing.T, route string) {
 		for _, s := range []step{stepOK, stepReset, stepFull, stepError} {
 			synctest.Test(t, func(t *testing.T) {
-				w := newSimulation(t, clientTimeBudget, s, stepOK)
-				defer w.end()
-				c := w.client()
+				sim := newSimulation(t, clientTimeBudget, s, stepOK)
+				defer sim.end()
+				c := sim.client()
 				go func() {
 					_, _ = io.WriteString(c, requestText(route, "p1")+requestText(route, "p2")+requestText(route, "p3"))
 				}()
--- a/internal/router/rendezvous_test.go
+++ b/internal/router/rendezvous_test.go
@@ -37,7 +37,7 @@
 		"c": {Pool: "q", Models: []state.Model{{Name: "m", Revision: 9}}},
 		"d": {Pool: "q"},
 	}
-	w := newModelRevisions(rs)
-	require.Equal(t, &modelRevisions{{"p", "m"}: 5, {"p", "n"}: 1, {"q", "m"}: 9}, w)
+	revisions := newModelRevisions(rs)
+	require.Equal(t, &modelRevisions{{"p", "m"}: 5, {"p", "n"}: 1, {"q", "m"}: 9}, revisions)
 	require.Zero(t, newModelRevisions(nil).of("p", "m"))
 }
--- a/internal/router/simulation_client_test.go
+++ b/internal/router/simulation_client_test.go
@@ -14,7 +14,7 @@
 // The clients of a simulation: they send requests to the front and keep what they saw.
 
 // seen is what a client saw.
-type seen struct {
+type received struct {
 	id       string
 	status   int
 	head     http.Header
@@ -25,12 +25,12 @@
 }
 
 // client opens a connection to the front.
-func (w *simulation) client() net.Conn {
+func (sim *simulation) client() net.Conn {
 	near, far := net.Pipe()
-	w.mu.Lock()
-	w.pipes = append(w.pipes, near)
-	w.mu.Unlock()
-	w.doors <- far
+	sim.mu.Lock()
+	sim.pipes = append(sim.pipes, near)
+	sim.mu.Unlock()
+	sim.clients <- far
 	return near
 }
 
@@ -39,9 +39,9 @@
 }
 
 // ask sends one request on a connection and reads what comes.
-func (w *simulation) ask(c net.Conn, br *bufio.Reader, route, id string) seen {
+func (sim *simulation) ask(c net.Conn, br *bufio.Reader, route, id string) received {
 	at := time.Now()
-	out := seen{id: id}
+	out := received{id: id}
 	_, err := io.WriteString(c, requestText(route, id))
 	if err != nil {
 		out.silent = true
@@ -64,21 +64,21 @@
 func play(t *testing.T, route string, timeout time.Duration, name string, steps ...step) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, timeout, steps...)
-		defer w.end()
-		c := w.client()
+		sim := newSimulation(t, timeout, steps...)
+		defer sim.end()
+		c := sim.client()
 		br := bufio.NewReader(c)
 		for _, id := range []string{"first", "second"} {
-			got := w.ask(c, br, route, id)
-			if wrong := w.judge(route, &got, timeout); wrong != "" {
+			got := sim.ask(c, br, route, id)
+			if wrong := sim.judge(route, &got, timeout); wrong != "" {
 				t.Fatalf("%s %s, %s: %s: %+v", route, name, id, wrong, got)
 			}
 			if got.silent || !got.complete {
 				return
 			}
-			w.mu.Lock()
-			w.deliveries = nil
-			w.mu.Unlock()
+			sim.mu.Lock()
+			sim.deliveries = nil
+			sim.mu.Unlock()
 		}
 	})
 }
--- a/internal/router/simulation_judge_test.go
+++ b/internal/router/simulation_judge_test.go
@@ -10,16 +10,16 @@
 // The judge of a simulation: it compares what a client saw with what the replicas saw.
 
 // judge checks one try by the rules.
-func (w *simulation) judge(route string, got *seen, timeout time.Duration) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) judge(route string, got *received, timeout time.Duration) string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var mine []*delivery
-	for _, d := range w.deliveries {
+	for _, d := range sim.deliveries {
 		if d.id == got.id || !d.complete {
 			mine = append(mine, d)
 		}
 	}
-	for _, check := range []func(string, *seen, []*delivery) string{judgeSending, judgePromise, judgeSeal, judgeSuccess, judgeStream} {
+	for _, check := range []func(string, *received, []*delivery) string{judgeSending, judgePromise, judgeSeal, judgeSuccess, judgeStream} {
 		if wrong := check(route, got, mine); wrong != "" {
 			return wrong
 		}
@@ -33,16 +33,16 @@
 func repeatable(route string) bool { return route == "repeat" || route == "resume" }
 
 // judgeSending: TWICE and the bound on attempts. Each sending of which a byte came counts.
-func judgeSending(route string, _ *seen, ds []*delivery) string {
+func judgeSending(route string, _ *received, ds []*delivery) string {
 	if len(ds) > maxAttempts {
 		return "more sendings than max_attempts"
 	}
 	open := 0
 	for _, d := range ds {
-		if !d.refused {
+		if !d.rejected {
 			open++
 		}
-		if !d.refused && d != ds[len(ds)-1] && !repeatable(route) {
+		if !d.rejected && d != ds[len(ds)-1] && !repeatable(route) {
 			return "sent again though it may have run"
 		}
 	}
@@ -53,11 +53,11 @@
 }
 
 // judgePromise: REFUSED, held for all kinds of routes.
-func judgePromise(_ string, got *seen, ds []*delivery) string {
+func judgePromise(_ string, got *received, ds []*delivery) string {
 	switch got.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		for _, d := range ds {
-			if !d.refused {
+			if !d.rejected {
 				return fmt.Sprint("a promise that does not hold: ", got.status)
 			}
 		}
@@ -66,7 +66,7 @@
 }
 
 // judgeSeal: a seal stands only on the status of the replica that gave it.
-func judgeSeal(_ string, got *seen, ds []*delivery) string {
+func judgeSeal(_ string, got *received, ds []*delivery) string {
 	seal := got.head.Get("Replica-Seal")
 	if got.silent || seal == "" {
 		return ""
@@ -80,7 +80,7 @@
 }
 
 // judgeSuccess: a success is a replica's, with its id and seal, and complete if it looks so.
-func judgeSuccess(_ string, got *seen, ds []*delivery) string {
+func judgeSuccess(_ string, got *received, ds []*delivery) string {
 	if got.silent || got.status >= 300 {
 		return ""
 	}
@@ -99,7 +99,7 @@
 }
 
 // judgeStream: ORDER.
-func judgeStream(_ string, got *seen, _ []*delivery) string {
+func judgeStream(_ string, got *received, _ []*delivery) string {
 	if got.silent || !strings.HasPrefix(got.head.Get("Content-Type"), "text/event-stream") {
 		return ""
 	}
--- a/internal/router/simulation_replica_test.go
+++ b/internal/router/simulation_replica_test.go
@@ -17,22 +17,22 @@
 // The replicas of a simulation: each does the scripted steps and keeps what it saw.
 
 // then is how a replica goes on after the scripted bytes.
-type then int
+type ending int
 
 const (
-	serves  then = iota // the connection is good for more
-	resets              // it ends
-	silence             // nothing more comes
+	serves  ending = iota // the connection is good for more
+	resets                // it ends
+	silence               // nothing more comes
 )
 
 // step is what the replicas do with the next request that reaches one of them.
 type step struct {
-	name string
-	text func(n int, r *http.Request) string // the answer
-	runs bool                                // the request is run
-	read int                                 // so many bytes of the request are read; 0: all of it
-	sent int                                 // so many bytes of the answer are written; -1: all of it
-	then then
+	name   string
+	text   func(n int, r *http.Request) string // the answer
+	runs   bool                                // the request is run
+	read   int                                 // so many bytes of the request are read; 0: all of it
+	sent   int                                 // so many bytes of the answer are written; -1: all of it
+	ending ending
 }
 
 // delivery is what a replica saw of one sending.
@@ -43,7 +43,7 @@
 	lastID   string
 	complete bool // all of the request came
 	ran      bool
-	refused  bool // a complete response promised that it was not run
+	rejected bool // a complete response promised that it was not run
 	status   int
 	seal     string
 	body     string
@@ -51,18 +51,18 @@
 }
 
 // next is the step for the next request.
-func (w *simulation) next() step {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.steps[0]
-	if len(w.steps) > 1 {
-		w.steps = w.steps[1:]
+func (sim *simulation) next() step {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	s := sim.steps[0]
+	if len(sim.steps) > 1 {
+		sim.steps = sim.steps[1:]
 	}
 	return s
 }
 
 // replica plays one connection.
-func (w *simulation) replica(addr string, c net.Conn) {
+func (sim *simulation) replica(addr string, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	for {
 		first := make([]byte, 1)
@@ -70,22 +70,22 @@
 			return
 		}
 		d := &delivery{replica: addr, at: time.Now()}
-		w.mu.Lock()
-		w.deliveries = append(w.deliveries, d)
-		number := len(w.deliveries)
-		w.mu.Unlock()
-		goesOn := w.perform(w.next(), d, number, c, first)
+		sim.mu.Lock()
+		sim.deliveries = append(sim.deliveries, d)
+		number := len(sim.deliveries)
+		sim.mu.Unlock()
+		goesOn := sim.perform(sim.next(), d, number, c, first)
 		if !goesOn {
-			w.mu.Lock()
+			sim.mu.Lock()
 			d.closed = time.Now()
-			w.mu.Unlock()
+			sim.mu.Unlock()
 			return
 		}
 	}
 }
 
 // perform does one step; false ends the connection.
-func (w *simulation) perform(s step, d *delivery, number int, c net.Conn, first []byte) bool {
+func (sim *simulation) perform(s step, d *delivery, number int, c net.Conn, first []byte) bool {
 	if s.read > 0 {
 		_, _ = io.ReadFull(c, make([]byte, s.read-1))
 		return false
@@ -98,9 +98,9 @@
 	if err != nil {
 		return false
 	}
-	require.Equal(w.t, "four", string(body))
+	require.Equal(sim.t, "four", string(body))
 	text := s.text(number, r)
-	w.record(s, d, number, r, text)
+	sim.record(s, d, number, r, text)
 	sent := s.sent
 	if sent < 0 {
 		sent = len(text)
@@ -108,21 +108,21 @@
 	if _, err := io.WriteString(c, text[:min(sent, len(text))]); err != nil {
 		return false
 	}
-	if s.then == silence {
+	if s.ending == silence {
 		_, _ = io.Copy(io.Discard, c)
 	}
-	return s.then == serves
+	return s.ending == serves
 }
 
 // record keeps what a delivery was.
-func (w *simulation) record(s step, d *delivery, number int, r *http.Request, text string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) record(s step, d *delivery, number int, r *http.Request, text string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	d.complete, d.ran = true, s.runs
 	d.id, d.lastID = r.Header.Get("Attempt-Id"), r.Header.Get("Last-Event-Id")
 	d.seal = sealOf(number)
 	complete := s.sent < 0 || s.sent >= len(text)
-	d.refused = !s.runs && complete
+	d.rejected = !s.runs && complete
 	if a, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil); err == nil {
 		d.status = a.StatusCode
 		b, _ := io.ReadAll(a.Body)
--- a/internal/router/simulation_test.go
+++ b/internal/router/simulation_test.go
@@ -31,15 +31,15 @@
 )
 
 // unreachableNet has nobody on it: the router under test follows no controller.
-type unreachableNet struct{}
+type unreachableNetwork struct{}
 
 // Dial fails.
-func (unreachableNet) Dial(string, time.Duration) (net.Conn, error) {
+func (unreachableNetwork) Dial(string, time.Duration) (net.Conn, error) {
 	return nil, os.ErrDeadlineExceeded
 }
 
 // Listen fails.
-func (unreachableNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unreachableNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // simulation is one router with its clients and replicas.
 type simulation struct {
@@ -47,8 +47,8 @@
 	t          *testing.T
 	router     *Router
 	front      *frontend.Server
-	doors      chan net.Conn
-	shut       chan struct{}
+	clients    chan net.Conn
+	closed     chan struct{}
 	mu         sync.Mutex
 	steps      []step
 	deliveries []*delivery
@@ -57,20 +57,20 @@
 }
 
 // Accept gives the next client.
-func (w *simulation) Accept() (net.Conn, error) {
+func (sim *simulation) Accept() (net.Conn, error) {
 	select {
-	case c := <-w.doors:
+	case c := <-sim.clients:
 		return c, nil
-	case <-w.shut:
+	case <-sim.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the listener.
-func (w *simulation) Close() error { close(w.shut); return nil }
+func (sim *simulation) Close() error { close(sim.closed); return nil }
 
 // Addr is no real address.
-func (w *simulation) Addr() net.Addr { return &net.UnixAddr{Name: "test"} }
+func (sim *simulation) Addr() net.Addr { return &net.UnixAddr{Name: "test"} }
 
 var simulatedRoutes = map[string]string{
 	"once":   `"route_type":"non_idempotent"`,
@@ -83,8 +83,8 @@
 func newSimulation(t *testing.T, timeout time.Duration, steps ...step) *simulation {
 	env := &settings.Settings{NodeName: "g", Zone: "a", IP: "10.0.0.1", Ports: []int{9000, 9100}, Bounds: settings.Bounds{BudgetRatio: 1, BudgetSlack: 100, BudgetWindowS: 10}, Limits: settings.Limits{MemoryMB: 64}}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &simulation{t: t, doors: make(chan net.Conn), shut: make(chan struct{}), steps: steps, cancel: cancel}
-	w.router = New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: unreachableNet{}, Dialer: w})
+	sim := &simulation{t: t, clients: make(chan net.Conn), closed: make(chan struct{}), steps: steps, cancel: cancel}
+	sim.router = New(ctx, slog.New(slog.DiscardHandler), Options{Settings: env, Net: unreachableNetwork{}, Dialer: sim})
 	var routes []string
 	for name, kind := range simulatedRoutes {
 		routes = append(routes, fmt.Sprintf(`{"name":%q,"hostname":"h","path_prefix":"/%s/","backend_pool":"p","timeout_ms":%d,"target_latency_ms":200,"max_attempts":%d,%s}`,
@@ -100,40 +100,40 @@
 		state.NewPutConfig(0, []byte(put)).WithoutDigest(),
 		state.UpdateReplicas{Changed: replicas},
 	} {
-		require.NoError(t, w.router.store.Update(state.EncodeEvent(e)))
+		require.NoError(t, sim.router.store.Update(state.EncodeEvent(e)))
 	}
-	require.True(t, w.router.ready.Load())
-	w.front = frontend.New(w.router.ctx, w.router.log, w, http.HandlerFunc(w.router.serve))
-	w.front.SetLimits(routing.Limits{})
-	go w.front.Run()
-	return w
+	require.True(t, sim.router.ready.Load())
+	sim.front = frontend.New(sim.router.ctx, sim.router.log, sim, http.HandlerFunc(sim.router.serve))
+	sim.front.SetLimits(routing.Limits{})
+	go sim.front.Run()
+	return sim
 }
 
 // end closes everything.
-func (w *simulation) end() {
-	w.front.Close()
-	w.router.mu.Lock()
-	for _, p := range w.router.pools {
+func (sim *simulation) end() {
+	sim.front.Close()
+	sim.router.mu.Lock()
+	for _, p := range sim.router.pools {
 		p.Close()
 	}
-	w.router.mu.Unlock()
-	w.mu.Lock()
-	for _, c := range w.pipes {
+	sim.router.mu.Unlock()
+	sim.mu.Lock()
+	for _, c := range sim.pipes {
 		_ = c.Close()
 	}
-	w.mu.Unlock()
-	w.cancel()
+	sim.mu.Unlock()
+	sim.cancel()
 }
 
 // DialReplica connects to a replica.
-func (w *simulation) DialReplica(addr string, _ time.Duration) (net.Conn, error) {
+func (sim *simulation) DialReplica(addr string, _ time.Duration) (net.Conn, error) {
 	near, far := net.Pipe()
-	w.mu.Lock()
-	w.pipes = append(w.pipes, near, far)
-	w.mu.Unlock()
-	go w.replica(addr, far)
-	if w.dial != nil {
-		return w.dial(near)
+	sim.mu.Lock()
+	sim.pipes = append(sim.pipes, near, far)
+	sim.mu.Unlock()
+	go sim.replica(addr, far)
+	if sim.dial != nil {
+		return sim.dial(near)
 	}
 	return near, nil
 }
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -50,15 +50,15 @@
 }
 
 func TestModelRevisions_NewestThatServiceServes(t *testing.T) {
-	w := newModelRevisions(map[string]*state.Replica{
+	revisions := newModelRevisions(map[string]*state.Replica{
 		"a": {ID: "a", Pool: "p", Models: []state.Model{{Name: "m", Revision: 3}, {Name: "n", Revision: 1}}},
 		"b": {ID: "b", Pool: "p", Models: []state.Model{{Name: "m", Revision: 5}}},
 		"c": {ID: "c", Pool: "q", Models: []state.Model{{Name: "m", Revision: 9}}},
 	})
-	require.Equal(t, int64(5), w.of("p", "m"))
-	require.Equal(t, int64(1), w.of("p", "n"))
-	require.Equal(t, int64(9), w.of("q", "m"))
-	require.Zero(t, w.of("q", "n"))
+	require.Equal(t, int64(5), revisions.of("p", "m"))
+	require.Equal(t, int64(1), revisions.of("p", "n"))
+	require.Equal(t, int64(9), revisions.of("q", "m"))
+	require.Zero(t, revisions.of("q", "n"))
 	require.Zero(t, newModelRevisions(nil).of("p", "m"))
 }
 
