--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// recordingNet has one controller on it, which notes what it is sent; nobody else is there.
+// recordingNetwork has one controller on it, which keeps what it is sent; nobody else is there.
 type recordingNetwork struct {
 	controller string
 	ctx        context.Context
--- a/internal/router/simulation_client_test.go
+++ b/internal/router/simulation_client_test.go
@@ -13,7 +13,7 @@
 
 // The clients of a simulation: they send requests to the front and keep what they saw.
 
-// seen is what a client saw.
+// received is what a client got.
 type received struct {
 	id       string
 	status   int
--- a/internal/router/simulation_replica_test.go
+++ b/internal/router/simulation_replica_test.go
@@ -16,7 +16,7 @@
 
 // The replicas of a simulation: each does the scripted steps and keeps what it saw.
 
-// then is how a replica goes on after the scripted bytes.
+// ending is how a replica goes on after the scripted bytes.
 type ending int
 
 const (
--- a/internal/router/simulation_test.go
+++ b/internal/router/simulation_test.go
@@ -30,7 +30,7 @@
 	maxAttempts      = 2                      // max_attempts of the routes
 )
 
-// unreachableNet has nobody on it: the router under test follows no controller.
+// unreachableNetwork has nobody on it: the router under test follows no controller.
 type unreachableNetwork struct{}
 
 // Dial fails.
