--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -22,7 +22,7 @@
   - {at_s: 0.1, for_s: 0.2, replica: desk-1, how: grey}
 `
 
-func TestAnExperimentGetsItsDefaults(t *testing.T) {
+func TestParse_GoodExperiment_GetsDefaults(t *testing.T) {
 	x, err := Parse([]byte(good))
 	require.NoError(t, err)
 	require.Equal(t, 1, x.Fleet.Routers)
@@ -39,7 +39,7 @@
 	require.JSONEq(t, `{"AtS":1,"ForS":2,"Replica":"desk-1","How":"grey"}`, string(got))
 }
 
-func TestABadExperimentNamesWhatIsWrong(t *testing.T) {
+func TestParse_BadExperiment_NamesWhatIsWrong(t *testing.T) {
 	for _, c := range []struct{ old, now, want string }{
 		{"name: small", "nmae: small", "field nmae not found"},
 		{"engine: {memory_tokens", "engine: {memory", "field memory not found"},
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -32,7 +32,7 @@
 	return l, w.Code
 }
 
-func TestTheListRunsBehindComesInPagesAndHasARate(t *testing.T) {
+func TestPlatform_List_LagsAndHasPagesAndRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestASlowConnectionDelaysBothWaysInOrder(t *testing.T) {
+func TestDelayedConn_BothWays_DelaysInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		s := newDelayedConn(a, 50*time.Millisecond)
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -26,7 +26,7 @@
 	return m
 }
 
-func TestDemoServesAllAndLeavesNothing(t *testing.T) {
+func TestRun_Demo_ServesAllAndLeavesNothing(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTroublesBreakNoRule(t *testing.T) {
+func TestRun_Faults_BreakNoRule(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Parse([]byte(`
 duration_s: 2
@@ -98,7 +98,7 @@
 	require.Empty(t, leftovers(t))
 }
 
-func TestAnInterruptedRunTellsWhatItHasAndCleansUp(t *testing.T) {
+func TestRun_Interrupted_SummarizesAndCleansUp(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
@@ -128,7 +128,7 @@
 	return len(b), nil
 }
 
-func TestWhatCannotBePutUpIsOneClearError(t *testing.T) {
+func TestRun_CannotStart_IsOneClearError(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	g, err := newAddressPool("", 0)
 	require.NoError(t, err)
@@ -150,7 +150,7 @@
 	require.Empty(t, leftovers(t))
 }
 
-func TestDaemonsTellTheirMetricsAtTheStatePorts(t *testing.T) {
+func TestDaemons_StatePorts_ServeListedMetrics(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestTheRuleCheckerSeesWhatIsBroken(t *testing.T) {
+func TestRuleChecker_BrokenRule_IsCounted(t *testing.T) {
 	for want, f := range map[string]func(*ruleChecker){
 		"TWICE":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.recordRun("a", "s2") },
 		"MIXED":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.checkSuccess("a", "s2", true) },
--- a/internal/emulator/series_test.go
+++ b/internal/emulator/series_test.go
@@ -13,7 +13,7 @@
 	"shaletrestle/internal/errkind"
 )
 
-func TestAFitIsTheLineThroughThePoints(t *testing.T) {
+func TestFitLine_Points_GiveLineAndError(t *testing.T) {
 	f := fitLine([]float64{1, 2, 3, 4}, []float64{5, 7, 9, 11})
 	require.InDelta(t, 2, f.Slope, 1e-9)
 	require.InDelta(t, 3, f.Intercept, 1e-9)
@@ -24,7 +24,7 @@
 	require.Zero(t, fitLine([]float64{1, 2, 3}, []float64{4, 4, 4}).R2)
 }
 
-func TestAHollowFleetIsMeasuredAndRebuilt(t *testing.T) {
+func TestMeasureFleetAndRecovery_SmallFleet_HasAllValues(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -39,7 +39,7 @@
 	require.Empty(t, leftovers(t))
 }
 
-func TestSeriesNeedAKnownName(t *testing.T) {
+func TestSlopes_UnknownName_IsInvalidSettings(t *testing.T) {
 	dir := t.TempDir()
 	err := Slopes(t.Context(), quiet(), []string{"nodes", "nodess"}, dir, Output{})
 	require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
@@ -50,7 +50,7 @@
 	require.NoFileExists(t, filepath.Join(dir, "placing.json"))
 }
 
-func TestASeriesIsFitted(t *testing.T) {
+func TestSeriesSpec_Measure_FitsLines(t *testing.T) {
 	var out bytes.Buffer
 	g := seriesSpec{name: "x", at: []float64{1, 2, 3, 4}, component: func(x float64) values { return values{"y": 2 * x} }}
 	s, err := g.measure(t.Context(), quiet(), nil, Output{Progress: &out}, 0)
@@ -59,7 +59,7 @@
 	require.Contains(t, out.String(), "y=8")
 }
 
-func TestACellAnswersEachCommand(t *testing.T) {
+func TestCell_EachCommand_IsAnswered(t *testing.T) {
 	c, err := startCellHere(t.Context(), quiet())
 	require.NoError(t, err)
 	_, err = c.do(command{Do: "start", Daemons: []daemonSpec{{Name: "router-1", File: filepath.Join(t.TempDir(), "none")}}})
--- a/internal/simtest/bad_input_test.go
+++ b/internal/simtest/bad_input_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raw sends bytes to a router and gives the answer's status; 0 is a close without one.
-func raw(t *testing.T, sim *Simulation, text string, slow time.Duration) int {
+// sendRaw sends bytes to a router and gives the answer's status; 0 is a close without one.
+func sendRaw(t *testing.T, sim *Simulation, text string, slow time.Duration) int {
 	t.Helper()
 	c, err := sim.Network.Host("10.8.0.3").Dial(sim.processes["router-1"].ip+":80", time.Second)
 	require.NoError(t, err)
@@ -36,8 +36,8 @@
 	return a.StatusCode
 }
 
-// small is a simulation with one router that serves.
-func small(t *testing.T) (*Simulation, *Script) {
+// newSmallSimulation is a simulation with one router that serves.
+func newSmallSimulation(t *testing.T) (*Simulation, *Script) {
 	t.Helper()
 	sim := NewSimulation(slog.New(slog.DiscardHandler))
 	s := &Script{sim: sim, failed: map[int]int{}}
@@ -48,7 +48,7 @@
 	return sim, s
 }
 
-func TestBadInputNeverReachesAReplica(t *testing.T) {
+func TestRouter_BadInput_NeverReachesReplica(t *testing.T) {
 	head := "POST /n/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: bad\r\nTime-Budget-Ms: 2000\r\n"
 	for _, x := range []struct {
 		name, text string
@@ -74,9 +74,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sim, s := small(t)
+				sim, s := newSmallSimulation(t)
 				defer func() { sim.Close(); time.Sleep(10 * time.Second) }()
-				require.Contains(t, x.want, raw(t, sim, x.text, x.slow))
+				require.Contains(t, x.want, sendRaw(t, sim, x.text, x.slow))
 				require.NoError(t, s.run("executed", []string{"r1", "max=0"}))
 				require.Empty(t, sim.violations)
 				require.NoError(t, s.run("request", []string{"router=router-1", "path=/n/x", "expect=200"}), "the router goes on serving")
@@ -85,13 +85,13 @@
 	}
 }
 
-func TestOddHintsDoNotFailAGoodInquiry(t *testing.T) {
+func TestRouter_OddHints_DoNotFailRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sim, _ := small(t)
+		sim, _ := newSmallSimulation(t)
 		defer func() { sim.Close(); time.Sleep(10 * time.Second) }()
 		for _, h := range []string{"Time-Budget-Ms: soon", "Time-Budget-Ms: 1e400", "Prompt-Prefix: ::,;", "Prompt-Prefix: zz:1,aa:x", "Token-Counts: a,b", "Token-Counts: -5,99999999999999999999", "Model:"} {
 			sim.register(&request{id: "ok", content: "POST /s/x "})
-			got := raw(t, sim, "POST /s/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: ok\r\n"+h+"\r\nContent-Length: 0\r\n\r\n", 0)
+			got := sendRaw(t, sim, "POST /s/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: ok\r\n"+h+"\r\nContent-Length: 0\r\n\r\n", 0)
 			require.Equal(t, http.StatusOK, got, h)
 		}
 		require.Empty(t, sim.violations)
--- a/internal/simtest/operator.go
+++ b/internal/simtest/operator.go
@@ -123,8 +123,8 @@
 	if status != 0 && status < firstUnclear && !unclear(status) {
 		delete(sim.operator.open, o)
 	}
-	alone := !sim.operator.changed && len(sim.operator.open) == 0
-	if wrong := checkRepeat(repeated && alone, status); wrong != "" {
+	nothingElseSent := !sim.operator.changed && len(sim.operator.open) == 0
+	if wrong := checkRepeat(repeated && nothingElseSent, status); wrong != "" {
 		sim.addViolationLocked(RuleRepeatRejected, fmt.Sprintf("%s on %s %s", o.method, o.ifMatch, wrong))
 	}
 	if status == http.StatusOK {
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -228,8 +228,8 @@
 func orderOf(method string, base, revision int, mark string) sentOrder {
 	route := fmt.Sprintf(markedRoute, mark)
 	if method == "PUT" {
-		whole := strings.Replace(configurationAt(revision, "", ""), `"route_table":[`, `"route_table":[`+route+",", 1)
-		return sentOrder{method, base, whole}
+		complete := strings.Replace(configurationAt(revision, "", ""), `"route_table":[`, `"route_table":[`+route+",", 1)
+		return sentOrder{method, base, complete}
 	}
 	return sentOrder{method, base, fmt.Sprintf(`{"revision":%d,"upsert":{"route_table":[%s]}}`, revision, route)}
 }
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -158,11 +158,11 @@
 	if isController(name) {
 		return sim.startController(p, env)
 	}
-	gate := router.New(p.ctx, p.log, router.Options{Settings: env, Net: p.incarnation, Dialer: p.incarnation, SlownessProbe: p.workTime})
+	started := router.New(p.ctx, p.log, router.Options{Settings: env, Net: p.incarnation, Dialer: p.incarnation, SlownessProbe: p.workTime})
 	sim.mu.Lock()
-	p.router = gate
+	p.router = started
 	sim.mu.Unlock()
-	go func() { _ = gate.Run() }()
+	go func() { _ = started.Run() }()
 	return nil
 }
 
@@ -171,12 +171,12 @@
 	if p.relay {
 		store = replication.NewNoDisk()
 	}
-	house, err := controller.New(p.ctx, p.log, controller.Options{Settings: env, Net: p.incarnation, Store: store})
+	started, err := controller.New(p.ctx, p.log, controller.Options{Settings: env, Net: p.incarnation, Store: store})
 	if err != nil {
 		return err
 	}
-	p.controller = house
-	go func() { _ = house.Run() }()
+	p.controller = started
+	go func() { _ = started.Run() }()
 	return nil
 }
 
--- a/internal/simtest/random_day_test.go
+++ b/internal/simtest/random_day_test.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-func (d *randomDay) pause(least, most time.Duration) error {
-	ms := int64(least/time.Millisecond) + d.draw.Int64N(int64((most-least)/time.Millisecond))
+func (d *randomDay) pause(shortest, longest time.Duration) error {
+	ms := int64(shortest/time.Millisecond) + d.draw.Int64N(int64((longest-shortest)/time.Millisecond))
 	return d.do("wait %dms", ms)
 }
 
@@ -98,7 +98,7 @@
 }
 
 // lasts begins a fault whose end comes some time later, beside other faults at times.
-func (d *randomDay) lasts(most time.Duration, begin, end string) error {
+func (d *randomDay) lasts(longest time.Duration, begin, end string) error {
 	if err := d.do("%s", begin); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	return d.pause(100*time.Millisecond, most)
+	return d.pause(100*time.Millisecond, longest)
 }
 
 // endPending ends the lasting faults.
@@ -147,7 +147,7 @@
 	return d.pause(50*time.Millisecond, 1500*time.Millisecond)
 }
 
-// change makes the next change and sends it until it is acknowledged; with one operator it may never be refused.
+// change makes the next change and sends it until it is acknowledged; with one operator it may never be rejected.
 func (d *randomDay) change() error {
 	next := d.revision + 1 + d.draw.IntN(4)
 	err := d.do("patch %d base=%d add=new%d expect=200,0", next, d.revision, next)
--- a/internal/simtest/replica.go
+++ b/internal/simtest/replica.go
@@ -127,10 +127,10 @@
 
 func (r *Replica) answerHealth(rw http.ResponseWriter) {
 	r.mu.Lock()
-	ill := r.unhealthy
+	unhealthy := r.unhealthy
 	r.mu.Unlock()
 	rw.Header().Set("Replica-Id", r.ID)
-	if ill {
+	if unhealthy {
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/internal/simtest/rule_test.go
+++ b/internal/simtest/rule_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestExchangeRulesBite shows for each rule on exchanges one that it passes and one that it finds.
-func TestExchangeRulesBite(t *testing.T) {
+// TestExchangeRules shows for each rule on exchanges one that it passes and one that it finds.
+func TestExchangeRules(t *testing.T) {
 	sealed := func(status int) func(*exchange) {
 		return func(x *exchange) {
 			x.header.Set("Replica-Seal", sealOf(x.id))
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestLostBites shows what beside planned work is a loss and what is not.
-func TestLostBites(t *testing.T) {
+// TestRuleLost shows what beside planned work is a loss and what is not.
+func TestRuleLost(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Simulation, *exchange)
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestFreeRefusalBites shows that a rejection counts only while replicas have free slots.
-func TestFreeRefusalBites(t *testing.T) {
+// TestPriceNeedlessRejection shows that a rejection counts only while replicas have free slots.
+func TestPriceNeedlessRejection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		busy  int
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestArrivalRulesBite shows for rules on arrivals one that passes and one that is found.
-func TestArrivalRulesBite(t *testing.T) {
+// TestRuleDrain shows for rules on arrivals one that passes and one that is found.
+func TestRuleDrain(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Simulation, *arrival)
@@ -181,8 +181,8 @@
 	a.replica.state, a.replica.since = "draining", a.now.Add(-d)
 }
 
-// TestAttemptRulesBite shows the bounds on where and how often a request runs.
-func TestAttemptRulesBite(t *testing.T) {
+// TestAttemptRules shows the bounds on where and how often a request runs.
+func TestAttemptRules(t *testing.T) {
 	r := &request{id: "q1", route: &route{MaxAttempts: 2}, ranOn: map[string]bool{"r1": true, "r2": true}, runs: 2}
 	require.Empty(t, checkAttempts(r))
 	require.Empty(t, checkRunsOnce(r))
@@ -192,8 +192,8 @@
 	require.NotEmpty(t, checkRunsOnce(r))
 }
 
-// TestOperatorRulesBite shows what answers to orders are checked for.
-func TestOperatorRulesBite(t *testing.T) {
+// TestOperatorRules shows what answers to orders are checked for.
+func TestOperatorRules(t *testing.T) {
 	require.NotEmpty(t, checkRepeat(true, 412))
 	require.Empty(t, checkRepeat(false, 412))
 	require.Empty(t, checkRepeat(true, 200))
@@ -207,8 +207,8 @@
 	require.Empty(t, checkWait(900*time.Millisecond, true))
 }
 
-// TestRepeatIsHeldAgainstTheNewestAcknowledgement follows orders as the operator sends them.
-func TestRepeatIsHeldAgainstTheNewestAcknowledgement(t *testing.T) {
+// TestRuleRepeatRejected_ComparesWithNewestAcknowledgement follows orders as the operator sends them.
+func TestRuleRepeatRejected_ComparesWithNewestAcknowledgement(t *testing.T) {
 	inSimulation(t, func(sim *Simulation) {
 		first := order{"PUT", "/v1/config", "0", configurationAt(5, "", "")}
 		second := order{"PUT", "/v1/config", "5", configurationAt(7, "", "")}
@@ -227,8 +227,8 @@
 	})
 }
 
-// TestDayRulesBite shows for rules on whole scenarios what they find.
-func TestDayRulesBite(t *testing.T) {
+// TestScenarioRules shows for rules on whole scenarios what they find.
+func TestScenarioRules(t *testing.T) {
 	kind := func(name string, priority, asked, served int, later bool) *routeCount {
 		return &routeCount{
 			route:      &route{Name: name, Service: "svc", Priority: priority, addedLater: later},
@@ -264,8 +264,8 @@
 	}
 }
 
-// TestStarvedSubjectsBite shows how many subjects may go unserved.
-func TestStarvedSubjectsBite(t *testing.T) {
+// TestRuleStarved shows how many subjects may go unserved.
+func TestRuleStarved(t *testing.T) {
 	all := newCounts()
 	all.routes["a"] = &routeCount{asked: 400, served: 380}
 	start := time.Now()
