--- a/internal/emulator/experiment_test.go
+++ b/internal/emulator/experiment_test.go
@@ -40,28 +40,30 @@
 }
 
 func TestParse_BadExperiment_NamesWhatIsWrong(t *testing.T) {
-	for _, c := range []struct{ old, now, want string }{
-		{"name: small", "nmae: small", "field nmae not found"},
-		{"engine: {memory_tokens", "engine: {memory", "field memory not found"},
-		{"replicas: 2", "replicas: -2", "services[desk].replicas must be 0 or more"},
-		{"per_s: 10", "per_s: -1", "kinds[lookup].per_s must be 0 or more"},
-		{"per_s: 10", "per_s: .nan", "kinds[lookup].per_s must be 0 or more"},
-		{"per_s: 10", "per_s: 1e9", "must be at most"},
-		{"per_s: 10", "count: -3", "kinds[lookup].count must be 0 or more"},
-		{"service: desk", "service: disk", "is not among the services: disk"},
-		{"type: idempotent", "type: twice", "kinds[lookup].type"},
-		{"replica: desk-1", "replica: desk-3", "troubles.replica names none: desk-3"},
-		{"how: grey", "how: blue", "troubles.how"},
-		{"name: model", "name: desk", "names desk twice"},
-		{"duration_s: 1", "duration_s: one", "cannot unmarshal"},
-		{"duration_s: 1", "address: 10.0.0.1", "must be a loopback address"},
-		{"duration_s: 1", "fleet: {machine_losses: 1}", "needs three controllers"},
-		{good, "", "is empty"},
+	for _, c := range []struct{ name, old, now, want string }{
+		{"unknown field", "name: small", "nmae: small", "field nmae not found"},
+		{"unknown field of an engine", "engine: {memory_tokens", "engine: {memory", "field memory not found"},
+		{"negative replicas", "replicas: 2", "replicas: -2", "services[desk].replicas must be 0 or more"},
+		{"negative rate", "per_s: 10", "per_s: -1", "kinds[lookup].per_s must be 0 or more"},
+		{"rate that is no number", "per_s: 10", "per_s: .nan", "kinds[lookup].per_s must be 0 or more"},
+		{"rate above its bound", "per_s: 10", "per_s: 1e9", "must be at most"},
+		{"negative count", "per_s: 10", "count: -3", "kinds[lookup].count must be 0 or more"},
+		{"unknown service", "service: desk", "service: disk", "is not among the services: disk"},
+		{"unknown type", "type: idempotent", "type: twice", "kinds[lookup].type"},
+		{"unknown replica", "replica: desk-1", "replica: desk-3", "troubles.replica names none: desk-3"},
+		{"unknown fault", "how: grey", "how: blue", "troubles.how"},
+		{"same name twice", "name: model", "name: desk", "names desk twice"},
+		{"word for a number", "duration_s: 1", "duration_s: one", "cannot unmarshal"},
+		{"address beyond the machine", "duration_s: 1", "address: 10.0.0.1", "must be a loopback address"},
+		{"losses with too few controllers", "duration_s: 1", "fleet: {machine_losses: 1}", "needs three controllers"},
+		{"empty file", good, "", "is empty"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.now, 1)))
-		require.Error(t, err, c.want)
-		require.Contains(t, err.Error(), c.want)
-		require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
-		require.NotContains(t, err.Error(), "\n", "one clear line")
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(good, c.old, c.now, 1)))
+			require.Error(t, err, c.want)
+			require.Contains(t, err.Error(), c.want)
+			require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
+			require.NotContains(t, err.Error(), "\n", "one clear line")
+		})
 	}
 }
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -34,7 +34,7 @@
 
 func TestPlatform_List_LagsAndHasPagesAndRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var n atomic.Int64
 		n.Store(5)
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -21,6 +21,7 @@
 
 // leftovers lists what experiments left in the temporary folder.
 func leftovers(t *testing.T) []string {
+	t.Helper()
 	m, err := filepath.Glob(filepath.Join(os.TempDir(), "emulator-*"))
 	require.NoError(t, err)
 	return m
@@ -31,9 +32,9 @@
 	x, err := Demo()
 	require.NoError(t, err)
 	x.DurationS = 1
-	g, err := newAddressPool("", 0)
+	pool, err := newAddressPool("", 0)
 	require.NoError(t, err)
-	x.Address, x.Port = g.ip(0), g.port
+	x.Address, x.Port = pool.ip(0), pool.port
 	var lines, progress bytes.Buffer
 	plots := t.TempDir()
 	s, err := Run(t.Context(), quiet(), x, Output{Lines: &lines, Progress: &progress, Plots: plots})
@@ -49,10 +50,10 @@
 	require.Contains(t, table.String(), "p99 ms")
 	require.Empty(t, leftovers(t))
 	for n := range uint32(9) { // platform, five replicas, three daemons
-		for off := range 8 {
-			ln, err := listen(g.address(g.ip(n), off))
+		for offset := range 8 {
+			listener, err := listen(pool.address(pool.ip(n), offset))
 			require.NoError(t, err, "everything was closed")
-			_ = ln.Close()
+			_ = listener.Close()
 		}
 	}
 }
@@ -103,7 +104,7 @@
 	x, err := Demo()
 	require.NoError(t, err)
 	x.DurationS, x.Kinds[0].Count = 300, 0
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	got := make(chan struct{}, 1)
 	go func() { <-got; cancel() }()
@@ -130,16 +131,17 @@
 
 func TestRun_CannotStart_IsOneClearError(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	g, err := newAddressPool("", 0)
+	pool, err := newAddressPool("", 0)
 	require.NoError(t, err)
-	ln, err := listen(g.address(g.ip(1), portReplica))
+	occupied := pool.address(pool.ip(1), portReplica)
+	listener, err := listen(occupied)
 	require.NoError(t, err)
-	defer func() { _ = ln.Close() }()
+	defer func() { _ = listener.Close() }()
 	x, err := Parse([]byte(good))
 	require.NoError(t, err)
-	x.Address, x.Port = g.ip(0), g.port
+	x.Address, x.Port = pool.ip(0), pool.port
 	_, err = Run(t.Context(), quiet(), x, Output{})
-	require.ErrorContains(t, err, g.address(g.ip(1), portReplica)+" is taken")
+	require.ErrorContains(t, err, occupied+" is taken")
 	require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 
 	x, err = Parse([]byte(good))
@@ -154,18 +156,18 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	x, err := Demo()
 	require.NoError(t, err)
-	y, err := newTestbed(t.Context(), quiet(), x, nil)
+	bed, err := newTestbed(t.Context(), quiet(), x, nil)
 	require.NoError(t, err)
-	defer y.close()
-	require.NoError(t, y.startDaemons())
-	_, err = y.operator.put(y.ctx, x.configuration(), defaultReadyTimeout)
+	defer bed.close()
+	require.NoError(t, bed.startDaemons())
+	_, err = bed.operator.put(bed.ctx, x.configuration(), defaultReadyTimeout)
 	require.NoError(t, err)
-	require.NoError(t, y.awaitRouters(y.routers))
+	require.NoError(t, bed.awaitRouters(bed.routers))
 	page, err := os.ReadFile("../../docs/metrics.md")
 	require.NoError(t, err)
 	for at, want := range map[string]string{
-		y.addresses.address(y.routers[0].ip, settings.RouterStatePortOffset):      "router_config_revision 1\n",
-		y.addresses.address(y.controllers[0].ip, settings.ControlStatePortOffset): "controller_primary 1\n",
+		bed.addresses.address(bed.routers[0].ip, settings.RouterStatePortOffset):      "router_config_revision 1\n",
+		bed.addresses.address(bed.controllers[0].ip, settings.ControlStatePortOffset): "controller_primary 1\n",
 	} {
 		a, err := probes.Get("http://" + at + "/metrics")
 		require.NoError(t, err)
@@ -182,27 +184,35 @@
 }
 
 func TestRuleChecker_BrokenRule_IsCounted(t *testing.T) {
-	for want, f := range map[string]func(*ruleChecker){
-		"TWICE":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.recordRun("a", "s2") },
-		"MIXED":   func(j *ruleChecker) { j.recordRun("a", "s1"); j.checkSuccess("a", "s2", true) },
-		"REFUSED": func(j *ruleChecker) { j.recordRun("a", "s1"); j.checkRejection("a") },
-		"UNASKED": func(j *ruleChecker) { j.recordArrival("a", "POST /y changed") },
+	for _, c := range []struct {
+		rule      string
+		breakRule func(*ruleChecker)
+	}{
+		{"TWICE", func(rules *ruleChecker) { rules.recordRun("a", "s1"); rules.recordRun("a", "s2") }},
+		{"MIXED", func(rules *ruleChecker) { rules.recordRun("a", "s1"); rules.checkSuccess("a", "s2", true) }},
+		{"REFUSED", func(rules *ruleChecker) { rules.recordRun("a", "s1"); rules.checkRejection("a") }},
+		{"UNASKED", func(rules *ruleChecker) { rules.recordArrival("a", "POST /y changed") }},
 	} {
-		j := newRuleChecker()
-		j.recordSent("a", true, "POST /x body")
-		j.recordArrival("a", "POST /x body")
-		n, _ := j.result()
-		require.Zero(t, n)
-		f(j)
-		n, what := j.result()
-		require.Equal(t, 1, n)
-		require.Contains(t, what[0], want)
+		t.Run(c.rule, func(t *testing.T) {
+			rules := newRuleChecker()
+			rules.recordSent("a", true, "POST /x body")
+			rules.recordArrival("a", "POST /x body")
+			count, _ := rules.result()
+			require.Zero(t, count)
+			c.breakRule(rules)
+			count, violations := rules.result()
+			require.Equal(t, 1, count)
+			require.Contains(t, violations[0], c.rule)
+		})
 	}
-	j := newRuleChecker()
-	j.recordSent("a", false, "")
-	j.recordRun("a", "s1")
-	j.recordRun("a", "s2")
-	j.checkSuccess("a", "s2", true)
-	n, _ := j.result()
-	require.Zero(t, n, "what may be repeated may run again")
+}
+
+func TestRuleChecker_IdempotentRunsAgain_BreaksNoRule(t *testing.T) {
+	rules := newRuleChecker()
+	rules.recordSent("a", false, "")
+	rules.recordRun("a", "s1")
+	rules.recordRun("a", "s2")
+	rules.checkSuccess("a", "s2", true)
+	count, _ := rules.result()
+	require.Zero(t, count)
 }
--- a/internal/emulator/series_test.go
+++ b/internal/emulator/series_test.go
@@ -26,7 +26,7 @@
 
 func TestMeasureFleetAndRecovery_SmallFleet_HasAllValues(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	start := func() (*cell, error) { return startCellHere(ctx, quiet()) }
 	z := fleetSize{Nodes: 6, Controllers: 3, Replicas: 30, Models: 3, Routes: 9, Tenants: 3, DelayMs: 1, Changes: 600, Churn: 600}
@@ -44,7 +44,7 @@
 	err := Slopes(t.Context(), quiet(), []string{"nodes", "nodess"}, dir, Output{})
 	require.Equal(t, errkind.InvalidSettings, errkind.KindOf(err))
 	require.ErrorContains(t, err, `"nodess"`)
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.Error(t, Slopes(ctx, quiet(), []string{"placing"}, dir, Output{}), "an interrupted series is not written")
 	require.NoFileExists(t, filepath.Join(dir, "placing.json"))
