--- a/internal/simtest/command_configuration.go
+++ b/internal/simtest/command_configuration.go
@@ -26,7 +26,7 @@
 // putConfiguration is the command "put 5 base=0 expect=200 extra=x flaw=y at=controller-1".
 func putConfiguration(s *Script, a args) error {
 	body := configurationAt(a.number("rev", numberOf(a.argument(0))), a.options["extra"], a.options["flaw"])
-	return s.expectAnswer(order{"PUT", "/v1/config", a.options["base"], body}, a)
+	return s.expectAnswer(order{"PUT", configPath, a.options["base"], body}, a)
 }
 
 // patchConfiguration is the command "patch 7 base=5 add=name remove=name expect=200 pool=svc type=idempotent timeout=3000 target_latency=400 priority=1 attempts=2".
@@ -39,7 +39,7 @@
 		remove = fmt.Sprintf(`,"remove":{"route_table":["r-%s"]}`, name)
 	}
 	body := fmt.Sprintf(`{"revision":%s%s%s}`, a.argument(0), upsert, remove)
-	return s.expectAnswer(order{"PATCH", "/v1/config", a.options["base"], body}, a)
+	return s.expectAnswer(order{"PATCH", configPath, a.options["base"], body}, a)
 }
 
 // routeText is a route that a patch adds, at the path of its name.
@@ -74,7 +74,7 @@
 		go func() {
 			defer s.background.Done()
 			for n := 0; time.Now().Before(end); n++ {
-				_, _ = s.sim.Send(a.options["at"], "PUT", "/v1/config", "5", configurationAt(firstRevision+10*n+i, "", ""))
+				_, _ = s.sim.Send(a.options["at"], order{"PUT", configPath, "5", configurationAt(firstRevision+10*n+i, "", "")})
 				time.Sleep(pause)
 			}
 		}()
@@ -84,7 +84,7 @@
 
 // evacuate is the command "evacuate a expect=200".
 func evacuate(s *Script, a args) error {
-	got := s.send(order{method: "POST", path: "/v1/evacuation/" + a.argument(0)}, a)
+	got := s.send(order{method: "POST", path: evacuationPath + a.argument(0)}, a)
 	if got == http.StatusOK {
 		s.sim.setEvacuated(a.argument(0), time.Now())
 	}
@@ -94,7 +94,7 @@
 // endEvacuation is the command "end_evacuation a expect=200": the evacuation is taken back
 func endEvacuation(s *Script, a args) error {
 	s.sim.setEvacuated(a.argument(0), time.Time{})
-	return a.checkStatus(s.send(order{method: "DELETE", path: "/v1/evacuation/" + a.argument(0)}, a))
+	return a.checkStatus(s.send(order{method: "DELETE", path: evacuationPath + a.argument(0)}, a))
 }
 
 // setEvacuated notes since when a zone's replicas are to get nothing more; never for the zero time.
@@ -116,7 +116,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			got[i] = s.sim.SendUntilClear(orderTimeout, "PUT", "/v1/config", a.options["base"], configurationAt(numberOf(a.argument(i)), fmt.Sprintf("w%d", i), ""))
+			got[i] = s.sim.SendUntilClear(orderTimeout, order{"PUT", configPath, a.options["base"], configurationAt(numberOf(a.argument(i)), fmt.Sprintf("w%d", i), "")})
 		}()
 	}
 	wg.Wait()
@@ -133,7 +133,7 @@
 			if a.options["at"] != "" && name != a.options["at"] {
 				continue
 			}
-			status, body := s.sim.Send(name, "GET", "/v1/config", "", "")
+			status, body := s.sim.Send(name, order{method: "GET", path: configPath})
 			if status != http.StatusOK {
 				continue
 			}
@@ -164,10 +164,10 @@
 func (s *Script) send(o order, a args) int {
 	nodes := a.options["at"]
 	if nodes == "" {
-		return s.sim.SendUntilClear(a.duration("within", orderTimeout), o.method, o.path, o.ifMatch, o.body)
+		return s.sim.SendUntilClear(a.duration("within", orderTimeout), o)
 	}
 	if !strings.Contains(nodes, ",") {
-		got, _ := s.sim.Send(nodes, o.method, o.path, o.ifMatch, o.body)
+		got, _ := s.sim.Send(nodes, o)
 		return got
 	}
 	return s.sendInTurn(o, strings.Split(nodes, ","))
@@ -177,7 +177,7 @@
 func (s *Script) sendInTurn(o order, nodes []string) (got int) {
 	for end := time.Now().Add(orderTimeout); time.Now().Before(end); time.Sleep(orderRetryPause / 2) {
 		for _, node := range nodes {
-			got, _ = s.sim.Send(node, o.method, o.path, o.ifMatch, o.body)
+			got, _ = s.sim.Send(node, o)
 			if got != 0 && got < firstUnclear {
 				return got
 			}
--- a/internal/simtest/command_control.go
+++ b/internal/simtest/command_control.go
@@ -30,7 +30,7 @@
 
 // repeatNumbered is the command "repeat_change patch of base=6 as sent by changes, expect=200".
 func repeatNumbered(s *Script, a args) error {
-	return s.expectAnswer(order{"PATCH", "/v1/config", a.options["base"], numbered(a.number("base", 0))}, a)
+	return s.expectAnswer(order{"PATCH", configPath, a.options["base"], numbered(a.number("base", 0))}, a)
 }
 
 // isolateNode is the command "isolate controller-1": nothing goes to it or comes from it, as if it stood still
@@ -105,7 +105,7 @@
 func (s *Script) changeInTurn(n int, a args) error {
 	from := a.number("from", 5)
 	for base := from; base < from+n; base++ {
-		if got := s.sim.SendUntilClear(4*time.Second, "PATCH", "/v1/config", fmt.Sprint(base), numbered(base)); got != 200 {
+		if got := s.sim.SendUntilClear(orderTimeout, order{"PATCH", configPath, fmt.Sprint(base), numbered(base)}); got != 200 {
 			return fmt.Errorf("the change on %d was answered %d", base, got)
 		}
 	}
--- a/internal/simtest/operator.go
+++ b/internal/simtest/operator.go
@@ -19,13 +19,19 @@
 // evacuationWait is how long an evacuation may wait for its acknowledgement in a calm time.
 const evacuationWait = time.Second
 
+// Paths of the control interface.
+const (
+	configPath     = "/v1/config"
+	evacuationPath = "/v1/evacuation/" // before a zone's name
+)
+
 // order is one order of the operator as it is sent.
 type order struct {
 	method, path, ifMatch, body string
 }
 
 // changes reports whether an order is one on the configuration.
-func (o order) changes() bool { return o.path == "/v1/config" && o.method != http.MethodGet }
+func (o order) changes() bool { return o.path == configPath && o.method != http.MethodGet }
 
 // operator is what the judge knows of the operator's orders.
 type operator struct {
@@ -37,10 +43,9 @@
 }
 
 // Send makes one call of the operator on one node, following 307; status 0 is no clear answer.
-func (sim *Simulation) Send(node, method, path, ifMatch, body string) (int, string) {
-	o := order{method, path, ifMatch, body}
+func (sim *Simulation) Send(node string, o order) (status int, answer string) {
 	repeated := sim.recordSent(o)
-	status, answer := sim.sendOnce(node, o)
+	status, answer = sim.sendOnce(node, o)
 	if sim.isAnswerLost() {
 		return 0, ""
 	}
@@ -149,20 +154,20 @@
 	return status == http.StatusRequestTimeout || status == http.StatusTooManyRequests
 }
 
-// SendUntilClear repeats an order on all nodes until a clear answer comes, at most d.
-func (sim *Simulation) SendUntilClear(d time.Duration, method, path, ifMatch, body string) int {
+// SendUntilClear repeats an order on all nodes until a clear answer comes, at most for a time; 0 if none came.
+func (sim *Simulation) SendUntilClear(within time.Duration, o order) int {
 	start := time.Now()
-	end := start.Add(d)
+	end := start.Add(within)
 	nodes := sim.controllers()
 	for i := 0; time.Now().Before(end); i++ {
-		status, _ := sim.Send(nodes[i%len(nodes)], method, path, ifMatch, body)
+		status, _ := sim.Send(nodes[i%len(nodes)], o)
 		if status != 0 && status < firstUnclear && status != http.StatusTemporaryRedirect && !unclear(status) {
-			sim.judgeEvacuationWait(path, start)
+			sim.judgeEvacuationWait(o.path, start)
 			return status
 		}
 		time.Sleep(orderRetryPause)
 	}
-	sim.judgeEvacuationWait(path, start)
+	sim.judgeEvacuationWait(o.path, start)
 	return 0
 }
 
@@ -181,7 +186,7 @@
 
 // judgeEvacuationWait checks the time that an evacuation waited for a clear answer.
 func (sim *Simulation) judgeEvacuationWait(path string, start time.Time) {
-	if !strings.HasPrefix(path, "/v1/evacuation/") {
+	if !strings.HasPrefix(path, evacuationPath) {
 		return
 	}
 	sim.mu.Lock()
