--- a/coord/replication/doc.go
+++ b/coord/replication/doc.go
@@ -14,5 +14,5 @@
 //
 // # State
 //
-// In memory: the core, the calls that wait, the events and disk jobs that are queued. On disk, written by the disk goroutine alone: what the Store documents. A restart loses what is in memory: calls that waited have no clear answer, and a replica takes entries again only after it was given the state, or was found to have it, by the primary of a view.
+// In memory: the core, the calls that wait, the events and disk jobs that are queued. On disk, written by the disk goroutine alone (and by Resetter.Reset in New): what the Store documents. A restart loses what is in memory: calls that waited have no clear answer, and a replica takes entries again only after it was given the state, or was found to have it, by the primary of a view.
 package replication
--- a/coord/replication/store/osfiles.go
+++ b/coord/replication/store/osfiles.go
@@ -24,7 +24,7 @@
 	return os.Mkdir(path, dirMode)
 }
 
-// List gives the names in a directory.
+// List returns the names in a directory.
 func (OSFiles) List(path string) ([]string, error) {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return names, nil
 }
 
-// ReadFile gives the whole content of a file.
+// ReadFile returns the whole content of a file.
 func (OSFiles) ReadFile(path string) ([]byte, error) {
 	return os.ReadFile(path)
 }
--- a/coord/replication/store/record.go
+++ b/coord/replication/store/record.go
@@ -43,7 +43,7 @@
 	return record
 }
 
-// unseal gives the owner and the payload of a complete record of a kind.
+// unseal returns the owner and the payload of a complete record of a kind.
 func unseal(kind recordKind, record []byte) (owner uint64, payload []byte, ok bool) {
 	if len(record) < payloadOffset || !bytes.HasPrefix(record, recordMagic) {
 		return 0, nil, false
--- a/coord/replication/store/storetest/disk.go
+++ b/coord/replication/store/storetest/disk.go
@@ -46,7 +46,7 @@
 
 // Disk is a model of a disk. It implements store.FileSystem. The zero value is not usable; see NewDisk.
 type Disk struct {
-	// Fail gives the error with which a step fails, or nil. The step then has no effect, except that half of a write is done.
+	// Fail returns the error with which a step fails, or nil. The step then has no effect, except that half of a write is done.
 	Fail func(Operation) error
 	// Skip tells whether a step is reported as done but has no effect. It is for tests of the tests.
 	Skip func(Operation) bool
@@ -64,7 +64,7 @@
 
 var _ store.FileSystem = (*Disk)(nil)
 
-// NewDisk gives an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk {
 	return &Disk{root: newDirectory()}
 }
@@ -74,12 +74,12 @@
 	d.powerCutStep = step
 }
 
-// Steps gives the steps done so far.
+// Steps returns the steps done so far.
 func (d *Disk) Steps() []Operation {
 	return d.steps
 }
 
-// PeakBytes gives the most bytes of contents that were on the disk at once.
+// PeakBytes returns the most bytes of contents that were on the disk at once.
 func (d *Disk) PeakBytes() int {
 	return d.peakBytes
 }
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// List gives the names in a directory.
+// List returns the names in a directory.
 func (d *Disk) List(name string) ([]string, error) {
 	if d.poweredOff {
 		return nil, ErrPowerOff
@@ -134,7 +134,7 @@
 	return found.names(), nil
 }
 
-// ReadFile gives the whole content of a file.
+// ReadFile returns the whole content of a file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	if d.poweredOff {
 		return nil, ErrPowerOff
--- a/coord/replication/store/storetest/node.go
+++ b/coord/replication/store/storetest/node.go
@@ -81,7 +81,7 @@
 	f.pending = nil
 }
 
-// applyTo gives a content after the change. What was missing before a write's offset reads as zeros.
+// applyTo returns a content after the change. What was missing before a write's offset reads as zeros.
 func (c fileChange) applyTo(content []byte) []byte {
 	if c.truncation {
 		if len(content) <= c.offset {
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -13,7 +13,7 @@
 	d.steps = nil
 }
 
-// Copy gives a disk that is the same and shares nothing, without faults.
+// Copy returns a disk that is the same and shares nothing, without faults.
 func (d *Disk) Copy() *Disk {
 	return &Disk{root: copier{}.node(d.root).(*directory), CapacityBytes: d.CapacityBytes}
 }
@@ -72,7 +72,7 @@
 	return generator.IntN
 }
 
-// AfterPowerLoss gives the disk as a loss of power leaves it. The possibilities for each name and each write are picked by the chooser.
+// AfterPowerLoss returns the disk as a loss of power leaves it. The possibilities for each name and each write are picked by the chooser.
 func (d *Disk) AfterPowerLoss(choose Chooser) *Disk {
 	loss := powerLoss{choose: choose, copies: map[node]node{}}
 	return &Disk{root: loss.directory(d.root), CapacityBytes: d.CapacityBytes}
@@ -149,7 +149,7 @@
 	return left
 }
 
-// everyName gives the names that are or may be in the directory.
+// everyName returns the names that are or may be in the directory.
 func (f *directory) everyName() []string {
 	names := f.names()
 	for name := range f.durable {
@@ -173,7 +173,7 @@
 	return &file{durable: content, current: content}
 }
 
-// possibilities gives what may be left of a change: nothing, parts, all. Of a torn write a part at its start is there, and the rest is missing or reads as zeros.
+// possibilities returns what may be left of a change: nothing, parts, all. Of a torn write a part at its start is there, and the rest is missing or reads as zeros.
 func (c fileChange) possibilities() [][]fileChange {
 	missing := []fileChange{}
 	complete := []fileChange{c}
