--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -178,7 +178,7 @@
 	return -1
 }
 
-// otherPrimary tells whether a member other than i is primary.
+// otherPrimary reports whether a member other than i is primary.
 func (c *cluster) otherPrimary(i int) bool {
 	for j, m := range c.members {
 		if _, ok := m.PrimaryEpoch(); ok && j != i {
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -104,7 +104,7 @@
 	l.sent = 0
 }
 
-// usable tells whether the channel is open and not silent. One on which nothing was received for the time-out of a reply, since something was sent on it, is given up: the path may be another by now.
+// usable reports whether the channel is open and not silent. One on which nothing was received for the time-out of a reply, since something was sent on it, is given up: the path may be another by now.
 func (l *link) usable() bool {
 	if l.channel == nil {
 		return false
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// belongsToChange tells whether a message is of a change of view, of a transfer of state or of leaving.
+// belongsToChange reports whether a message is of a change of view, of a transfer of state or of leaving.
 func belongsToChange(m core.Message) bool {
 	switch m.(type) {
 	case core.Hello, core.HelloReply, core.Heartbeat, core.HeartbeatReply, core.Append, core.AppendReply, core.Confirm, core.ConfirmReply:
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -22,7 +22,7 @@
 	return rpcMembers(view.Witnesses)
 }
 
-// PrimaryEpoch tells whether this member is primary, and of which epoch. It may be deposed already without knowing: Confirm tells for sure.
+// PrimaryEpoch reports whether this member is primary, and of which epoch. It may be deposed already without knowing: Confirm tells for sure.
 func (m *Member) PrimaryEpoch() (epoch uint64, isPrimary bool) {
 	s := m.status.Load()
 	return uint64(s.epoch), s.isPrimary
--- a/coord/replication/store/files.go
+++ b/coord/replication/store/files.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// isSyncUnsupported tells whether a sync of a directory was refused for good.
+// isSyncUnsupported reports whether a sync of a directory was refused for good.
 func isSyncUnsupported(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, errors.ErrUnsupported) || errors.Is(err, syscall.EINVAL)
 }
@@ -121,12 +121,12 @@
 	_ = s.files.Remove(name)
 }
 
-// isFinishedRecord tells whether a name is that of a register, snapshot or log that counted.
+// isFinishedRecord reports whether a name is that of a register, snapshot or log that counted.
 func isFinishedRecord(name string) bool {
 	return isOwnName(name) && !strings.HasSuffix(name, unfinishedSuffix)
 }
 
-// isFirstFormat tells whether a directory whose identity is not one of this format was written by the first version.
+// isFirstFormat reports whether a directory whose identity is not one of this format was written by the first version.
 func isFirstFormat(identityContent []byte, names []string) bool {
 	return bytes.HasPrefix(identityContent, firstFormatMagic) || slices.ContainsFunc(names, isFirstFormatName)
 }
--- a/coord/replication/store/names.go
+++ b/coord/replication/store/names.go
@@ -87,7 +87,7 @@
 	return newest
 }
 
-// isOwnName tells whether a name in the data directory was given by this package. Others are left alone.
+// isOwnName reports whether a name in the data directory was given by this package. Others are left alone.
 func isOwnName(name string) bool {
 	name = strings.TrimSuffix(name, unfinishedSuffix)
 	if name == identityFileName {
@@ -96,7 +96,7 @@
 	return hasAnyPrefix(name, registerPrefix, snapshotPrefix, logPrefix)
 }
 
-// isFirstFormatName tells whether a name is one of the first format: a number follows its prefix, where this format has the disk's id.
+// isFirstFormatName reports whether a name is one of the first format: a number follows its prefix, where this format has the disk's id.
 func isFirstFormatName(name string) bool {
 	for _, prefix := range firstFormatPrefixes {
 		digits, ok := strings.CutPrefix(name, prefix)
--- a/coord/replication/store/segment.go
+++ b/coord/replication/store/segment.go
@@ -61,7 +61,7 @@
 	return owner, entry, size, ok
 }
 
-// hasEntryAfter tells whether a complete entry with a higher index is anywhere in a damaged part of a segment.
+// hasEntryAfter reports whether a complete entry with a higher index is anywhere in a damaged part of a segment.
 func hasEntryAfter(owner uint64, index core.Index, damaged []byte) bool {
 	for at := 0; at < len(damaged); at++ {
 		found := bytes.Index(damaged[at:], recordMagic)
--- a/coord/replication/store/state.go
+++ b/coord/replication/store/state.go
@@ -137,7 +137,7 @@
 	return entries, s.log.Sync()
 }
 
-// tryTruncate truncates a segment and tells whether the disk could.
+// tryTruncate truncates a segment and reports whether the disk could.
 func (s *Store) tryTruncate(segment string, size int) bool {
 	return s.files.Truncate(segment, int64(size)) == nil
 }
--- a/coord/replication/store/store.go
+++ b/coord/replication/store/store.go
@@ -133,7 +133,7 @@
 	return s.syncNames()
 }
 
-// readIdentity tells whether the directory has an identity, and reads it.
+// readIdentity reports whether the directory has an identity, and reads it.
 func (s *Store) readIdentity(names []string) (found bool, err error) {
 	var content []byte
 	present := slices.Contains(names, identityFileName)
--- a/coord/replication/store/storetest/disk.go
+++ b/coord/replication/store/storetest/disk.go
@@ -48,7 +48,7 @@
 type Disk struct {
 	// Fail returns the error with which a step fails, or nil. The step then has no effect, except that half of a write is done.
 	Fail func(Operation) error
-	// Skip tells whether a step is reported as done but has no effect. It is for tests of the tests.
+	// Skip reports whether a step is reported as done but has no effect. It is for tests of the tests.
 	Skip func(Operation) bool
 	// Wait is called before each step, and may block as a faulty disk does.
 	Wait func(Operation)
@@ -84,7 +84,7 @@
 	return d.peakBytes
 }
 
-// step begins a step. It tells whether the step is to be left out.
+// step begins a step. It reports whether the step is to be left out.
 func (d *Disk) step(kind OperationKind, name string) (skip bool, err error) {
 	operation := Operation{Kind: kind, Path: name}
 	if d.Wait != nil {
