--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -115,7 +115,7 @@
 				Net:        l,
 				Sink:       c,
 				Self:       rpc.Member{ID: 1},
-				NextSource: func(string) string { return "x" },
+				NextParent: func(string) string { return "x" },
 			}).Run(ctx)
 			start := time.Now()
 			for time.Since(start) < 20*time.Second {
@@ -159,7 +159,7 @@
 				Net:        l,
 				Sink:       cursors[i],
 				Self:       rpc.Member{ID: uint64(i + 1)},
-				NextSource: func(string) string { return "x" },
+				NextParent: func(string) string { return "x" },
 			}).Run(ctx)
 		}
 		maxInFlight := 0
--- a/coord/distribution/constants.go
+++ b/coord/distribution/constants.go
@@ -6,7 +6,7 @@
 	// reconnectDelay is the pause before the next source is dialled.
 	reconnectDelay = 120 * time.Millisecond
 	// noSourceDelay is the pause before a follower that knows no source asks again for one.
-	noSourceDelay = 40 * time.Millisecond
+	noParentDelay = 40 * time.Millisecond
 	// updateTimeout ends a channel on which nothing came for so long: three heartbeats.
 	updateTimeout = 1300 * time.Millisecond
 	// relayStaleAfter is how long a relay counts as current after it heard of the primary: three heartbeats.
--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -37,12 +37,12 @@
 func (c *Cursor) Apply(at Position, change []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch c.progress.judge(at) {
-	case stepGap:
+	switch c.progress.classify(at) {
+	case relationGap:
 		return false
-	case stepNext:
+	case relationNext:
 		if c.state.Update(change) != nil {
-			c.progress.damaged = true
+			c.progress.needsSnapshot = true
 			return false
 		}
 		c.progress.at = at
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -98,7 +98,7 @@
 			Net:        p,
 			Sink:       c,
 			Self:       rpc.Member{ID: 1, Address: "n1"},
-			NextSource: func(string) string { return "x" },
+			NextParent: func(string) string { return "x" },
 		}).Run(ctx)
 		push := beginSource(f, 1)
 		time.Sleep(100 * time.Millisecond)
@@ -185,7 +185,7 @@
 			Net:          p,
 			Sink:         f,
 			Self:         rpc.Member{ID: uint64(i) + 1000},
-			NextSource:   func(string) string { return "source" },
+			NextParent:   func(string) string { return "source" },
 			EndFollowers: f.EndFollowers,
 		})
 		go fo.Run(p.ctx)
@@ -205,7 +205,7 @@
 		Net:        p,
 		Sink:       NewCursor(&textState{}),
 		Self:       rpc.Member{ID: id, Address: fmt.Sprint("n", id)},
-		NextSource: func(string) string { return at },
+		NextParent: func(string) string { return at },
 	}).Run(ctx)
 }
 
@@ -328,7 +328,7 @@
 			Net:        p,
 			Sink:       NewCursor(&textState{}),
 			Self:       rpc.Member{ID: 1},
-			NextSource: func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) },
+			NextParent: func(bad string) string { tried = append(tried, bad); return fmt.Sprint("at", len(tried)) },
 		})
 		go fo.Run(ctx)
 		time.Sleep(5 * time.Second)
@@ -376,7 +376,7 @@
 			Net:          up,
 			Sink:         mid,
 			Self:         rpc.Member{ID: 1, Address: "relay"},
-			NextSource:   func(string) string { return "src" },
+			NextParent:   func(string) string { return "src" },
 			EndFollowers: mid.EndFollowers,
 		})
 		go relay.Run(ctx)
@@ -388,7 +388,7 @@
 				Net:        p,
 				Sink:       NewCursor(&textState{}),
 				Self:       rpc.Member{ID: uint64(10 + i), Address: fmt.Sprint("n", i)},
-				NextSource: func(string) string { return "mid" },
+				NextParent: func(string) string { return "mid" },
 			}).Run(ctx)
 		}
 		time.Sleep(5 * time.Second)
@@ -437,7 +437,7 @@
 				Net:        p,
 				Sink:       cs[i],
 				Self:       rpc.Member{ID: uint64(i + 1)},
-				NextSource: func(string) string { return "x" },
+				NextParent: func(string) string { return "x" },
 				OnMessage: func(n *rpc.Message) {
 					if n.Kind == rpc.LoadSums && string(n.Body) == "sum" {
 						got.Add(1)
@@ -460,7 +460,7 @@
 func TestFollower_NotRunning_NoSource(t *testing.T) {
 	follower := NewFollower(FollowerOptions{Sink: NewCursor(&textState{})})
 	_, err := follower.Call(&rpc.Message{Kind: rpc.Loan}, time.Second)
-	require.ErrorIs(t, err, ErrNoSource)
+	require.ErrorIs(t, err, ErrNoParent)
 	require.False(t, follower.Send(&rpc.Message{Kind: rpc.Suspect}))
-	require.Empty(t, follower.SourceAddress())
+	require.Empty(t, follower.ParentAddress())
 }
--- a/coord/distribution/errors.go
+++ b/coord/distribution/errors.go
@@ -8,5 +8,5 @@
 	// is the source itself.
 	ErrStale = errors.New("stale snapshot")
 	// ErrNoSource says that a follower has not reached any source yet.
-	ErrNoSource = errors.New("no source is followed")
+	ErrNoParent = errors.New("no source is followed")
 )
--- a/coord/distribution/example_test.go
+++ b/coord/distribution/example_test.go
@@ -74,7 +74,7 @@
 		Net:        memoryNet{ctx, feed},
 		Sink:       cursor,
 		Self:       rpc.Member{ID: 7, Address: "node-7"},
-		NextSource: func(string) string { return "node-1" },
+		NextParent: func(string) string { return "node-1" },
 	})
 	go follower.Run(ctx)
 	for len(feed.EndFollowers()) == 0 {
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -45,7 +45,7 @@
 	subscribers map[*rpc.Channel]*subscriber // the followers of this process
 	queue       []*subscriber                // those that wait for a snapshot, in order
 	inFlight    int                          // snapshots sent and not acknowledged yet
-	moved       chan struct{}                // closed and replaced when positions or acknowledgements changed
+	changed     chan struct{}                // closed and replaced when positions or acknowledgements changed
 }
 
 // NewFeed makes a feed over a state, a relay for the time being. It sends heartbeats to its followers and closes the
@@ -58,7 +58,7 @@
 		state:       state,
 		lastContact: time.Now(),
 		subscribers: map[*rpc.Channel]*subscriber{},
-		moved:       make(chan struct{}),
+		changed:     make(chan struct{}),
 	}
 	go wait.Every(ctx, HeartbeatInterval, func() bool { f.heartbeat(); return true })
 	return f
@@ -83,12 +83,12 @@
 	if current {
 		f.lastContact = time.Now()
 	}
-	f.moveTo(at)
+	f.restartAt(at)
 	return nil
 }
 
 // moveTo starts anew at a position that changes don't lead to: all followers need a snapshot.
-func (f *Feed) moveTo(at Position) {
+func (f *Feed) restartAt(at Position) {
 	f.progress = progress{at: at}
 	f.changes = nil
 	f.snapshot = nil
@@ -103,12 +103,12 @@
 	if f.source != nil {
 		return false
 	}
-	switch f.progress.judge(at) {
-	case stepGap:
+	switch f.progress.classify(at) {
+	case relationGap:
 		return false
-	case stepNext:
+	case relationNext:
 		if f.push(at, body) != nil {
-			f.progress.damaged = true
+			f.progress.needsSnapshot = true
 			return false
 		}
 	}
@@ -136,8 +136,8 @@
 
 // signal wakes whoever waits for acknowledgements.
 func (f *Feed) signal() {
-	close(f.moved)
-	f.moved = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // MarkContact is part of Sink.
@@ -180,7 +180,7 @@
 			acked++
 		}
 	}
-	return acked, len(f.subscribers), f.moved
+	return acked, len(f.subscribers), f.changed
 }
 
 // Broadcast sends a message that is no update to all followers of this process: it has no number and may be lost.
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -33,7 +33,7 @@
 // Follower keeps a sink up to date from one source at a time. It acknowledges each update and heartbeat.
 type Follower struct {
 	options FollowerOptions
-	source  atomic.String               // address followed now; empty: none
+	parent  atomic.String               // address followed now; empty: none
 	channel atomic.Pointer[rpc.Channel] // the newest, perhaps closed; nil: none yet
 
 	mu           sync.Mutex
@@ -50,7 +50,7 @@
 	Self rpc.Member
 	// NextSource names the address to follow next, given the one that was followed or dialled last ("" at first).
 	// An empty result means that nobody is known; it is asked again soon. Required.
-	NextSource func(failed string) string
+	NextParent func(failed string) string
 	// EndFollowers makes the follower a relay: it lists the end followers below this process, which are passed on
 	// to the source. nil: this is an end follower.
 	EndFollowers func() []rpc.Member
@@ -68,7 +68,7 @@
 func (f *Follower) Self() rpc.Member { return f.options.Self }
 
 // SourceAddress is the address followed now, empty if none.
-func (f *Follower) SourceAddress() string { return f.source.Load() }
+func (f *Follower) ParentAddress() string { return f.parent.Load() }
 
 // Disconnect closes the channel to the source followed now, if there is one; Run then follows the next.
 func (f *Follower) Disconnect() {
@@ -81,15 +81,15 @@
 func (f *Follower) Run(ctx context.Context) {
 	failed := ""
 	for ctx.Err() == nil {
-		address := f.options.NextSource(failed)
+		address := f.options.NextParent(failed)
 		if address != "" {
 			f.follow(ctx, address)
-			f.source.Store("")
+			f.parent.Store("")
 		}
 		failed = address
 		pause := reconnectDelay
 		if address == "" {
-			pause = noSourceDelay
+			pause = noParentDelay
 		}
 		if !wait.Sleep(ctx, pause) {
 			return
@@ -132,7 +132,7 @@
 	defer channel.Close()
 	f.channel.Store(channel)
 	channel.Send(subscribeMessage(f.options.Self, f.options.Sink.ResumeFrom(), f.role()))
-	f.source.Store(address)
+	f.parent.Store(address)
 	timeout := time.After(updateTimeout)
 	for {
 		select {
@@ -161,7 +161,7 @@
 func (f *Follower) Call(message *rpc.Message, timeout time.Duration) (*rpc.Message, error) {
 	channel := f.channel.Load()
 	if channel == nil {
-		return nil, errors.WithStack(ErrNoSource)
+		return nil, errors.WithStack(ErrNoParent)
 	}
 	return channel.Call(message, timeout)
 }
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -99,7 +99,7 @@
 			Net:        p,
 			Sink:       NewCursor(got),
 			Self:       rpc.Member{ID: 1},
-			NextSource: func(string) string { return "x" },
+			NextParent: func(string) string { return "x" },
 		}).Run(ctx)
 		time.Sleep(time.Second)
 		push("+a")
@@ -125,7 +125,7 @@
 			Net:        p,
 			Sink:       behind,
 			Self:       rpc.Member{ID: 1},
-			NextSource: func(string) string { return "x" },
+			NextParent: func(string) string { return "x" },
 		}).Run(ctx)
 		time.Sleep(5 * time.Second)
 		epoch := behind.Position().Epoch
@@ -137,7 +137,7 @@
 			Net:        p,
 			Sink:       empty,
 			Self:       rpc.Member{ID: 2},
-			NextSource: func(string) string { return "x" },
+			NextParent: func(string) string { return "x" },
 		}).Run(ctx)
 		time.Sleep(5 * time.Second)
 		epoch = empty.Position().Epoch
@@ -160,7 +160,7 @@
 			Net:        p,
 			Sink:       ahead,
 			Self:       rpc.Member{ID: 1},
-			NextSource: func(string) string { return "x" },
+			NextParent: func(string) string { return "x" },
 		}).Run(ctx)
 		time.Sleep(time.Second)
 		for n := uint64(4); n <= 7; n++ {
@@ -280,7 +280,7 @@
 			Net:        &clusterNetwork{w, endName(i)},
 			Sink:       cursor,
 			Self:       rpc.Member{ID: uint64(i + 1)},
-			NextSource: next,
+			NextParent: next,
 		}).Run(ctx)
 	}
 	return w
@@ -299,7 +299,7 @@
 		Net:          &clusterNetwork{w, name},
 		Sink:         feed,
 		Self:         rpc.Member{ID: w.random.Uint64()},
-		NextSource:   func(string) string { return w.sourceOf(name) },
+		NextParent:   func(string) string { return w.sourceOf(name) },
 		EndFollowers: feed.EndFollowers,
 	})
 	w.mu.Lock()
--- a/coord/distribution/position.go
+++ b/coord/distribution/position.go
@@ -18,31 +18,31 @@
 }
 
 // step is what a change means to a follower.
-type step int
+type relation int
 
 const (
-	stepNext  step = iota // it is the next one
-	stepKnown             // it was applied before
-	stepGap               // something before it is missing, or it belongs to another epoch
+	relationNext  relation = iota // it is the next one
+	relationKnown                 // it was applied before
+	relationGap                   // something before it is missing, or it belongs to another epoch
 )
 
 // progress is how far a state has come.
 type progress struct {
-	at      Position
-	damaged bool // a change did not apply: a snapshot must come next
+	at            Position
+	needsSnapshot bool // a change did not apply: a snapshot must come next
 }
 
 // judge tells what a change at a position means here.
-func (p *progress) judge(change Position) step {
+func (p *progress) classify(change Position) relation {
 	switch {
-	case change.Epoch != p.at.Epoch || p.damaged:
-		return stepGap
+	case change.Epoch != p.at.Epoch || p.needsSnapshot:
+		return relationGap
 	case change.Number <= p.at.Number:
-		return stepKnown
+		return relationKnown
 	case change.Number == p.at.Number+1:
-		return stepNext
+		return relationNext
 	}
-	return stepGap
+	return relationGap
 }
 
 // checkRestore gives ErrStale for a snapshot that is older than the state.
@@ -55,7 +55,7 @@
 
 // resumeFrom is the position to ask a source for: the zero Position if only a snapshot helps.
 func (p *progress) resumeFrom() Position {
-	if p.damaged {
+	if p.needsSnapshot {
 		return Position{}
 	}
 	return p.at
--- a/coord/distribution/source.go
+++ b/coord/distribution/source.go
@@ -27,7 +27,7 @@
 		start.Number = f.progress.at.Number + 1
 	}
 	f.source = &Source{feed: f, epoch: epoch}
-	f.moveTo(start)
+	f.restartAt(start)
 	return f.source
 }
 
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -28,7 +28,7 @@
 	s := &subscriber{channel: channel, member: message.From, relay: role(message.Text) == roleRelay}
 	f.mu.Lock()
 	f.subscribers[channel] = s
-	f.start(s, positionOf(message))
+	f.startSubscriber(s, positionOf(message))
 	f.mu.Unlock()
 	channel.OnClose(func() {
 		f.mu.Lock()
@@ -38,7 +38,7 @@
 }
 
 // start sends a new subscriber on from where it is.
-func (f *Feed) start(s *subscriber, from Position) {
+func (f *Feed) startSubscriber(s *subscriber, from Position) {
 	here := f.progress.at
 	switch {
 	case here.Epoch == 0: // nothing is known here yet
--- a/coord/lease/grantor.go
+++ b/coord/lease/grantor.go
@@ -11,7 +11,7 @@
 type grant struct {
 	holder      uint64 // id
 	incarnation uint64 // of the holder's process
-	mixed       bool   // requests of another incarnation of the holder came meanwhile
+	ambiguous   bool   // requests of another incarnation of the holder came meanwhile
 	number      uint64 // the highest of a renewal by that incarnation
 	until       time.Time
 }
@@ -20,7 +20,7 @@
 // that an old release stays older than what was granted since. Of two incarnations of the holder nobody here knows
 // which is the later, so that no release counts any more.
 func (g *grant) renew(incarnation, number uint64, until time.Time) {
-	g.mixed = g.mixed || g.incarnation != incarnation
+	g.ambiguous = g.ambiguous || g.incarnation != incarnation
 	g.number = max(g.number, number)
 	if until.After(g.until) {
 		g.until = until
@@ -29,7 +29,7 @@
 
 // releasedBy tells whether a release is newer than all that the grant stands for.
 func (g *grant) releasedBy(incarnation, number uint64) bool {
-	return !g.mixed && g.incarnation == incarnation && g.number < number
+	return !g.ambiguous && g.incarnation == incarnation && g.number < number
 }
 
 // Grantor answers the lease requests of holders. Its grants are in memory only: a new one refuses everything for
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -21,11 +21,11 @@
 	options     HolderOptions
 	incarnation uint64 // of this holder: its requests are numbered within it
 
-	mu       sync.Mutex // guards what follows
-	until    time.Time  // the lease is held before this; zero: not held
-	since    time.Time  // held without a gap since this
-	requests uint64     // numbered so far
-	releases uint64     // counted: a renewal that was under way during one counts no more
+	mu          sync.Mutex // guards what follows
+	until       time.Time  // the lease is held before this; zero: not held
+	since       time.Time  // held without a gap since this
+	lastRequest uint64     // numbered so far
+	releases    uint64     // counted: a renewal that was under way during one counts no more
 }
 
 // HolderOptions configure a holder.
@@ -115,8 +115,8 @@
 
 // nextRequest numbers a request. The caller holds the lock.
 func (h *Holder) nextRequest() uint64 {
-	h.requests++
-	return h.requests
+	h.lastRequest++
+	return h.lastRequest
 }
 
 // request asks all grantors for a duration, or to take the lease back if that is zero, and tells as soon as a
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -267,7 +267,7 @@
 		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
-		a.requests = 2 // the first two are under way still
+		a.lastRequest = 2 // the first two are under way still
 		require.True(t, a.Renew())
 		renewal := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 1, Duration: uint64(Duration)}
 		release := &rpc.Message{Kind: rpc.Lease, From: rpc.Member{ID: 1}, Text: "list", Ballot: a.incarnation, Number: 2}
@@ -310,7 +310,7 @@
 		f.lag = 20 * time.Millisecond
 		go a.release()
 		synctest.Wait()
-		require.Equal(t, uint64(2), a.requests, "numbered when the lease is given up, not when it is sent")
+		require.Equal(t, uint64(2), a.lastRequest, "numbered when the lease is given up, not when it is sent")
 		time.Sleep(time.Second)
 	})
 }
--- a/coord/outlier/aggregator.go
+++ b/coord/outlier/aggregator.go
@@ -67,7 +67,7 @@
 	defer a.mu.Unlock()
 	for _, report := range reports {
 		service := serviceOf(report.ReplicaID)
-		if service == "" || !report.isSane() {
+		if service == "" || !report.isValid() {
 			continue
 		}
 		found := a.suspicions[report.ReplicaID]
@@ -87,7 +87,7 @@
 }
 
 // isSane reports whether the counts are numbers that a node can have seen; the comparisons are false for NaN.
-func (r *Report) isSane() bool {
+func (r *Report) isValid() bool {
 	return r.Failures >= 0 && r.Successes >= 0 && r.Failures+r.Successes <= maxReportedRequests
 }
 
@@ -167,7 +167,7 @@
 		candidate := a.suspicions[id]
 		size := sizes[candidate.service]
 		peers := (found.failures[candidate.service] - candidate.failureSum.value) / float64(max(1, size-1))
-		if !candidate.isGuilty(peers) || found.suspects[candidate.service] >= maxEjected(size) {
+		if !candidate.exceedsSuspicionThreshold(peers) || found.suspects[candidate.service] >= maxEjected(size) {
 			continue
 		}
 		candidate.since, candidate.successes, candidate.failures = now, 0, 0
@@ -177,8 +177,8 @@
 	}
 }
 
-// isGuilty reports whether the evidence is enough for a suspicion, given the mean of its peers.
-func (s *suspicion) isGuilty(peers float64) bool {
+// exceedsSuspicionThreshold reports whether the evidence is enough for a suspicion, given the mean of its peers.
+func (s *suspicion) exceedsSuspicionThreshold(peers float64) bool {
 	failures := s.failureSum.value
 	return failures >= suspicionThreshold && len(s.reporters) >= minReporters && failures >= peerRatio*peers
 }
--- a/coord/outlier/detector.go
+++ b/coord/outlier/detector.go
@@ -65,7 +65,7 @@
 	// random gives a number from 0 up to 1.
 	random func() float64
 	// openCases is at least the number of replicas that anything is decided about; while it is 0 all are fit.
-	openCases atomic.Int64
+	flagged atomic.Int64
 
 	mu       sync.Mutex                // guards the fields below
 	replicas map[string]*replicaRecord // by id
@@ -107,7 +107,7 @@
 // Fitness reports whether a replica may be chosen now; one that isn't known is fit. Retriable requests may be sent
 // again if they fail: most trials of suspects are made with these. For a suspect the answer is drawn at each call.
 func (d *Detector) Fitness(id string, retriable bool, now time.Time) Fitness {
-	if d.openCases.Load() == 0 {
+	if d.flagged.Load() == 0 {
 		return Fit
 	}
 	d.mu.Lock()
@@ -212,6 +212,6 @@
 			continue
 		}
 		replica.suspectUntil = now.Add(suspicionLifetime)
-		d.openCases.Add(1)
+		d.flagged.Add(1)
 	}
 }
--- a/coord/outlier/ejection.go
+++ b/coord/outlier/ejection.go
@@ -50,7 +50,7 @@
 	switch {
 	case kind.ejectsAtOnce():
 		d.eject(replica, false, now)
-	case replica.isGuilty(kind, peers, now) && d.ejectedByEvidence(replica.service, now) < maxEjected(d.services[replica.service].replicas):
+	case replica.exceedsEjectionThreshold(kind, peers, now) && d.ejectedByEvidence(replica.service, now) < maxEjected(d.services[replica.service].replicas):
 		d.eject(replica, true, now)
 	}
 }
@@ -68,8 +68,8 @@
 	return peers
 }
 
-// isGuilty reports whether the evidence is enough for an ejection by judgement after a failure.
-func (r *replicaRecord) isGuilty(kind FailureKind, peers float64, now time.Time) bool {
+// exceedsEjectionThreshold reports whether the evidence is enough for an ejection by judgement after a failure.
+func (r *replicaRecord) exceedsEjectionThreshold(kind FailureKind, peers float64, now time.Time) bool {
 	if r.needsTrial {
 		return kind != StaleConnection // a trial on a connection that timed out says nothing
 	}
@@ -106,7 +106,7 @@
 		doublings := math.Floor(replica.episodes.decay(now, episodeHalfLife) + 0.5)
 		length = min(maxEjectionTime, time.Duration(float64(length)*math.Exp2(min(doublings, maxDoublings))))
 	}
-	d.openCases.Add(1)
+	d.flagged.Add(1)
 	replica.episodes.add(1, now, episodeHalfLife)
 	replica.ejectedUntil, replica.byEvidence = now.Add(length), byEvidence
 	replica.needsTrial, replica.trialUnderWay = true, false
--- a/coord/outlier/report.go
+++ b/coord/outlier/report.go
@@ -38,7 +38,7 @@
 		}
 		replica.unreportedSuccesses, replica.unreportedFailures = 0, 0
 	}
-	d.openCases.Store(openCases)
+	d.flagged.Store(openCases)
 	slices.SortFunc(reports, func(a, b Report) int {
 		return cmp.Or(cmp.Compare(b.Failures, a.Failures), cmp.Compare(a.ReplicaID, b.ReplicaID))
 	})
--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -90,7 +90,7 @@
 	defer ch.Close()
 	r := bufio.NewReader(activityReader{ch})
 	for {
-		frame, err := ReadFrame(r)
+		frame, err := readFrame(r)
 		if err != nil {
 			return
 		}
--- a/coord/rpc/channel_test.go
+++ b/coord/rpc/channel_test.go
@@ -182,7 +182,7 @@
 		var seen []string
 		go func() {
 			for {
-				frame, err := ReadFrame(b)
+				frame, err := readFrame(b)
 				if err != nil {
 					return
 				}
@@ -207,7 +207,7 @@
 		a, b := net.Pipe()
 		ch := Open(ctx, a, nil)
 		go func() {
-			_, _ = ReadFrame(b)
+			_, _ = readFrame(b)
 			forged := (&Message{Kind: Lease, Call: 1, Answer: true, OK: true}).Encode()
 			_, _ = b.Write(frame(forged))
 		}()
--- a/coord/rpc/compatibility_test.go
+++ b/coord/rpc/compatibility_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, w.Flush())
 	r := bytes.NewReader(recording.Same("two", framed.Bytes()))
 	for i := range 2 {
-		frame, err := ReadFrame(r)
+		frame, err := readFrame(r)
 		require.NoError(t, err)
 		message, err := Decode(frame)
 		require.NoError(t, err)
--- a/coord/rpc/frame.go
+++ b/coord/rpc/frame.go
@@ -33,7 +33,7 @@
 // ReadFrame reads one frame and returns what it holds, an encoded message. The error is ErrInvalidMessage if the frame
 // is longer than 24 MiB, else the reader's: io.EOF if it ended before the frame, io.ErrUnexpectedEOF or io.EOF if it
 // ended inside.
-func ReadFrame(r io.Reader) ([]byte, error) {
+func readFrame(r io.Reader) ([]byte, error) {
 	var prefix [4]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, err
--- a/coord/rpc/message_test.go
+++ b/coord/rpc/message_test.go
@@ -37,11 +37,11 @@
 func TestReadFrame_TooLongOrCutShort_Fails(t *testing.T) {
 	var l [4]byte
 	binary.LittleEndian.PutUint32(l[:], 1<<31)
-	_, err := ReadFrame(bytes.NewReader(l[:]))
+	_, err := readFrame(bytes.NewReader(l[:]))
 	require.ErrorIs(t, err, ErrInvalidMessage)
-	_, err = ReadFrame(bytes.NewReader([]byte{9, 0, 0, 0, 1}))
+	_, err = readFrame(bytes.NewReader([]byte{9, 0, 0, 0, 1}))
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF, "cut short")
-	b, err := ReadFrame(bytes.NewReader([]byte{2, 0, 0, 0, 5, 6}))
+	b, err := readFrame(bytes.NewReader([]byte{2, 0, 0, 0, 5, 6}))
 	require.NoError(t, err)
 	require.Equal(t, []byte{5, 6}, b)
 }
--- a/coord/slowness/constants.go
+++ b/coord/slowness/constants.go
@@ -13,17 +13,17 @@
 
 // What counts as evidence. A step is one measurement.
 const (
-	samplesForUsual = 8                      // steps before a usual time is known
-	usualWeight     = 1.0 / 16               // weight of a step in the usual time
-	slowFactor      = 3.0                    // times the usual that is evidence; machines that are well vary by 2
-	wellFactor      = 2.0                    // times the usual below which a step counts as well again
-	lateTimer       = 200 * time.Millisecond // a timer this late is evidence too; well ones are late by 1 ms
+	samplesForBaseline = 8                      // steps before a usual time is known
+	baselineWeight     = 1.0 / 16               // weight of a step in the usual time
+	slowFactor         = 3.0                    // times the usual that is evidence; machines that are well vary by 2
+	recoveredFactor    = 2.0                    // times the usual below which a step counts as well again
+	lateTimer          = 200 * time.Millisecond // a timer this late is evidence too; well ones are late by 1 ms
 )
 
 // What follows from it.
 const (
 	stepsToSlow           = 2 // steps in a row with evidence: one is chance
-	stepsToWell           = 4 // steps in a row that are well: a machine slow by turns keeps refusing
+	stepsToRecover        = 4 // steps in a row that are well: a machine slow by turns keeps refusing
 	stepsBeforePeersCount = 2 // steps after having turned slow before a peer's report counts: what slows all shows at all by then
 	peerReportSteps       = 8 // steps for which a peer's report counts: three pings
 	stepsToShed           = 6 // steps of refusing before open connections close: the platform has noticed by then
--- a/coord/slowness/detector.go
+++ b/coord/slowness/detector.go
@@ -16,7 +16,7 @@
 type Detector struct {
 	step          int
 	samples       []float64 // of the work's time, until the usual one is known
-	usual         float64   // time of the piece of work in ns; 0: not known yet
+	baseline      float64   // time of the piece of work in ns; 0: not known yet
 	badSteps      int       // steps in a row with evidence of slowness
 	goodSteps     int       // steps in a row without
 	slow          bool
@@ -40,7 +40,7 @@
 	if !bad && !d.slow {
 		d.learn(duration)
 	}
-	if d.slow && d.peersWell() {
+	if d.slow && d.mostPeersHealthy() {
 		d.refusingSteps++
 	} else {
 		d.refusingSteps = 0
@@ -61,16 +61,16 @@
 	if late >= lateTimer {
 		return true
 	}
-	return d.usual > 0 && duration >= slowFactor*d.usual
+	return d.baseline > 0 && duration >= slowFactor*d.baseline
 }
 
 // isGood tells whether an observation counts as well. One between the bounds of
 // isBad and isGood is neither.
 func (d *Detector) isGood(duration float64, late time.Duration) bool {
-	if d.usual == 0 {
+	if d.baseline == 0 {
 		return true
 	}
-	return duration < wellFactor*d.usual && late < lateTimer/2
+	return duration < recoveredFactor*d.baseline && late < lateTimer/2
 }
 
 // count counts the steps in a row of the same kind.
@@ -94,7 +94,7 @@
 	case !d.slow && d.badSteps >= stepsToSlow:
 		d.slow = true
 		d.slowSince = d.step
-	case d.slow && d.goodSteps >= stepsToWell:
+	case d.slow && d.goodSteps >= stepsToRecover:
 		d.slow = false
 	}
 }
@@ -105,16 +105,16 @@
 	if duration <= 0 {
 		return
 	}
-	if d.usual > 0 {
-		d.usual += (duration - d.usual) * usualWeight
+	if d.baseline > 0 {
+		d.baseline += (duration - d.baseline) * baselineWeight
 		return
 	}
 	d.samples = append(d.samples, duration)
-	if len(d.samples) < samplesForUsual {
+	if len(d.samples) < samplesForBaseline {
 		return
 	}
 	sort.Float64s(d.samples)
-	d.usual = d.samples[len(d.samples)/2]
+	d.baseline = d.samples[len(d.samples)/2]
 	d.samples = nil
 }
 
@@ -127,7 +127,7 @@
 // those that reported after this one became slow and some steps later, so that
 // whatever slows all of them has shown. If most are slow, or none reported, no
 // node is better than this one.
-func (d *Detector) peersWell() bool {
+func (d *Detector) mostPeersHealthy() bool {
 	well, all := 0, 0
 	for _, report := range d.peers {
 		if report.step < d.slowSince+stepsBeforePeersCount {
@@ -156,7 +156,7 @@
 type State struct {
 	Slow        bool    `json:"slow"`
 	RefusesNew  bool    `json:"out"`
-	UsualUs     float64 `json:"usual_us"`
+	BaselineUs  float64 `json:"usual_us"`
 	PeerReports int     `json:"heard"` // nodes whose report counts
 }
 
@@ -165,7 +165,7 @@
 	return State{
 		Slow:        d.slow,
 		RefusesNew:  d.ShouldRefuseNew(),
-		UsualUs:     d.usual / 1e3,
+		BaselineUs:  d.baseline / 1e3,
 		PeerReports: len(d.peers),
 	}
 }
--- a/coord/slowness/detector_test.go
+++ b/coord/slowness/detector_test.go
@@ -14,7 +14,7 @@
 // calibratedDetector knows its usual time; three peers have reported that they are well.
 func calibratedDetector() *Detector {
 	l := NewDetector()
-	for range samplesForUsual + 4 {
+	for range samplesForBaseline + 4 {
 		l.Step(10*microsecond, time.Millisecond)
 	}
 	for i := range 3 {
@@ -51,7 +51,7 @@
 	l.Step(50*microsecond, time.Millisecond)
 	require.True(t, l.ShouldRefuseNew())
 	require.False(t, l.ShouldShed(), "the platform must notice first")
-	repeatStep(l, stepsToWell-1, 10*microsecond, 0)
+	repeatStep(l, stepsToRecover-1, 10*microsecond, 0)
 	require.True(t, l.ShouldRefuseNew())
 	l.Step(10*microsecond, 0)
 	require.False(t, l.ShouldRefuseNew())
@@ -66,7 +66,7 @@
 		l.Step(50*microsecond, 0)
 	}
 	require.True(t, l.ShouldShed())
-	repeatStep(l, stepsToWell, 10*microsecond, 0)
+	repeatStep(l, stepsToRecover, 10*microsecond, 0)
 	require.False(t, l.ShouldShed())
 }
 
@@ -116,7 +116,7 @@
 	becomeSlow(l, 3)
 	for range 30 {
 		l.UpdatePeer("n1", false)
-		repeatStep(l, stepsToWell-2, 10*microsecond, 0)
+		repeatStep(l, stepsToRecover-2, 10*microsecond, 0)
 		require.True(t, l.ShouldRefuseNew())
 		repeatStep(l, 2, 50*microsecond, 0)
 	}
@@ -125,9 +125,9 @@
 func TestDetector_UsualTime_NotLearnedWhileSlow(t *testing.T) {
 	l := calibratedDetector()
 	repeatStep(l, 400, 14*microsecond, 0)
-	require.InDelta(t, 14, l.State().UsualUs, 0.1, "a machine may grow a little slower")
+	require.InDelta(t, 14, l.State().BaselineUs, 0.1, "a machine may grow a little slower")
 	repeatStep(l, 400, 70*microsecond, 0)
-	require.InDelta(t, 14, l.State().UsualUs, 0.1)
+	require.InDelta(t, 14, l.State().BaselineUs, 0.1)
 	require.True(t, l.Slow(), "it stays slow for as long as it is")
 	l = NewDetector()
 	repeatStep(l, 50, 0, 0)
--- a/coord/slowness/monitor.go
+++ b/coord/slowness/monitor.go
@@ -65,7 +65,7 @@
 			"slow", state.Slow,
 			"refuses_new", state.RefusesNew,
 			"work_us", work.Microseconds(),
-			"usual_us", int64(state.UsualUs),
+			"usual_us", int64(state.BaselineUs),
 			"late_ms", late.Milliseconds())
 	}
 }
--- a/coord/slowness/monitor_test.go
+++ b/coord/slowness/monitor_test.go
@@ -20,11 +20,11 @@
 				time.Sleep(every)
 			}
 		}
-		measure(samplesForUsual+4, Interval)
+		measure(samplesForBaseline+4, Interval)
 		require.False(t, w.Slow())
 		measure(stepsToSlow+1, Interval+2*lateTimer) // the first was on time
 		require.True(t, w.Slow())
-		measure(stepsToWell+1, Interval)
+		measure(stepsToRecover+1, Interval)
 		require.False(t, w.Slow())
 		work *= 5
 		measure(stepsToSlow+stepsBeforePeersCount+1, Interval)
@@ -32,7 +32,7 @@
 		require.False(t, w.ShouldShed())
 		measure(stepsToShed, Interval)
 		require.True(t, w.ShouldShed())
-		require.InDelta(t, 10, w.State().UsualUs, 0.01)
+		require.InDelta(t, 10, w.State().BaselineUs, 0.01)
 	})
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -99,7 +99,7 @@
 		Net:          options.Net,
 		Sink:         c.feed,
 		Self:         member.Self(),
-		NextSource:   c.primaryToFollow,
+		NextParent:   c.primaryToFollow,
 		EndFollowers: c.feed.EndFollowers,
 		AckBody:      c.reports.take,
 		OnMessage:    c.relayLoadSums,
--- a/internal/controller/state_page.go
+++ b/internal/controller/state_page.go
@@ -51,7 +51,7 @@
 			"epoch":  position.Epoch,
 			"number": position.Number,
 			"acked":  c.feed.Acked(),
-			"source": c.follower.SourceAddress(),
+			"source": c.follower.ParentAddress(),
 			"live":   c.IsActivePrimary(),
 		},
 		"setup_revision": replicated.Config.Revision,
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -52,7 +52,7 @@
 	s.addHomes(set)
 	if len(s.pool.open) <= len(set.items) { // so few that all are
 		for _, replica := range s.pool.open {
-			if s.isWarm(replica) {
+			if s.isWarmedUp(replica) {
 				set.add(replica)
 			}
 		}
@@ -74,14 +74,14 @@
 	key := s.request.Chain.SharedKey()
 	n := 0
 	for _, replica := range s.pool.homes.bucket(key, s.pool.all) {
-		if s.isWarm(replica) {
+		if s.isWarmedUp(replica) {
 			n = insertRanked(top[:], n, ranked{replica, rank(uint64(key), replica)})
 		}
 	}
 	for i, home := range top[:n] {
 		added := set.add(home.replica)
 		if shared := s.request.Chain.SharedParts(); shared > 0 && i == 0 {
-			added.expectedTokens = s.options.wholeBlocks(s.request.Chain.PrefixTokens[shared-1])
+			added.expectedTokens = s.options.roundToBlocks(s.request.Chain.PrefixTokens[shared-1])
 		}
 	}
 }
@@ -96,7 +96,7 @@
 
 func (s *selection) mayHold(id string) bool {
 	replica := s.replicas[id]
-	return replica != nil && replica.listed.Pool == s.request.Pool && s.isWarm(replica)
+	return replica != nil && replica.listed.Pool == s.request.Pool && s.isWarmedUp(replica)
 }
 
 // addRandom adds replicas drawn from the own zone and from all, in turns.
@@ -115,7 +115,7 @@
 // draw draws one that may be used from a list; nil if none was found in some draws.
 func (s *selection) draw(replicas []*replicaState) *replicaState {
 	for range min(maxDraws, drawsPerReplica*len(replicas)) {
-		if replica := replicas[rand.IntN(len(replicas))]; s.isWarm(replica) {
+		if replica := replicas[rand.IntN(len(replicas))]; s.isWarmedUp(replica) {
 			return replica
 		}
 	}
@@ -127,7 +127,7 @@
 	var drawn *replicaState
 	usable := 0
 	for _, replica := range replicas {
-		if !s.isWarm(replica) {
+		if !s.isWarmedUp(replica) {
 			continue
 		}
 		usable++
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -24,7 +24,7 @@
 	}
 	var best *candidate
 	for _, replica := range choosing.pool.all {
-		if !choosing.isWarm(replica) {
+		if !choosing.isWarmedUp(replica) {
 			continue
 		}
 		weighed := &candidate{
@@ -62,7 +62,7 @@
 func shift(placer *Placer, request *Request, replica *replicaState, by int) {
 	unread := float64(request.Chain.Tokens() - placer.index.Matched(replica.listed.ID, request.Chain))
 	replica.sent.requests += by
-	replica.sent.unreadTokens += float64(by) * unread
+	replica.sent.pendingPrefillTokens += float64(by) * unread
 	replica.sent.reservedTokens += float64(by) * float64(request.Chain.Tokens()+request.MaxOutputTokens)
 }
 
@@ -239,7 +239,7 @@
 	require.NotZero(t, index.Matched("r2", prompt), "a failure says nothing of what is held")
 	placer.MarkMisaddressed("r2")
 	require.Zero(t, index.Matched("r2", prompt), "another is at its address")
-	require.Equal(t, 1, placer.OpenCount("p"))
+	require.Equal(t, 1, placer.openCount("p"))
 	hold("r0")
 	delete(replicas, "r0")
 	replicas["r0b"] = &state.Replica{ID: "r0b", Pool: "p", State: "ready", Zone: "a", Slots: 8}
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -41,8 +41,8 @@
 	terms.IncomingPrompt = s.options.incomingBlocks(s.request.Chain, s.sharedWeight)
 	terms.IncomingActive = math.Ceil(float64(s.request.Chain.Tokens()+s.request.MaxOutputTokens) / block)
 	meanPrompt := max(s.rates.meanUncachedTokens/block, 0)
-	running, waiting := replica.load(s.pool.meanOccupancy, s.now), replica.queueLength(s.now)
-	unread := (replica.sent.unreadTokens + replica.otherNodesTokens(s.now)) / block
+	running, waiting := replica.runningCount(s.pool.meanOccupancy, s.now), replica.queueLength(s.now)
+	unread := (replica.sent.pendingPrefillTokens + replica.otherNodesTokens(s.now)) / block
 	late := replica.speed.residualDelay(s.now) / max(s.rates.prefillPerToken*block, minBlockSeconds)
 	terms.ActivePrefill = max(unread, waiting*meanPrompt, late)
 	terms.ActiveDecode = max(replica.sent.reservedTokens, running*s.pool.meanHeldTokens) / block
@@ -71,7 +71,7 @@
 		own -= request.Chain.PrefixTokens[shared-1]
 	}
 	slack := 1 - (float64(own)*prefillPerToken+baseTTFT.Seconds())/max(request.LatencyTarget.Seconds(), baseTTFT.Seconds())
-	return 1 + (o.RereadWeight-1)*min(max(slack, 0), 1)
+	return 1 + (o.RecomputeWeight-1)*min(max(slack, 0), 1)
 }
 
 // incomingBlocks is a prompt in blocks, the shared ones weighed.
@@ -89,7 +89,7 @@
 }
 
 // wholeBlocks rounds tokens down to full blocks.
-func (o *Options) wholeBlocks(tokens int) int { return tokens / o.BlockTokens * o.BlockTokens }
+func (o *Options) roundToBlocks(tokens int) int { return tokens / o.BlockTokens * o.BlockTokens }
 
 // creditBlocks is what so many held tokens take off a prompt.
 func (o *Options) creditBlocks(chain *prefixindex.Chain, heldTokens int, sharedWeight float64) float64 {
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -47,7 +47,7 @@
 	for range 2000 {
 		options := Defaults()
 		options.BlockTokens = 1 + random.IntN(40)
-		options.RereadWeight = 1 + 8*random.Float64()
+		options.RecomputeWeight = 1 + 8*random.Float64()
 		options.PrefillLoadScale = 100 * random.Float64()
 		options.OtherZoneBlocks = 0
 		placer := NewPlacer(prefixindex.NewIndex())
@@ -61,12 +61,12 @@
 		request := ask(prompt)
 		request.MaxOutputTokens, request.CapacityTokens = random.IntN(300), 0
 		choosing := placer.newSelection(request, placer.pools["p"], time.Now())
-		choosing.sharedWeight = 1 + random.Float64()*(options.RereadWeight-1)
+		choosing.sharedWeight = 1 + random.Float64()*(options.RecomputeWeight-1)
 		replica := placer.replicas["r0"]
-		replica.sent.unreadTokens, replica.sent.reservedTokens, replica.sent.requests = float64(random.IntN(5000)), float64(random.IntN(90000)), random.IntN(6)
+		replica.sent.pendingPrefillTokens, replica.sent.reservedTokens, replica.sent.requests = float64(random.IntN(5000)), float64(random.IntN(90000)), random.IntN(6)
 		held := random.IntN(prompt.Tokens()+1) / options.BlockTokens * options.BlockTokens
 		weighed := candidate{replica: replica, matchedTokens: held}
-		want := reference(parts, options.BlockTokens, held, choosing.sharedWeight, options.PrefillLoadScale, replica.sent.unreadTokens/float64(options.BlockTokens), replica.sent.reservedTokens/float64(options.BlockTokens), float64(request.MaxOutputTokens), options.ActiveWeight*float64(replica.sent.requests))
+		want := reference(parts, options.BlockTokens, held, choosing.sharedWeight, options.PrefillLoadScale, replica.sent.pendingPrefillTokens/float64(options.BlockTokens), replica.sent.reservedTokens/float64(options.BlockTokens), float64(request.MaxOutputTokens), options.ActiveWeight*float64(replica.sent.requests))
 		require.InDelta(t, want, choosing.cost(&weighed), 1e-6*max(1, want))
 	}
 }
@@ -89,7 +89,7 @@
 	options := Defaults()
 	request := ask(chain(7, 10))
 	slack := 1 - (10*35e-6+baseTTFT.Seconds())/request.LatencyTarget.Seconds()
-	require.InDelta(t, 1+(options.RereadWeight-1)*slack, options.sharedBlockWeight(request, 35e-6), 1e-9)
+	require.InDelta(t, 1+(options.RecomputeWeight-1)*slack, options.sharedBlockWeight(request, 35e-6), 1e-9)
 	request.Chain = chain(7, 100000)
 	require.Equal(t, 1.0, options.sharedBlockWeight(request, 35e-6))
 }
@@ -102,15 +102,15 @@
 		placer.UpdateLoad("r0", LoadReport{Running: 8, Waiting: 4, Slots: 8})
 		pool.meanOccupancy = 0.25
 		replica := placer.replicas["r0"]
-		require.Equal(t, 8.0, replica.load(pool.meanOccupancy, time.Now()))
+		require.Equal(t, 8.0, replica.runningCount(pool.meanOccupancy, time.Now()))
 		require.Equal(t, 4.0, replica.queueLength(time.Now()))
 		time.Sleep(runningReportLifetime / 2)
-		require.InDelta(t, 5, replica.load(pool.meanOccupancy, time.Now()), 1e-9)
+		require.InDelta(t, 5, replica.runningCount(pool.meanOccupancy, time.Now()), 1e-9)
 		require.Zero(t, replica.queueLength(time.Now()))
 		time.Sleep(runningReportLifetime / 2)
-		require.Equal(t, 2.0, replica.load(pool.meanOccupancy, time.Now()))
-		require.Equal(t, 2.0, placer.replicas["r1"].load(pool.meanOccupancy, time.Now()), "one that never reported counts as the mean")
+		require.Equal(t, 2.0, replica.runningCount(pool.meanOccupancy, time.Now()))
+		require.Equal(t, 2.0, placer.replicas["r1"].runningCount(pool.meanOccupancy, time.Now()), "one that never reported counts as the mean")
 		replica.sent.requests = 7
-		require.Equal(t, 7.0, replica.load(pool.meanOccupancy, time.Now()), "what this process has there is certain")
+		require.Equal(t, 7.0, replica.runningCount(pool.meanOccupancy, time.Now()), "what this process has there is certain")
 	})
 }
--- a/internal/placement/feedback.go
+++ b/internal/placement/feedback.go
@@ -44,7 +44,7 @@
 	if attempt.Chain == nil {
 		return 0, false
 	}
-	replica.prefilled(attempt)
+	replica.markPrefilled(attempt)
 	replica.speed.extraDelay, replica.speed.extraDelayAt = max(0, (took-predicted).Seconds()), time.Now()
 	p.rates.observePrefill(&replica.speed, took, float64(attempt.Chain.Tokens()-attempt.MatchedTokens))
 	return float64(attempt.MatchedTokens) * replica.speed.prefillPerToken, replica.sent.requests <= 1
@@ -59,7 +59,7 @@
 		return
 	}
 	p.health.RequestEnded(attempt.ReplicaID)
-	replica.remove(attempt)
+	replica.removeAttempt(attempt)
 }
 
 // UpdateLoad takes a replica's report of its own load; one of an unknown replica is dropped.
--- a/internal/placement/fleetload.go
+++ b/internal/placement/fleetload.go
@@ -26,7 +26,7 @@
 	defer p.mu.Unlock()
 	var loads []loadsum.Load
 	for _, replica := range p.replicas {
-		replica.fleet.published = uint32(replica.sent.unreadTokens)
+		replica.fleet.published = uint32(replica.sent.pendingPrefillTokens)
 		if replica.fleet.published > 0 {
 			loads = append(loads, loadsum.Load{Key: replica.fleet.key, Tokens: replica.fleet.published})
 		}
--- a/internal/placement/fleetload_test.go
+++ b/internal/placement/fleetload_test.go
@@ -24,7 +24,7 @@
 		for range 40 { // another node's prompts, all for the same home
 			request := ask(chain(7, 6000))
 			request.CapacityTokens = 1 << 30
-			there.replicas[home.Replica.ID].sent.unreadTokens += float64(request.Chain.Tokens())
+			there.replicas[home.Replica.ID].sent.pendingPrefillTokens += float64(request.Chain.Tokens())
 		}
 		sum.Put(1, here.PendingPrefill(), time.Now())
 		sum.Put(2, there.PendingPrefill(), time.Now())
@@ -48,7 +48,7 @@
 		placer := NewPlacer(prefixindex.NewIndex())
 		placer.SetReplicas(fleet(9), nil, 0)
 		replica := placer.replicas["r3"]
-		replica.sent.unreadTokens = 50000
+		replica.sent.pendingPrefillTokens = 50000
 		loads := placer.PendingPrefill()
 		require.Equal(t, []loadsum.Load{{Key: loadsum.Key("r3"), Tokens: 50000}}, loads)
 		placer.UpdateFleetLoad(loads)
--- a/internal/placement/membership.go
+++ b/internal/placement/membership.go
@@ -72,7 +72,7 @@
 }
 
 // OpenCount is the number of replicas of a service that take requests by the list.
-func (p *Placer) OpenCount(service string) int {
+func (p *Placer) openCount(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pool := p.pools[service]; pool != nil {
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -12,7 +12,7 @@
 	// defaultOverlapCredit is one block for each block held (source).
 	defaultOverlapCredit = 1.0
 	// defaultRereadWeight: reading a shared block where it is not held costs its time, and room and wavering besides.
-	defaultRereadWeight = 16.0
+	defaultRecomputeWeight = 16.0
 	// defaultPrefillLoadScale: memory held hardly slows a step, reading does.
 	defaultPrefillLoadScale = 64.0
 	// defaultActiveWeight is about a block's reading, for a request's part of each step.
@@ -35,7 +35,7 @@
 	OverlapCredit float64 `yaml:"overlap_credit"`
 	// RereadWeight is the number of blocks that a shared block counts for where it must be read, and in the credit
 	// where it need not; for a prompt with no time to spare it counts as 1. Default 16 (ours).
-	RereadWeight float64 `yaml:"reread_weight"`
+	RecomputeWeight float64 `yaml:"reread_weight"`
 	// PrefillLoadScale is the number of decode blocks that weigh as much as one block to be read. Default 64 (the
 	// term is that of session caching 4.4, the value ours).
 	PrefillLoadScale float64 `yaml:"prefill_load_scale"`
@@ -59,7 +59,7 @@
 	return Options{
 		BlockTokens:       prefixindex.BlockTokens,
 		OverlapCredit:     defaultOverlapCredit,
-		RereadWeight:      defaultRereadWeight,
+		RecomputeWeight:   defaultRecomputeWeight,
 		PrefillLoadScale:  defaultPrefillLoadScale,
 		CountActive:       true,
 		ActiveWeight:      defaultActiveWeight,
@@ -84,7 +84,7 @@
 		value float64
 	}{
 		{"overlap_credit", o.OverlapCredit},
-		{"reread_weight", o.RereadWeight},
+		{"reread_weight", o.RecomputeWeight},
 		{"prefill_load_scale", o.PrefillLoadScale},
 		{"active_weight", o.ActiveWeight},
 		{"credit_decay_blocks", o.CreditDecayBlocks},
--- a/internal/placement/options_test.go
+++ b/internal/placement/options_test.go
@@ -13,7 +13,7 @@
 	for name, spoil := range map[string]func(*Options){
 		"overlap_credit":     func(o *Options) { o.OverlapCredit = -1 },
 		"prefill_load_scale": func(o *Options) { o.PrefillLoadScale = math.NaN() },
-		"reread_weight":      func(o *Options) { o.RereadWeight = math.Inf(1) },
+		"reread_weight":      func(o *Options) { o.RecomputeWeight = math.Inf(1) },
 		"block_tokens":       func(o *Options) { o.BlockTokens = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -25,9 +25,9 @@
 
 // counts are since the start of the process.
 type counts struct {
-	placed  int64
-	spilled int64
-	warmer  int64
+	placed       int64
+	spilled      int64
+	betterCached int64
 }
 
 // NewPlacer makes a Placer with the default options and no replicas. The index must not be nil; it is used and kept in
@@ -100,7 +100,7 @@
 	}
 	p.health.RequestSent(choice.Replica.ID)
 	p.counts.add(choice)
-	chosen.replica.add(request, choice.MatchedTokens)
+	chosen.replica.addRequest(request, choice.MatchedTokens)
 	if request.Chain != nil {
 		prompt := request.Chain.Tokens()
 		p.rates.observePrompt(prompt - choice.MatchedTokens)
@@ -114,7 +114,7 @@
 	if choice.Spilled {
 		c.spilled++
 	}
-	if choice.Warmer {
-		c.warmer++
+	if choice.BetterCached {
+		c.betterCached++
 	}
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -76,9 +76,9 @@
 	}
 	got, _ := placer.Place(ask(prompt))
 	require.Equal(t, other, got.Replica.ID)
-	require.True(t, got.Warmer)
+	require.True(t, got.BetterCached)
 	placer.mu.Lock()
-	placer.replicas[other].sent.unreadTokens = 1e5 // a long queue there
+	placer.replicas[other].sent.pendingPrefillTokens = 1e5 // a long queue there
 	placer.mu.Unlock()
 	got, _ = placer.Place(ask(prompt))
 	require.Equal(t, home.Replica.ID, got.Replica.ID)
@@ -187,9 +187,9 @@
 	require.Equal(t, 2096, got.MatchedTokens)
 	require.Equal(t, baseTTFT+durations.FromSeconds(float64(prompt.Tokens()-2096)*InitialPrefillPerToken.Seconds()), got.UnloadedTTFT)
 	replica := placer.replicas[got.Replica.ID]
-	require.Equal(t, float64(prompt.Tokens()-2096), replica.sent.unreadTokens)
+	require.Equal(t, float64(prompt.Tokens()-2096), replica.sent.pendingPrefillTokens)
 	placer.Release(&Attempt{ReplicaID: got.Replica.ID, Chain: prompt, MatchedTokens: got.MatchedTokens})
-	require.Zero(t, replica.sent.unreadTokens)
+	require.Zero(t, replica.sent.pendingPrefillTokens)
 }
 
 func TestFirstToken_OnlyExpectedPartLate_HintStays(t *testing.T) {
--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -39,9 +39,9 @@
 
 // sentLoad is what this process has at a replica. It is exact at any time.
 type sentLoad struct {
-	requests       int
-	unreadTokens   float64 // of prompts that no token has come for yet
-	reservedTokens float64 // of memory, that the prompts and the most that may be generated take
+	requests             int
+	pendingPrefillTokens float64 // of prompts that no token has come for yet
+	reservedTokens       float64 // of memory, that the prompts and the most that may be generated take
 }
 
 // reportedLoad is the replica's own report, valid for the lifetimes above from its time on.
@@ -79,32 +79,32 @@
 }
 
 // add counts a request as sent.
-func (r *replicaState) add(request *Request, matchedTokens int) {
+func (r *replicaState) addRequest(request *Request, matchedTokens int) {
 	r.sent.requests++
 	if request.Chain != nil {
 		prompt := request.Chain.Tokens()
-		r.sent.unreadTokens += float64(prompt - matchedTokens)
+		r.sent.pendingPrefillTokens += float64(prompt - matchedTokens)
 		r.sent.reservedTokens += float64(prompt + request.MaxOutputTokens)
 	}
 }
 
 // prefilled takes the prompt of an attempt off what is not read yet.
-func (r *replicaState) prefilled(attempt *Attempt) {
-	r.sent.unreadTokens = max(0, r.sent.unreadTokens-float64(attempt.Chain.Tokens()-attempt.MatchedTokens))
+func (r *replicaState) markPrefilled(attempt *Attempt) {
+	r.sent.pendingPrefillTokens = max(0, r.sent.pendingPrefillTokens-float64(attempt.Chain.Tokens()-attempt.MatchedTokens))
 }
 
 // remove takes off what add counted.
-func (r *replicaState) remove(attempt *Attempt) {
+func (r *replicaState) removeAttempt(attempt *Attempt) {
 	r.sent.requests = max(0, r.sent.requests-1)
 	if attempt.Chain == nil {
 		return
 	}
 	if !attempt.FirstTokenSeen {
-		r.prefilled(attempt)
+		r.markPrefilled(attempt)
 	}
 	r.sent.reservedTokens = max(0, r.sent.reservedTokens-float64(attempt.Chain.Tokens()+attempt.MaxOutputTokens))
 	if r.sent.requests == 0 {
-		r.sent.unreadTokens, r.sent.reservedTokens = 0, 0 // nothing is left of rounding
+		r.sent.pendingPrefillTokens, r.sent.reservedTokens = 0, 0 // nothing is left of rounding
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // load is how many requests run at a replica: its own report, fading to the service's mean, and never less than this
 // process has there.
-func (r *replicaState) load(meanOccupancy float64, now time.Time) float64 {
+func (r *replicaState) runningCount(meanOccupancy float64, now time.Time) float64 {
 	running := meanOccupancy * r.slots()
 	if age := now.Sub(r.reported.at); r.reported.Slots > 0 && age < runningReportLifetime {
 		running += (r.reported.Running - running) * (1 - float64(age)/float64(runningReportLifetime))
@@ -150,7 +150,7 @@
 // queueDelay is the predicted time in seconds before a new request's own prompt is read; promptSeconds is what reading
 // a prompt takes on average.
 func (r *replicaState) queueDelay(now time.Time, promptSeconds float64) float64 {
-	delay := (r.sent.unreadTokens + r.otherNodesTokens(now)) * r.speed.prefillPerToken
+	delay := (r.sent.pendingPrefillTokens + r.otherNodesTokens(now)) * r.speed.prefillPerToken
 	delay = max(delay, r.speed.residualDelay(now))
 	if age, lifetime := now.Sub(r.reported.at).Seconds(), waitingReportLifetime.Seconds(); age < lifetime {
 		delay = max(delay, r.reported.Waiting*promptSeconds*(1-age/lifetime))
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -33,7 +33,7 @@
 	PredictedTTFT time.Duration  // time to the first token; 0 without a prompt
 	UnloadedTTFT  time.Duration  // the same with nothing else at the replica
 	Spilled       bool           // another than the first home, though that holds no less of the prompt
-	Warmer        bool           // another than the first home, which holds more of the prompt
+	BetterCached  bool           // another than the first home, which holds more of the prompt
 	WarmingUp     bool           // the replica is warming up: no other could be used
 }
 
--- a/internal/placement/selection.go
+++ b/internal/placement/selection.go
@@ -71,7 +71,7 @@
 }
 
 // isWarm reports whether a replica may get the request as one that is not warming up.
-func (s *selection) isWarm(replica *replicaState) bool {
+func (s *selection) isWarmedUp(replica *replicaState) bool {
 	return s.isEligible(replica) && !replica.isWarmingUp(s.now)
 }
 
@@ -95,8 +95,8 @@
 	}
 	choice := s.predict(&candidates[best])
 	if best > 0 {
-		choice.Warmer = candidates[best].matchedTokens > candidates[0].matched()
-		choice.Spilled = !choice.Warmer
+		choice.BetterCached = candidates[best].matchedTokens > candidates[0].matched()
+		choice.Spilled = !choice.BetterCached
 	}
 	return selected{replica: candidates[best].replica, choice: choice}
 }
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -10,7 +10,7 @@
 type Stats struct {
 	Placed                int64                           `json:"placed"`
 	Spills                int64                           `json:"spills"` // see [Choice].Spilled
-	Warmer                int64                           `json:"warmer"` // see [Choice].Warmer
+	BetterCached          int64                           `json:"warmer"` // see [Choice].Warmer
 	PrefillMicrosPerToken float64                         `json:"prefill_us_per_token"`
 	Replicas              map[string]ReplicaStats         `json:"replicas"` // by id
 	Health                map[string]outlier.ReplicaStats `json:"health"`   // by id; only those with something against them
@@ -34,7 +34,7 @@
 	stats := Stats{
 		Placed:                p.counts.placed,
 		Spills:                p.counts.spilled,
-		Warmer:                p.counts.warmer,
+		BetterCached:          p.counts.betterCached,
 		PrefillMicrosPerToken: p.rates.prefillPerToken * 1e6,
 		Replicas:              make(map[string]ReplicaStats, len(p.replicas)),
 		Health:                p.health.Stats(now),
--- a/internal/prefixindex/cache.go
+++ b/internal/prefixindex/cache.go
@@ -63,7 +63,7 @@
 }
 
 // oldest is the run that was unused longest, nil if there is none.
-func (c *cacheView) oldest() *run {
+func (c *cacheView) leastRecentlyUsed() *run {
 	element := c.byRecentUse.Back()
 	if element == nil {
 		return nil
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -118,6 +118,6 @@
 	}
 	left := float64(cache.capacityTokens) - reservedTokens
 	for cache.byRecentUse.Len() > 0 && float64(cache.usedTokens) > left {
-		x.evict(cache.oldest())
+		x.evict(cache.leastRecentlyUsed())
 	}
 }
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -24,7 +24,7 @@
 	defer x.mu.Unlock()
 	cache := x.cache(replica)
 	cache.capacityTokens = capacityTokens
-	upto, count := x.sighted(cache, chain)
+	upto, count := x.countSightings(cache, chain)
 	if upto == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 // sighted counts a sighting of every part and gives the number of parts up to which the chain
 // was seen often enough to be entered, and how often that part was seen. Parts
 // behind one that is seen for the first time are counted too.
-func (x *Index) sighted(cache *cacheView, chain *Chain) (upto, count int) {
+func (x *Index) countSightings(cache *cacheView, chain *Chain) (upto, count int) {
 	needed := MinSightings
 	if cache.isThrashing() {
 		needed++ // be more selective
@@ -97,7 +97,7 @@
 		x.add(&run{key: key, tokens: chain.Parts[i].Tokens, owner: owner, cache: cache}, owned)
 	}
 	for cache.usedTokens > cache.capacityTokens && cache.byRecentUse.Len() > 0 { // the replica's memory: it knows no owners
-		x.evict(cache.oldest())
+		x.evict(cache.leastRecentlyUsed())
 	}
 	for x.memory.OverCapacity() { // this process's memory: the heaviest owner gives way
 		x.evict(x.owners[x.memory.HeaviestUser()].Back().Value.(*run))
--- a/internal/replicamodel/model.go
+++ b/internal/replicamodel/model.go
@@ -7,20 +7,20 @@
 
 // Model is one replica. Make it with [New]. It is not safe for concurrent use.
 type Model struct {
-	spec     Spec
-	memory   *memory
-	sequence int // of the newest request
-	waiting  []*request
-	running  []*request
-	reading  map[*request]int // prompt tokens read in the step under way
-	stepEnd  time.Duration    // of the step under way
-	busy     bool             // a step is under way
-	read     int64            // prompt tokens read since the start
+	spec       Spec
+	memory     *memory
+	sequence   int // of the newest request
+	waiting    []*request
+	running    []*request
+	prefilling map[*request]int // prompt tokens read in the step under way
+	stepEnd    time.Duration    // of the step under way
+	busy       bool             // a step is under way
+	prefilled  int64            // prompt tokens read since the start
 }
 
 // New makes an idle replica with an empty cache.
 func New(spec Spec) *Model {
-	return &Model{spec: spec, memory: newMemory(spec.MemoryTokens), reading: map[*request]int{}}
+	return &Model{spec: spec, memory: newMemory(spec.MemoryTokens), prefilling: map[*request]int{}}
 }
 
 // Offer takes a request at a time; false if the replica is full or could never
@@ -80,8 +80,8 @@
 		return false
 	}
 	admitted.path = path
-	admitted.unread = admitted.promptTokens() - cached
-	admitted.unread += admitted.generated // what it generated before it was preempted is read anew
+	admitted.unprefilled = admitted.promptTokens() - cached
+	admitted.unprefilled += admitted.generated // what it generated before it was preempted is read anew
 	m.memory.reserve(admitted.generated)
 	m.running = append(m.running, admitted)
 	return true
@@ -98,7 +98,7 @@
 	}
 	m.memory.reserve(-released.generated)
 	m.memory.release(released.path)
-	delete(m.reading, released)
+	delete(m.prefilling, released)
 	released.path = nil
 }
 
@@ -109,6 +109,6 @@
 		Queued:          len(m.waiting),
 		PinnedTokens:    m.memory.pinned,
 		MemoryTokens:    m.memory.used,
-		PrefilledTokens: m.read,
+		PrefilledTokens: m.prefilled,
 	}
 }
--- a/internal/replicamodel/spec.go
+++ b/internal/replicamodel/spec.go
@@ -55,8 +55,8 @@
 // request is a job that waits or runs.
 type request struct {
 	Job
-	sequence  int // order of arrival
-	generated int // tokens
-	unread    int // prompt tokens still to be read
-	path      []*node
+	sequence    int // order of arrival
+	generated   int // tokens
+	unprefilled int // prompt tokens still to be read
+	path        []*node
 }
--- a/internal/replicamodel/step.go
+++ b/internal/replicamodel/step.go
@@ -29,10 +29,10 @@
 // advance ends the step for one request; it gives a token unless the request is
 // still reading its prompt.
 func (m *Model) advance(request *request) (token Token, ok bool) {
-	read := m.reading[request]
-	request.unread -= read
-	m.read += int64(read)
-	if request.unread > 0 {
+	read := m.prefilling[request]
+	request.unprefilled -= read
+	m.prefilled += int64(read)
+	if request.unprefilled > 0 {
 		return Token{}, false
 	}
 	for _, node := range request.path {
@@ -54,7 +54,7 @@
 	for len(m.running) < m.spec.Slots && len(m.waiting) > 0 && m.admit(m.waiting[0]) {
 		m.waiting = m.waiting[1:]
 	}
-	clear(m.reading)
+	clear(m.prefilling)
 	m.busy = len(m.running) > 0
 	if !m.busy {
 		return
@@ -72,12 +72,12 @@
 func (m *Model) planStep() (decoding, read int) {
 	room := m.spec.ChunkTokens
 	for _, request := range m.running {
-		if request.unread == 0 {
+		if request.unprefilled == 0 {
 			decoding++
 			continue
 		}
-		tokens := min(room, request.unread)
-		m.reading[request] = tokens
+		tokens := min(room, request.unprefilled)
+		m.prefilling[request] = tokens
 		room -= tokens
 		read += tokens
 	}
--- a/internal/router/controllers.go
+++ b/internal/router/controllers.go
@@ -61,7 +61,7 @@
 
 // preferNearController changes over to a controller of the own zone once one is known, unless it failed lately.
 func (r *Router) preferNearController(view *state.View) {
-	source := r.follower.SourceAddress()
+	source := r.follower.ParentAddress()
 	if source == "" {
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -122,7 +122,7 @@
 		Net:        options.Net,
 		Sink:       r.cursor,
 		Self:       rpc.Member{ID: xxhash.Sum64String(self) | 1, Address: self, Zone: env.Zone},
-		NextSource: r.nextController,
+		NextParent: r.nextController,
 		AckBody:    r.failureReports,
 		OnMessage:  r.receiveLoadSums,
 	})
--- a/internal/router/statepage.go
+++ b/internal/router/statepage.go
@@ -48,7 +48,7 @@
 	return map[string]any{
 		"epoch":        position.Epoch,
 		"number":       position.Number,
-		"source":       r.follower.SourceAddress(),
+		"source":       r.follower.ParentAddress(),
 		"heard_ago_ms": r.cursor.SinceContact().Milliseconds(),
 	}
 }
