--- a/coord/distribution/cursor.go
+++ b/coord/distribution/cursor.go
@@ -10,10 +10,10 @@
 	mu          sync.Mutex // guards what follows
 	state       State
 	progress    progress
-	lastContact time.Time // when a source in touch with the primary was last heard; zero: never
+	lastContact time.Time // when a parent last said that it is current; zero: never
 }
 
-// NewCursor makes a cursor over a state that has taken no update.
+// NewCursor returns a cursor over a state that has taken no update.
 func NewCursor(state State) *Cursor { return &Cursor{state: state} }
 
 // Restore is part of Sink. Besides ErrStale it returns the error of the state's Restore.
@@ -72,7 +72,7 @@
 	return c.progress.resumeFrom()
 }
 
-// SinceContact is how long ago a source in touch with the primary was last heard; very long if none ever was.
+// SinceContact is how long ago a parent last said that it is current; if none ever did, centuries.
 func (c *Cursor) SinceContact() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/distribution/errors.go
+++ b/coord/distribution/errors.go
@@ -7,6 +7,6 @@
 	// ErrStale says that a snapshot is older than the state that it was meant for, or of an epoch in which this process
 	// is the source itself.
 	ErrStale = errors.New("stale snapshot")
-	// ErrNoSource says that a follower has not reached any source yet.
-	ErrNoParent = errors.New("no source is followed")
+	// ErrNoParent says that a follower has not reached any parent yet.
+	ErrNoParent = errors.New("no parent reached yet")
 )
--- a/coord/distribution/feed.go
+++ b/coord/distribution/feed.go
@@ -29,8 +29,8 @@
 	encoded []byte
 }
 
-// Feed is a state and the followers of this process, to whom it passes on whatever changes the state: as the source,
-// or as a relay, whose own Follower puts updates into it.
+// Feed is a state and the followers of this process, to which it forwards whatever changes the state: as the source, or
+// as a relay, whose own Follower puts updates into it.
 type Feed struct {
 	log   *slog.Logger
 	onAck func(all Position)
@@ -39,7 +39,7 @@
 	state       State
 	progress    progress
 	source      *Source                      // nil: this process is a relay
-	lastContact time.Time                    // of a relay: when its own source was last heard to be in touch with the primary
+	lastContact time.Time                    // of a relay: when its parent last said that it is current
 	changes     []change                     // the newest ones, without a gap; the last is at progress.at
 	snapshot    []byte                       // the encoded snapshot message at progress.at; nil: not needed yet
 	subscribers map[*rpc.Channel]*subscriber // the followers of this process
@@ -48,7 +48,7 @@
 	changed     chan struct{}                // closed and replaced when positions or acknowledgements changed
 }
 
-// NewFeed makes a feed over a state, a relay for the time being. It sends heartbeats to its followers and closes the
+// NewFeed returns a feed over a state; it is a relay until Begin. It sends heartbeats to its followers and closes the
 // silent ones until the context ends. onAck is called after each acknowledgement, without a lock, with the position
 // that all followers have taken; nil: nobody is notified.
 func NewFeed(ctx context.Context, log *slog.Logger, state State, onAck func(all Position)) *Feed {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// moveTo starts anew at a position that changes don't lead to: all followers need a snapshot.
+// restartAt starts anew at a position that changes don't lead to: all followers need a snapshot.
 func (f *Feed) restartAt(at Position) {
 	f.progress = progress{at: at}
 	f.changes = nil
@@ -96,7 +96,7 @@
 	f.signal()
 }
 
-// Apply is part of Sink. The change is passed on to all followers. A source applies nothing from others.
+// Apply is part of Sink. The change is forwarded to all followers. A source applies nothing from others.
 func (f *Feed) Apply(at Position, body []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,7 @@
 	return true
 }
 
-// push applies the next change and sends it on.
+// push applies the next change and forwards it to the followers.
 func (f *Feed) push(at Position, body []byte) error {
 	if err := f.state.Update(body); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	f.snapshot = nil
 	f.changes = append(f.changes, change{at.Number, changeMessage(at, body).Encode()})
 	if len(f.changes) > changeHistory {
-		f.changes = append([]change{}, f.changes[len(f.changes)/2:]...)
+		f.changes = append([]change{}, f.changes[len(f.changes)/2:]...) // copied, so that the dropped half is freed
 	}
 	for _, s := range f.subscribers {
 		f.advance(s)
@@ -147,13 +147,13 @@
 	f.mu.Unlock()
 }
 
-// isCurrent tells whether what is here may be called current: this is the source, or a source was heard lately.
+// isCurrent reports whether this process is the source, or its parent said lately that it is current.
 func (f *Feed) isCurrent() bool {
 	return f.source != nil || time.Since(f.lastContact) < relayStaleAfter
 }
 
 // WaitAcked waits until all connected followers have taken a number of this epoch, for a relay with all below it. It
-// gives up after the timeout or when the context ends, and tells how many have and how many there are.
+// gives up after the timeout or when the context ends, and returns how many have and how many there are.
 func (f *Feed) WaitAcked(ctx context.Context, number uint64, timeout time.Duration) (acked, followers int) {
 	end := time.After(timeout)
 	for {
@@ -183,7 +183,8 @@
 	return acked, len(f.subscribers), f.changed
 }
 
-// Broadcast sends a message that is no update to all followers of this process: it has no number and may be lost.
+// Broadcast sends a message that is no update to all followers of this process. It has no number and may be lost: one
+// that is disconnected misses it.
 func (f *Feed) Broadcast(message *rpc.Message) {
 	encoded := message.Encode()
 	f.mu.Lock()
--- a/coord/distribution/follower.go
+++ b/coord/distribution/follower.go
@@ -16,21 +16,21 @@
 
 // Sink is where a follower puts updates: a *Cursor or a *Feed.
 type Sink interface {
-	// Restore takes a snapshot from a source that says whether it is current. The error is ErrStale for one that is
-	// older than what is here; the sink is left as it was then.
+	// Restore takes a snapshot from a parent that says whether it is current. On an error the sink is left as it was;
+	// the error is ErrStale for a snapshot that is older than what is here.
 	Restore(at Position, snapshot []byte, current bool) error
-	// Apply applies the next change; one that was applied before is passed over. False means that a snapshot, or what
-	// is missing, must come first.
+	// Apply applies the next change; one that was applied before is skipped. False means that a snapshot, or what is
+	// missing, must come first.
 	Apply(at Position, change []byte) bool
-	// MarkContact notes that the source is in touch with the primary now.
+	// MarkContact records that the parent says now that it is current.
 	MarkContact()
 	// Position is that of the newest update taken, the zero Position if none was.
 	Position() Position
-	// ResumeFrom is the position to ask a source for changes after; the zero Position if a snapshot is needed.
+	// ResumeFrom is the position after which to ask a parent for changes; the zero Position if a snapshot is needed.
 	ResumeFrom() Position
 }
 
-// Follower keeps a sink up to date from one source at a time. It acknowledges each update and heartbeat.
+// Follower keeps a sink up to date from one parent at a time. It acknowledges each update and heartbeat.
 type Follower struct {
 	options FollowerOptions
 	parent  atomic.String               // address followed now; empty: none
@@ -42,42 +42,42 @@
 
 // FollowerOptions configure a follower.
 type FollowerOptions struct {
-	// Net reaches the sources. Required.
+	// Net reaches the parents. Required.
 	Net rpc.Net
 	// Sink takes the updates; a *Cursor at the end of the tree, a *Feed in a relay. Required.
 	Sink Sink
-	// Self is how the follower names itself to its source.
+	// Self is how the follower names itself to its parent.
 	Self rpc.Member
-	// NextSource names the address to follow next, given the one that was followed or dialled last ("" at first).
-	// An empty result means that nobody is known; it is asked again soon. Required.
+	// NextParent names the address to follow next, given the one that was followed or dialled last ("" at first).
+	// An empty result means that none is known; it is asked again soon. Required.
 	NextParent func(failed string) string
-	// EndFollowers makes the follower a relay: it lists the end followers below this process, which are passed on
-	// to the source. nil: this is an end follower.
+	// EndFollowers makes the follower a relay: it lists the end followers below this process, which are forwarded
+	// to the parent. nil: this is an end follower.
 	EndFollowers func() []rpc.Member
 	// AckBody gives the body of an acknowledgement that is about to be sent, or nil for none. It is called with the
 	// follower locked and must not call its methods. nil: acknowledgements have no body.
 	AckBody func() []byte
-	// OnMessage takes the source's messages that are no updates, one at a time. nil: they are dropped.
+	// OnMessage takes the parent's messages that are no updates, one at a time. nil: they are dropped.
 	OnMessage func(*rpc.Message)
 }
 
 // NewFollower makes a follower, which does nothing until Run.
 func NewFollower(options FollowerOptions) *Follower { return &Follower{options: options} }
 
-// Self is how this follower names itself to its source.
+// Self is how this follower names itself to its parent.
 func (f *Follower) Self() rpc.Member { return f.options.Self }
 
-// SourceAddress is the address followed now, empty if none.
+// ParentAddress is the address of the parent followed now, empty if there is none.
 func (f *Follower) ParentAddress() string { return f.parent.Load() }
 
-// Disconnect closes the channel to the source followed now, if there is one; Run then follows the next.
+// Disconnect closes the channel to the parent followed now, if there is one; Run then follows the next.
 func (f *Follower) Disconnect() {
 	if channel := f.channel.Load(); channel != nil {
 		channel.Close()
 	}
 }
 
-// Run follows one source after another until the context ends. It is called once.
+// Run follows one parent after another until the context ends. It is called once.
 func (f *Follower) Run(ctx context.Context) {
 	failed := ""
 	for ctx.Err() == nil {
@@ -104,7 +104,7 @@
 	return roleEnd
 }
 
-// receive takes one message of the source; a source that can't be followed on is left.
+// receive takes one message of the parent; one that can't be followed any longer is left.
 func (f *Follower) receive(channel *rpc.Channel, message *rpc.Message) {
 	if message.Kind != rpc.Update {
 		if f.options.OnMessage != nil {
@@ -119,7 +119,7 @@
 	f.ack(channel, false)
 }
 
-// follow follows one address until its channel ends or is silent.
+// follow follows one parent until its channel ends or is silent.
 func (f *Follower) follow(ctx context.Context, address string) {
 	connection, err := f.options.Net.Dial(address, rpc.DialTimeout)
 	if err != nil {
@@ -149,15 +149,15 @@
 	}
 }
 
-// Send passes a message to the source followed now. It tells whether it was queued: false if there is no source or
-// its channel has closed.
+// Send sends a message to the parent followed now and reports whether it was queued: false if there is no parent or its
+// channel has closed.
 func (f *Follower) Send(message *rpc.Message) bool {
 	channel := f.channel.Load()
 	return channel != nil && channel.Send(message)
 }
 
-// Call asks the source followed now and waits for its answer, no longer than the timeout. The error is ErrNoSource
-// if none was followed yet, else one of rpc.Channel.Call.
+// Call asks the parent followed now and waits for its answer, no longer than the timeout. The error is ErrNoParent if
+// none was followed yet, else one of rpc.Channel.Call.
 func (f *Follower) Call(message *rpc.Message, timeout time.Duration) (*rpc.Message, error) {
 	channel := f.channel.Load()
 	if channel == nil {
@@ -167,7 +167,7 @@
 }
 
 // ReportProgress acknowledges again if that says something new: a relay's followers have moved on or are others, or
-// there is an AckBody. It does nothing while no source is followed.
+// there is an AckBody. It does nothing before the first parent was reached.
 func (f *Follower) ReportProgress() {
 	if channel := f.channel.Load(); channel != nil {
 		f.ack(channel, true)
@@ -177,15 +177,15 @@
 // acker is a sink with followers of its own: its Acked is the number that all of them have taken.
 type acker interface{ Acked() uint64 }
 
-// acknowledgement is what the source on a channel was sent last.
+// acknowledgement is what the parent on a channel was sent last.
 type acknowledgement struct {
 	channel   *rpc.Channel
 	at        Position     // the number that all below this process have taken
 	followers []rpc.Member // a relay's end followers, in order
 }
 
-// ack acknowledges; with ifMoved only if that says something new. A relay's followers are listed only if they are
-// others than those listed on this channel before: else each heartbeat of each follower would pass the list on.
+// ack acknowledges; with ifMoved only if that says something new. A relay's followers are listed only if they differ from
+// those listed on this channel before: otherwise each heartbeat of each follower would send the list up the tree.
 func (f *Follower) ack(channel *rpc.Channel, ifMoved bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,7 +220,7 @@
 	return members
 }
 
-// apply puts one update into the sink; false means that the source can't be followed on.
+// apply puts one update into the sink; false means that the parent can't be followed any longer.
 func (f *Follower) apply(message *rpc.Message) bool {
 	sink := f.options.Sink
 	at := positionOf(message)
--- a/coord/distribution/heartbeat.go
+++ b/coord/distribution/heartbeat.go
@@ -6,20 +6,20 @@
 	"shaletrestle/coord/rpc"
 )
 
-// heartbeat tells quiet subscribers that this process lives and closes those that are silent.
+// heartbeat shows idle subscribers that this process is alive and closes those that are silent.
 func (f *Feed) heartbeat() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.subscribers {
 		if s.channel.IdleTime() > s.timeout() {
-			go s.channel.Close() // what it does at its end needs the lock held here
+			go s.channel.Close() // its OnClose functions take the lock held here
 		}
 	}
 	f.sendHeartbeats()
 }
 
-// timeout is how long a subscriber may be silent: longer while a snapshot is on its way to it, beside others on the
-// same link.
+// timeout is how long a subscriber may be silent: longer while a snapshot is on its way to it, which shares the link with
+// as many others as may be in flight.
 func (s *subscriber) timeout() time.Duration {
 	if s.need != needInFlight {
 		return updateTimeout
@@ -28,8 +28,8 @@
 	return updateTimeout + time.Duration((float64(bytes)/rpc.LinkBytesPerSecond)*float64(time.Second))
 }
 
-// sendHeartbeats sends to all subscribers or, while this process is current, to those that were sent nothing lately.
-// Equal messages are encoded once.
+// sendHeartbeats sends to all subscribers or, while this process is current, to those that were sent nothing lately: any
+// update shows them as much. That it is not current, only a heartbeat says. Equal messages are encoded once.
 func (f *Feed) sendHeartbeats() {
 	current := f.isCurrent()
 	encoded := map[Position][]byte{}
--- a/coord/distribution/messages.go
+++ b/coord/distribution/messages.go
@@ -2,17 +2,17 @@
 
 import "shaletrestle/coord/rpc"
 
-// form tells apart the messages that a source sends. The words stand on the wire.
+// form is the kind of a message from a parent. The values are fixed by the wire format.
 type form string
 
 const (
 	formChange    form = ""      // one change
-	formSnapshot  form = "whole" // the whole state at a position
+	formSnapshot  form = "whole" // the complete state at a position
 	formHeartbeat form = "beat"  // nothing new
 	formWait      form = "wait"  // a snapshot will come when it is this follower's turn
 )
 
-// role tells apart those that follow. The words stand on the wire.
+// role is how a follower subscribes. The values are fixed by the wire format.
 type role string
 
 const (
@@ -20,8 +20,8 @@
 	roleEnd   role = "end"
 )
 
-// followersListed marks, on the wire, an acknowledgement that lists all of a relay's end followers; the others say
-// nothing of them.
+// followersListed marks, on the wire, an acknowledgement that lists all of a relay's end followers; one without the mark
+// leaves the parent's list as it is.
 const followersListed = "seats"
 
 func changeMessage(at Position, change []byte) *rpc.Message {
@@ -42,7 +42,7 @@
 	return &rpc.Message{Kind: rpc.Subscribe, From: self, Epoch: from.Epoch, Number: from.Number, Text: string(r)}
 }
 
-// ackMessage says that its sender has taken all up to own, and all that follow it all up to below.
+// ackMessage says that its sender has taken all up to own, and that every follower below it has taken all up to below.
 func ackMessage(self rpc.Member, own Position, below uint64) *rpc.Message {
 	return &rpc.Message{Kind: rpc.UpdateAck, From: self, Epoch: own.Epoch, Number: below, Base: own.Number}
 }
--- a/coord/distribution/snapshots.go
+++ b/coord/distribution/snapshots.go
@@ -7,11 +7,11 @@
 
 const (
 	needChanges  need = iota // changes lead on from what it has
-	needQueued               // it waits for its turn to get a snapshot
+	needQueued               // it waits for its turn to get a snapshot, or was rejected and is to leave
 	needInFlight             // a snapshot was sent and is not acknowledged yet
 )
 
-// queueAll queues all subscribers for a snapshot, also those that one is in flight to.
+// queueAll queues all subscribers for a snapshot, also those that are being sent one, which is of an old state now.
 func (f *Feed) queueAll() {
 	f.queue = f.queue[:0]
 	f.inFlight = 0
@@ -45,8 +45,8 @@
 	}
 }
 
-// sendSnapshots sends to those whose turn it is. All share one encoded message; only some are in flight at once, so
-// that many followers that come back together don't hold up what is new.
+// sendSnapshots sends to those whose turn it is. All share one encoded message; few are in flight at once, so that many
+// followers that reconnect together don't delay new changes on the link.
 func (f *Feed) sendSnapshots() {
 	for len(f.queue) > 0 && f.inFlight < snapshotsAtOnce {
 		s := f.queue[0]
@@ -60,8 +60,8 @@
 	}
 }
 
-// encodedSnapshot is encoded once a position for all followers. One that is not current is not kept: the message says
-// so, and that may change before the position does.
+// encodedSnapshot returns the snapshot message, encoded once per position for all followers. While this process is not
+// current it is not cached: the message says so, and that may change before the position does.
 func (f *Feed) encodedSnapshot() []byte {
 	if !f.isCurrent() {
 		return snapshotMessage(f.progress.at, false, f.state.Snapshot()).Encode()
--- a/coord/distribution/source.go
+++ b/coord/distribution/source.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Source is the right to push changes in one epoch. It ends with End, with the next Begin, or when the feed hears of a
-// newer source.
+// Source is the right to push changes in one epoch. It ends with End, with the next Begin, or when the feed
+// receives a snapshot of a higher epoch.
 type Source struct {
 	feed  *Feed
 	epoch uint64
 }
 
-// Begin makes this process the source of an epoch. initial gives the state that the epoch begins with; it is called
-// with the feed locked, so that nothing changes the state meanwhile, and must not call the feed. The result is nil if a
-// source with a higher epoch has been heard of already or the state can't be restored.
+// Begin makes this process the source of an epoch. initial returns the state that the epoch begins with; it is called
+// with the feed locked, so that nothing changes the state meanwhile, and must not call the feed. The result is nil if the
+// feed has updates of a higher epoch already or the state can't be restored.
 func (f *Feed) Begin(epoch uint64, initial func() []byte) *Source {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,18 +31,19 @@
 	return f.source
 }
 
-// Push applies a change, sends it on and gives its number; false if the source has ended or the change does not apply.
+// Push applies a change, forwards it to the followers and returns its number; false if the source has ended or the change
+// does not apply.
 func (s *Source) Push(change []byte) (uint64, bool) {
 	return s.PushIf(nil, change)
 }
 
-// PushIf is Push under a condition, which is called with the feed locked, at the last moment before; false also if it
-// does not hold. nil holds always.
-func (s *Source) PushIf(holds func() bool, change []byte) (uint64, bool) {
+// PushIf is Push under a condition, which is called with the feed locked, immediately before the change is applied; false
+// also if the condition is false. A nil condition is always true.
+func (s *Source) PushIf(condition func() bool, change []byte) (uint64, bool) {
 	f := s.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.source != s || holds != nil && !holds() {
+	if f.source != s || condition != nil && !condition() {
 		return 0, false
 	}
 	at := Position{s.epoch, f.progress.at.Number + 1}
@@ -60,8 +61,8 @@
 	return s.feed.progress.at.Number, s.feed.source == s
 }
 
-// End ends the source, if this process is one: it is a relay again and, until its follower has heard of another source,
-// not current. The followers are notified at once.
+// End ends the source, if this process is one: it is a relay again and, until its own parent says that it is current,
+// not current either. The followers are notified at once.
 func (f *Feed) End() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coord/distribution/subscriber.go
+++ b/coord/distribution/subscriber.go
@@ -7,7 +7,7 @@
 )
 
 // subscriber is one follower connected to a feed, guarded by the feed's lock. Changes are sent to it only as it
-// acknowledges them, so that its channel never overflows and a slow one always gets on.
+// acknowledges them, so that its channel never overflows and a slow one still makes progress.
 type subscriber struct {
 	channel      *rpc.Channel
 	member       rpc.Member
@@ -22,7 +22,7 @@
 	snapshotBytes int // of the snapshot in flight
 }
 
-// HandleSubscribe takes an rpc.Subscribe message: its sender is a follower from now on. It is sent what it lacks, then
+// HandleSubscribe takes an rpc.Subscribe message: its sender is a follower from now on. It is sent what it is missing, then
 // every change, until its channel closes.
 func (f *Feed) HandleSubscribe(channel *rpc.Channel, message *rpc.Message) {
 	s := &subscriber{channel: channel, member: message.From, relay: role(message.Text) == roleRelay}
@@ -37,13 +37,13 @@
 	})
 }
 
-// start sends a new subscriber on from where it is.
+// startSubscriber sends a new subscriber what it is missing, or rejects it.
 func (f *Feed) startSubscriber(s *subscriber, from Position) {
 	here := f.progress.at
 	switch {
 	case here.Epoch == 0: // nothing is known here yet
 		return
-	case from.Epoch > here.Epoch: // it has heard of a newer source than this process has
+	case from.Epoch > here.Epoch: // it has followed a newer source than this process has
 		s.reject(here)
 	case from.Epoch == here.Epoch:
 		s.sent, s.received = from.Number, from.Number
@@ -51,15 +51,15 @@
 			s.acked = from.Number
 		}
 		f.advance(s)
-	case from.Epoch != 0 && !f.isCurrent(): // it has something, and what is here may be older than what others have
+	case from.Epoch != 0 && !f.isCurrent(): // a snapshot would replace what it has, and what is here may be older than what others have
 		s.reject(here)
 	default:
 		f.queueSnapshot(s)
 	}
 }
 
-// reject tells a follower to look elsewhere; it closes the channel. Until then it is sent no changes, as if it waited
-// for a snapshot.
+// reject sends a follower away: it closes the channel on a heartbeat that says that its sender is not current. Until then
+// it is sent no changes, as if it waited for a snapshot.
 func (s *subscriber) reject(here Position) {
 	s.need = needQueued
 	s.send(stateMessage(formHeartbeat, here, false).Encode())
@@ -74,7 +74,8 @@
 	f.signal()
 }
 
-// advance sends a subscriber the changes that its window has room for.
+// advance sends a subscriber the changes that its window has room for, or queues it for a snapshot if they are not kept
+// any more.
 func (f *Feed) advance(s *subscriber) {
 	if s.need != needChanges {
 		return
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -16,16 +16,16 @@
 	Call(address string, request *rpc.Message, timeout time.Duration) (*rpc.Message, error)
 }
 
-// Holder keeps the lease of one duty while that is wanted.
+// Holder keeps the lease of one duty while that is wanted. All methods are safe for concurrent use.
 type Holder struct {
 	options     HolderOptions
-	incarnation uint64 // of this holder: its requests are numbered within it
+	incarnation uint64 // drawn for this holder: its requests are numbered within it
 
 	mu          sync.Mutex // guards what follows
-	until       time.Time  // the lease is held before this; zero: not held
-	since       time.Time  // held without a gap since this
-	lastRequest uint64     // numbered so far
-	releases    uint64     // counted: a renewal that was under way during one counts no more
+	until       time.Time  // the lease is held before this; zero: it was released or never held
+	since       time.Time  // since when it is held without a gap; valid while it is held
+	lastRequest uint64     // number of the newest
+	releases    uint64     // counted, so that a renewal that was in flight during one is ignored
 }
 
 // HolderOptions configure a holder.
@@ -38,7 +38,7 @@
 	Caller Caller
 	// Grantors lists all grantors of the moment; a majority of them decides. Required.
 	Grantors func() []rpc.Member
-	// Wanted tells whether the lease is to be held; when it turns false the next renewal gives the lease back.
+	// Wanted reports whether the lease is to be held; when it turns false the next renewal releases it.
 	// Required.
 	Wanted func() bool
 	// Local is this process's own grantor, asked without Caller for a grantor whose ID is Self's. nil: no grantor
@@ -46,26 +46,27 @@
 	Local *Grantor
 }
 
-// NewHolder makes a holder that doesn't hold its lease yet.
+// NewHolder returns a holder that doesn't hold its lease yet.
 func NewHolder(options HolderOptions) *Holder {
 	return &Holder{options: options, incarnation: rand.Uint64()}
 }
 
-// Held tells whether the lease is held now. Ask again after every wait: the process may have stood still.
+// Held reports whether the lease is held now. Ask again after everything that may block: the process may have been
+// paused meanwhile.
 func (h *Holder) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Now().Before(h.until)
 }
 
-// HeldSince tells since when the lease has been held without a gap; held is false if it isn't held now.
+// HeldSince returns since when the lease has been held without a gap; held is false if it isn't held now.
 func (h *Holder) HeldSince() (since time.Time, held bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.since, time.Now().Before(h.until)
 }
 
-// Run renews until the context ends, then gives the lease back.
+// Run renews until the context ends, then releases the lease.
 func (h *Holder) Run(ctx context.Context) {
 	wait.Every(ctx, renewInterval, func() bool { h.Renew(); return true })
 	h.release()
@@ -73,18 +74,18 @@
 
 func (h *Holder) release() {
 	h.mu.Lock()
-	had := !h.until.IsZero()
+	mayHold := !h.until.IsZero()
 	h.until = time.Time{}
 	h.releases++
 	number := h.nextRequest() // under the same lock: a renewal that begins after this has a higher one
 	h.mu.Unlock()
-	if had {
+	if mayHold {
 		h.request(0, number)
 	}
 }
 
-// Renew asks for the lease once if it is wanted, else gives it back. It tells whether the grantors granted it; that
-// may be too late to be of use, so ask Held.
+// Renew asks for the lease once if it is wanted, else releases it. It reports whether a majority granted it; by then it
+// may have ended already, so ask Held.
 func (h *Holder) Renew() bool {
 	if !h.options.Wanted() {
 		h.release()
@@ -104,9 +105,9 @@
 		return false
 	}
 	if !start.Before(h.until) {
-		h.since = time.Now()
+		h.since = time.Now() // it had ended, or was never held
 	}
-	end := start.Add(Duration - safetyMargin)
+	end := start.Add(Duration - safetyMargin) // a grantor counts Duration from the receipt, which is later
 	if end.After(h.until) {
 		h.until = end
 	}
@@ -119,8 +120,8 @@
 	return h.lastRequest
 }
 
-// request asks all grantors for a duration, or to take the lease back if that is zero, and tells as soon as a
-// majority has agreed. Calls still under way then end by their time-out and nobody waits for them.
+// request asks all grantors for a duration, or releases the lease if that is zero, and returns as soon as a majority has
+// agreed. Calls that are still in flight then end by their time-out; nobody waits for them.
 func (h *Holder) request(duration time.Duration, number uint64) bool {
 	grantors := h.options.Grantors()
 	agreed := make(chan bool, len(grantors))
@@ -148,7 +149,7 @@
 	return false
 }
 
-// ask tells whether one grantor agrees.
+// ask reports whether one grantor agrees.
 func (h *Holder) ask(grantor rpc.Member, message *rpc.Message) bool {
 	if grantor.ID == h.options.Self.ID {
 		return h.options.Local.Handle(message).OK
--- a/coord/rpc/channel.go
+++ b/coord/rpc/channel.go
@@ -39,8 +39,9 @@
 	answer chan *Message
 }
 
-// Open makes a channel of a connection, which the channel closes. It ends when the context ends, when either side
-// closes it or when the connection fails. The handler may be nil if the peer only sends answers.
+// Open returns a channel over a connection, which the channel closes. It ends when the context ends, when either side
+// closes it or when the connection fails. The handler may be nil only if the peer sends nothing but
+// answers: anything else would be a call of nil.
 func Open(ctx context.Context, conn net.Conn, handler Handler) *Channel {
 	ctx, cancel := context.WithCancel(ctx)
 	channel := &Channel{
@@ -56,7 +57,7 @@
 	return channel
 }
 
-// write sends what is queued; what is queued together leaves in one packet.
+// write sends what is queued, and flushes only when the queue is empty, so that messages queued together share packets.
 func (ch *Channel) write() {
 	defer ch.Close()
 	w := bufio.NewWriter(ch.conn)
@@ -75,7 +76,8 @@
 	}
 }
 
-// activityReader notes when bytes come, also if they are only a part of a frame.
+// activityReader records when bytes come, also if they are only a part of a frame: a large frame on a slow link is no
+// silence.
 type activityReader struct{ channel *Channel }
 
 func (r activityReader) Read(b []byte) (int, error) {
@@ -111,14 +113,14 @@
 	}
 }
 
-// deliver gives an answer to the call that waits for it; one that came after the call's time-out is dropped. False
-// means that it is no answer to that call: the peer can't be trusted.
+// deliver passes an answer to the call that waits for it; one that came after the call's time-out is dropped. False
+// means that the answer is of another kind than the call, so that the peer can't be trusted.
 func (ch *Channel) deliver(answer *Message) bool {
 	ch.mu.Lock()
-	call, waits := ch.pending[answer.Call]
+	call, isPending := ch.pending[answer.Call]
 	delete(ch.pending, answer.Call)
 	ch.mu.Unlock()
-	if !waits {
+	if !isPending {
 		return true
 	}
 	if call.kind != answer.Kind {
@@ -138,7 +140,7 @@
 	ch.Send(answer)
 }
 
-// Send queues a message and doesn't wait. It tells whether the message was queued, which is no promise that it
+// Send queues a message and doesn't wait. It reports whether the message was queued, which is no promise that it
 // arrives: false if the channel is closed, or lags so far that it is closed now.
 func (ch *Channel) Send(message *Message) bool { return ch.SendRaw(message.Encode()) }
 
@@ -151,7 +153,7 @@
 	case ch.outbox <- message:
 		return ch.ctx.Err() == nil
 	default:
-		go ch.Close() // what is called at its end may need locks that the sender holds
+		go ch.Close() // its OnClose functions may need locks that the sender holds
 		return false
 	}
 }
@@ -231,7 +233,7 @@
 	}
 }
 
-// Closed tells whether the channel has ended.
+// Closed reports whether the channel has ended.
 func (ch *Channel) Closed() bool { return ch.ctx.Err() != nil }
 
 // Done is closed with the channel.
--- a/coord/rpc/doc.go
+++ b/coord/rpc/doc.go
@@ -1,5 +1,5 @@
 // Package rpc carries messages between the processes of a system: FlatBuffers in length-prefixed frames over
-// connections that are held open.
+// connections that stay open.
 //
 // A [Channel] is one connection. Either side may send on it at any time: a message that expects no answer (Send), or a
 // call (Call), whose answer is matched by a number that counts up within the channel. A [Pool] holds one channel per
@@ -13,7 +13,7 @@
 //     sent again by this package.
 //   - A call whose time-out has passed before it was written is not written any more.
 //   - Whoever sends never waits for the peer: a channel whose peer lags by 256 messages is closed.
-//   - A message that can't be read, or an answer of another kind than its call, closes the channel.
+//   - A message that can't be decoded, or an answer of another kind than its call, closes the channel.
 //
 // All state is in memory and belongs to the channel and the pool; a restart loses it, and the peer sees a closed
 // channel. All types and functions are safe for concurrent use, but a [Message] must not be changed while it is
--- a/coord/rpc/frame.go
+++ b/coord/rpc/frame.go
@@ -12,11 +12,11 @@
 // outgoing is an encoded message on its way to the socket.
 type outgoing struct {
 	encoded  []byte
-	deadline time.Time // not written after it, since the caller has given up; zero: none
+	deadline time.Time // not written after this: the caller has given up; zero: none
 }
 
-// writeFrame writes one message, its length before it as four bytes little-endian. It looks at the time itself: the
-// message may have waited in the outbox, or the process may have stood still.
+// writeFrame writes one message, its length before it as four bytes little-endian. It checks the deadline last:
+// the message may have waited in the outbox, or the process may have been paused.
 func writeFrame(w *bufio.Writer, message outgoing) error {
 	if !message.deadline.IsZero() && !time.Now().Before(message.deadline) {
 		return nil
@@ -30,9 +30,9 @@
 	return err
 }
 
-// ReadFrame reads one frame and returns what it holds, an encoded message. The error is ErrInvalidMessage if the frame
+// readFrame reads one frame and returns the encoded message in it. The error is ErrInvalidMessage if the frame
 // is longer than 24 MiB, else the reader's: io.EOF if it ended before the frame, io.ErrUnexpectedEOF or io.EOF if it
-// ended inside.
+// ended within it.
 func readFrame(r io.Reader) ([]byte, error) {
 	var prefix [4]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
--- a/coord/rpc/message.go
+++ b/coord/rpc/message.go
@@ -7,7 +7,7 @@
 	"shaletrestle/coord/rpc/rpcfb"
 )
 
-// Kind tells what a message is about. The numbers stand on the wire.
+// Kind is what a message is about. The numbers are fixed by the wire format.
 type Kind uint16
 
 // The kinds of messages.
@@ -18,21 +18,21 @@
 	Subscribe                   // asks for updates (package distribution)
 	Update                      // one numbered change, a snapshot or a heartbeat
 	UpdateAck                   // updates acknowledged up to a number
-	Suspect                     // tells that a node is suspected to be down, or is back
+	Suspect                     // reports that a node is suspected to be down, or is back
 	LoadSums                    // the work that waits at the replicas, as the sender knows it (package loadsum)
 	Loan                        // asks for a loan out of a shared budget (package fairshare)
 	Job                         // work handed over between nodes (package handoff)
 )
 
-// Member names a process: its id belongs to its state, the address is only where it lives now.
+// Member names a process: its id stays with its state, the address is only where it can be reached now.
 type Member struct {
 	ID      uint64
 	Address string
 	Zone    string // failure domain
 }
 
-// Message is one message. What the fields without a comment mean depends on the kind; fields that a kind doesn't
-// use are zero.
+// Message is one message. What the fields without a comment mean depends on the kind: the package named beside the kind
+// says it. Fields that a kind doesn't use are zero.
 type Message struct {
 	Kind       Kind
 	Call       uint64 // number of the call within its channel; 0: no answer is expected
@@ -72,9 +72,12 @@
 	return b.EndVector(len(offsets))
 }
 
-// Encode gives the message's bytes. A body that is empty but not nil stays so.
+// fieldBytes is room for the fields of a message but its body, so that encoding seldom grows the buffer.
+const fieldBytes = 256
+
+// Encode returns the message's bytes. A body that is empty but not nil stays so.
 func (m *Message) Encode() []byte {
-	b := flatbuffers.NewBuilder(256 + len(m.Body))
+	b := flatbuffers.NewBuilder(fieldBytes + len(m.Body))
 	from := encodeMember(b, m.From)
 	var text, body, members flatbuffers.UOffsetT // 0: the field is left out
 	if m.Text != "" {
@@ -113,14 +116,18 @@
 	return Member{member.Id(), string(member.Address()), string(member.Zone())}
 }
 
-// Decode reads a message; its body shares the bytes. Bytes that are no message give ErrInvalidMessage, never a panic.
+// minMessageBytes is less than any message has: the offset of its table, and that of the table's fields.
+const minMessageBytes = 8
+
+// Decode reads a message; its body shares the bytes. The error is ErrInvalidMessage for bytes that are no message; it
+// never panics.
 func Decode(encoded []byte) (message *Message, err error) {
 	defer func() {
 		if cause := recover(); cause != nil { // FlatBuffers reads past the bytes that it is given
 			message, err = nil, errors.Wrapf(ErrInvalidMessage, "%v", cause)
 		}
 	}()
-	if len(encoded) < 8 {
+	if len(encoded) < minMessageBytes {
 		return nil, errors.Wrapf(ErrInvalidMessage, "%d bytes", len(encoded))
 	}
 	fields := rpcfb.GetRootAsMessage(encoded, 0)
@@ -149,7 +156,7 @@
 	return message, nil
 }
 
-// Reply starts the answer to a call.
+// Reply returns the answer to a call, to be filled further.
 func (m *Message) Reply(ok bool) *Message {
 	return &Message{Kind: m.Kind, Call: m.Call, Answer: true, OK: ok}
 }
--- a/coord/rpc/pool.go
+++ b/coord/rpc/pool.go
@@ -22,17 +22,17 @@
 type link struct {
 	channel *Channel
 	dialled chan struct{} // closed when the dial under way has ended; nil: none is
-	err     error         // of the newest dial
+	err     error         // of the newest dial; nil: it succeeded
 }
 
-// NewPool makes a pool without channels. They end when the context ends; the handler takes what comes in on them and may
+// NewPool returns a pool without channels. They end when the context ends; the handler takes what comes in on them and may
 // be nil if the peers only send answers.
 func NewPool(ctx context.Context, network Net, handler Handler) *Pool {
 	return &Pool{ctx: ctx, net: network, handler: handler, links: map[string]*link{}}
 }
 
-// Get gives the open channel to an address, or dials one within DialTimeout. Whoever comes while it is being dialled
-// shares that dial and its result, so that a silent address never makes a queue. The error is a *DialError.
+// Get returns the open channel to an address, or dials one within DialTimeout. Callers that come while it is being
+// dialled share that dial and its result, so that an address that never answers makes no queue. The error is a *DialError.
 func (p *Pool) Get(address string) (*Channel, error) {
 	p.mu.Lock()
 	l := p.links[address]
