--- a/coord/attempt/attempt.go
+++ b/coord/attempt/attempt.go
@@ -3,7 +3,7 @@
 // State is what is known of one send of a call.
 type State uint8
 
-// The states. They only go forward: NotSent, PartlySent (which may be passed over), Sent, and then one of the last two.
+// The states. They only go forward: NotSent, PartlySent (which may be skipped), Sent, and then one of the last two.
 const (
 	NotSent     State = iota // not one byte of the call can have left
 	PartlySent               // some of its bytes may have left, the rest never will
@@ -22,12 +22,12 @@
 	return "unknown"
 }
 
-// MayHaveRun tells whether the receiver may have run the call, now or later.
+// MayHaveRun reports whether the receiver may have run the call, now or later.
 func (s State) MayHaveRun() bool {
 	return s == PartlySent || s == Sent || s == Answered
 }
 
-// follows tells whether the state may come after another one. Only a call that was sent completely can be answered, so
+// follows reports whether the state may come after another one. Only a call that was sent completely can be answered, so
 // that a promise never excuses a send that broke off.
 func (s State) follows(before State) bool {
 	switch before {
@@ -80,10 +80,10 @@
 // Current is the state of the newest send.
 func (h *History) Current() State { return h.current }
 
-// MayHaveRun tells whether any send may have run.
+// MayHaveRun reports whether any send may have run.
 func (h *History) MayHaveRun() bool { return h.earlierRuns || h.current.MayHaveRun() }
 
-// MayRetry tells whether the call may be sent once more: never beyond the limit, in sends, and if it is not idempotent
+// MayRetry reports whether the call may be sent once more: never beyond the limit, in sends, and if it is not idempotent
 // only while no send may have run.
 func (h *History) MayRetry(idempotent bool, limit int) bool {
 	if h.sends >= limit {
--- a/coord/failuredetector/assignment.go
+++ b/coord/failuredetector/assignment.go
@@ -26,7 +26,7 @@
 	return watched
 }
 
-// weigher gives the weights of the possible watchers of one node.
+// weigher computes the weights of the possible watchers of one node.
 type weigher struct {
 	node   string
 	key    []byte // the node's name, a separator and the watcher's name
@@ -46,7 +46,7 @@
 	return xxhash.Sum64(w.key)
 }
 
-// isWatcher tells whether self is among the watchers of the node. The other
+// isWatcher reports whether self is among the watchers of the node. The other
 // nodes are looked at only until enough of them outweigh self, which is about
 // watchers x ln(nodes) of them on average.
 func (w *weigher) isWatcher(self string, nodes []string, watchers int) bool {
--- a/coord/failuredetector/constants.go
+++ b/coord/failuredetector/constants.go
@@ -1,7 +1,7 @@
 package failuredetector
 
 const (
-	// watchersPerNode is how many others watch a node: one may be lost with it.
+	// watchersPerNode is how many others watch a node: one of them may be lost together with it.
 	watchersPerNode = 2
 	// missesToSuspect is how many pings in a row a node misses before it is suspected: one or two are lost by chance.
 	missesToSuspect = 3
--- a/coord/failuredetector/watcher.go
+++ b/coord/failuredetector/watcher.go
@@ -40,12 +40,11 @@
 	// Ping asks one node. It bounds its own time: a round waits for all of its pings. It is called for several nodes
 	// at a time. Required.
 	Ping Pinger
-	// Report is told of a node that became suspected, again in each round that it still is, and once when it came
-	// back. It is called for several nodes at a time. Required.
+	// Report is called for a node that became suspected, again in each round while it is, and once when it is back. It is called for several nodes at a time. Required.
 	Report func(node string, alive bool)
 }
 
-// New makes a watcher, which does nothing until Run or Round.
+// New returns a watcher, which does nothing until Run or Round.
 func New(options Options) *Watcher {
 	log := options.Log
 	if log == nil {
@@ -60,7 +59,8 @@
 }
 
 // Run pings until the context ends. Between two rounds the nodes that missed a
-// ping are pinged again, so that a lost one is known soon.
+// ping are pinged again, so that a lost one is reported within two
+// rounds.
 func (w *Watcher) Run(ctx context.Context) {
 	interval := w.options.Interval
 	nextRound := time.Now()
@@ -72,7 +72,7 @@
 		if !wait.Sleep(ctx, time.Until(nextRound)) {
 			return
 		}
-		if time.Until(nextRound) < -interval { // this process stood still
+		if time.Until(nextRound) < -interval { // this process was paused: don't make up for the rounds it missed
 			nextRound = time.Now()
 		}
 		w.Round()
@@ -120,7 +120,7 @@
 	return w.assigned
 }
 
-// unconfirmed lists the nodes that missed a ping, but are not suspected yet.
+// unconfirmed lists the nodes that missed a ping but are not suspected yet.
 func (w *Watcher) unconfirmed() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,8 +143,8 @@
 }
 
 // record takes the result of a ping. A suspicion is reported in each round that
-// it lasts: the receiver of the report may be gone too, or may still have
-// thought the node connected.
+// it lasts: the receiver may have been lost as well, or may have ignored the first
+// report because the node still seemed connected to it.
 func (w *Watcher) record(node string, alive bool) {
 	before, after := w.update(node, alive)
 	if after != before {
@@ -155,7 +155,7 @@
 	}
 }
 
-// update counts the result of a ping and tells whether the node was suspected
+// update counts the result of a ping and returns whether the node was suspected
 // before and is now.
 func (w *Watcher) update(node string, alive bool) (before, after bool) {
 	w.mu.Lock()
--- a/coord/fairshare/lender.go
+++ b/coord/fairshare/lender.go
@@ -22,15 +22,15 @@
 	loans map[string][]loan // by service, oldest first
 }
 
-// NewLender makes a lender of a budget for each service. The window is the time in which use is bounded and the lifetime
-// of a loan together.
+// NewLender returns a lender of a budget for each service. The window is the time in which use is bounded plus the
+// lifetime of a loan: a loan may be used until its end.
 func NewLender(budget int64, window time.Duration) *Lender {
 	return &Lender{budget: budget, window: window, loans: map[string][]loan{}}
 }
 
-// Lend gives at most the wanted amount of a service's budget, 0 if nothing is left. The time since is when this lender
-// became responsible: what others lent before is not known here, so nothing is lent until those loans have expired, and
-// loans from before an earlier time of responsibility are forgotten.
+// Lend lends at most the wanted amount of a service's budget, 0 if nothing is left. The time since is when this lender
+// became responsible: what others lent before is not known here, so nothing is lent until a window later, when those loans
+// have expired. A new value of since drops all loans of an earlier time of responsibility.
 func (l *Lender) Lend(service string, wanted int64, since, now time.Time) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,12 +41,12 @@
 	if now.Sub(since) <= l.window {
 		return 0
 	}
-	open := l.unexpired(service, now)
-	amount := max(0, min(wanted, l.budget-total(open)))
+	outstanding := l.unexpired(service, now)
+	amount := max(0, min(wanted, l.budget-total(outstanding)))
 	if amount > 0 {
-		open = append(open, loan{amount: amount, at: now})
+		outstanding = append(outstanding, loan{amount: amount, at: now})
 	}
-	l.loans[service] = open
+	l.loans[service] = outstanding
 	return amount
 }
 
--- a/coord/fairshare/shares.go
+++ b/coord/fairshare/shares.go
@@ -8,7 +8,7 @@
 
 // Shares is one bounded resource, in any unit. It is safe for concurrent use.
 type Shares struct {
-	threshold float64 // fraction of the capacity below which nobody is held to a share
+	threshold float64 // fraction of the capacity in use, up to which no user is limited to a share
 
 	mu         sync.Mutex // guards what follows
 	capacity   int64
@@ -17,8 +17,8 @@
 	rejections map[string]int64 // by user
 }
 
-// New makes a resource of a capacity. While no more than the threshold, a fraction of the capacity, is used, nobody is
-// held to a share; with 1 nobody ever is.
+// New returns a resource of a capacity. While no more than the threshold, a fraction of the capacity, is used, no user is
+// limited to a share; with 1 none ever is.
 func New(capacity int64, threshold float64) *Shares {
 	return &Shares{
 		threshold:  threshold,
@@ -35,7 +35,7 @@
 	s.mu.Unlock()
 }
 
-// TryAcquire gives a user an amount more if there is room and, beyond the threshold, if that stays inside a fair share.
+// TryAcquire lets a user have an amount more if there is room and, beyond the threshold, if that stays inside a fair share.
 // It never waits; false counts as a rejection.
 func (s *Shares) TryAcquire(user string, amount int64) bool {
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 	return !scarce || s.usedBy[user]+amount <= s.fairShare(user)
 }
 
-// Acquire gives a user an amount without a check, for what is in use already.
+// Acquire counts an amount for a user without a check, for what is in use already.
 func (s *Shares) Acquire(user string, amount int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	s.add(user, -amount)
 }
 
-// add changes what a user has, to no less than nothing.
+// add changes what a user has, never below 0: more than that is not given back to the capacity.
 func (s *Shares) add(user string, amount int64) {
 	s.usedBy[user] += amount
 	if s.usedBy[user] <= 0 {
@@ -91,7 +91,7 @@
 	return max(1, s.capacity/int64(shares))
 }
 
-// OverCapacity tells whether more is used than the capacity.
+// OverCapacity reports whether more is used than the capacity.
 func (s *Shares) OverCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coord/loadsum/constants.go
+++ b/coord/loadsum/constants.go
@@ -9,8 +9,8 @@
 	maxTotalLoads = 96
 	// maxExcessLoads bounds what goes to all nodes: 2.3 KB/s at a node.
 	maxExcessLoads = 32
-	// usualFactor and usualTokens tell what is usual at a replica: so many times the mean of its service, and so many
-	// tokens more.
+	// usualFactor and usualTokens say what is usual at a replica: so many times the mean of its service, and so many tokens
+	// more.
 	usualFactor = 1.3
 	usualTokens = 4000
 )
--- a/coord/loadsum/encoding.go
+++ b/coord/loadsum/encoding.go
@@ -11,16 +11,16 @@
 // Load is the work that waits at one replica.
 type Load struct {
 	Key    uint32 // of the replica's id
-	Tokens uint32 // of prompts sent there that have had no event yet
+	Tokens uint32 // of prompts sent there whose answer has not begun yet
 }
 
-// Key names a replica in few bytes. Two replicas that share a key are each believed to have the work of both.
+// Key names a replica in few bytes. Two replicas whose keys collide are each taken to have the work of both.
 func Key(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // loadBytes is the length of an encoded Load.
 const loadBytes = 8
 
-// Encode gives the bytes of a list: for each load its key and its tokens, four bytes each, little-endian.
+// Encode returns the bytes of a list: for each load its key and its tokens, four bytes each, little-endian.
 func Encode(loads []Load) []byte {
 	encoded := make([]byte, 0, len(loads)*loadBytes)
 	for _, load := range loads {
--- a/coord/loadsum/sum.go
+++ b/coord/loadsum/sum.go
@@ -19,7 +19,7 @@
 	reports map[uint64]report // by source; guarded by mu
 }
 
-// NewSum makes a sum without sources.
+// NewSum returns a sum without sources.
 func NewSum() *Sum { return &Sum{reports: map[uint64]report{}} }
 
 // Put replaces a source's report, which must not be changed any more; an empty one removes the source. A replica should
@@ -34,8 +34,9 @@
 	s.reports[source] = report{loads: loads, at: now}
 }
 
-// Total gives the sum by replica, in no order; if there are more than 96 replicas, only the ones with most work, the
-// heaviest first. Tokens beyond the range of their type stay at its end.
+// Total returns the sum by replica, in no order; if there are more than 96 replicas, only the ones with most work, the
+// heaviest first. A sum of tokens beyond the range of its type stays at the largest
+// value.
 func (s *Sum) Total(now time.Time) []Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coord/outlier/aggregator.go
+++ b/coord/outlier/aggregator.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// maxReportedRequests is how many requests one report can count; more is nonsense and is dropped.
+	// maxReportedRequests is how many requests one report can count; one that says more is invalid and is dropped.
 	maxReportedRequests = 1e4
-	// reportHalfLife is the time over which what nodes reported halves.
+	// reportHalfLife is the time over which the sum of reported failures halves.
 	reportHalfLife = 2 * time.Second
 	// reporterLifetime is how long a node counts as one that reported.
 	reporterLifetime = 3 * time.Second
-	// minReporters is the number of nodes whose reports a suspicion needs: one node's are never enough.
+	// minReporters is the number of nodes whose reports a suspicion needs: one node may itself be the cause.
 	minReporters = 2
-	// suspicionThreshold is the whole failures reported before a suspicion: two server errors seen by two nodes.
+	// suspicionThreshold is the sum of reported failures that makes a suspect: two server errors, as by two nodes.
 	suspicionThreshold = 1.2
 	// maxSuspicionTime bounds a suspicion; a new one needs new failures.
 	maxSuspicionTime = 10 * time.Second
-	// clearingSuccesses is the number of answers before a suspicion ends.
+	// clearingSuccesses is the number of answers after which a suspicion ends early.
 	clearingSuccesses = 5.0
-	// maxEpisodeFactor bounds the factor by which that number grows with the late suspicions.
+	// maxEpisodeFactor bounds the factor by which that number grows with the recent suspicions.
 	maxEpisodeFactor = 3
-	// clearingFailureShare is the failures among them that are borne.
+	// clearingFailureShare is the failures, as a fraction of the successes, up to which it still ends early.
 	clearingFailureShare = 0.15
 )
 
-// suspicion is what the nodes reported of one replica, whether it is a suspect yet or not.
+// suspicion is what the nodes reported of one replica, whether that makes it a suspect yet or not.
 type suspicion struct {
 	service    string
-	failureSum decayingSum          // in whole failures, over reportHalfLife
+	failureSum decayingSum          // weighted by kind, over reportHalfLife
 	reporters  map[uint64]time.Time // nodes that reported failures, and when last
 	since      time.Time            // since when it is a suspect; zero: it is none
 	successes  float64              // since then
@@ -41,14 +41,15 @@
 
 func (s *suspicion) isSuspect() bool { return !s.since.IsZero() }
 
-// isCleared reports whether enough answers came since it became a suspect; after several episodes more are needed.
+// isCleared reports whether enough answers came since it became a suspect; after several episodes more
+// answers are needed.
 func (s *suspicion) isCleared() bool {
 	needed := clearingSuccesses * max(1, min(s.episodes.value, maxEpisodeFactor))
 	return s.successes >= needed && s.failures <= clearingFailureShare*s.successes
 }
 
 // Aggregator adds up the reports of the nodes and names suspects. It runs on one process of the fleet at a time. One
-// node's reports are never enough for a suspicion; it ends by answers, or by its time. Make it with [NewAggregator].
+// node's reports are never enough for a suspicion; it ends by answers, or after maxSuspicionTime. Make it with [NewAggregator].
 // All methods are safe for concurrent use.
 type Aggregator struct {
 	mu          sync.Mutex            // guards the fields below
@@ -57,11 +58,11 @@
 	publishedAt time.Time
 }
 
-// NewAggregator makes an aggregator without reports.
+// NewAggregator returns an aggregator without reports.
 func NewAggregator() *Aggregator { return &Aggregator{suspicions: map[string]*suspicion{}} }
 
-// AddReports takes reports of nodes. serviceOf gives a replica's service, empty if the replica isn't known; reports of
-// those, and reports that make no sense, are dropped.
+// AddReports takes reports of nodes. serviceOf returns a replica's service, empty if the replica isn't known; it is called
+// with the aggregator locked. Reports of unknown replicas and invalid ones are dropped.
 func (a *Aggregator) AddReports(reports []Report, serviceOf func(replica string) string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,18 +95,18 @@
 // Suspects is what an evaluation found.
 type Suspects struct {
 	IDs     []string // sorted; not to be changed
-	Publish bool     // the nodes must be given them: they changed, or what was published last runs out
+	Publish bool     // the nodes must be sent them: they changed, or what was sent last is about to expire
 }
 
-// survey is the suspicions after what has ended was dropped.
+// survey is what one evaluation found, after the suspicions that have ended were dropped.
 type survey struct {
-	failures   map[string]float64 // by service, of all replicas
+	failures   map[string]float64 // by service, the sum over its replicas
 	suspects   map[string]int     // by service
 	ids        []string           // of the suspects
 	candidates []string           // ids of the others
 }
 
-// Evaluate ends and begins suspicions. sizes gives the number of replicas of each service; suspicions of a service
+// Evaluate ends and begins suspicions. sizes is the number of replicas of each service; suspicions of a service
 // that has none are dropped.
 func (a *Aggregator) Evaluate(sizes map[string]int, now time.Time) Suspects {
 	a.mu.Lock()
@@ -156,7 +157,8 @@
 	}
 }
 
-// beginSuspicions makes suspects of the worst candidates against whom there is evidence enough.
+// beginSuspicions makes suspects of the candidates against which there is enough evidence, the worst first, up to
+// maxEjected of each service.
 func (a *Aggregator) beginSuspicions(found *survey, sizes map[string]int, now time.Time) {
 	sort.Slice(found.candidates, func(i, j int) bool {
 		first, second := found.candidates[i], found.candidates[j]
@@ -183,15 +185,15 @@
 	return failures >= suspicionThreshold && len(s.reporters) >= minReporters && failures >= peerRatio*peers
 }
 
-// Published gives the suspects that were to be published last, sorted; nil if there are none. It is not to be changed.
+// Published returns the suspects that were to be published last, sorted; nil if there are none. It is not to be changed.
 func (a *Aggregator) Published() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.published
 }
 
-// Reset drops all suspicions. It is called when this process takes the part over: another one had the reports
-// meanwhile.
+// Reset drops all suspicions. Call it when this process takes the role of the aggregator over: until then the reports
+// went to another one, so what is here is out of date.
 func (a *Aggregator) Reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/coord/outlier/decayingsum.go
+++ b/coord/outlier/decayingsum.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// negligibleSum is the least sum that is shown and remembered.
+// negligibleSum is the sum below which it isn't shown, and what it belongs to is forgotten.
 const negligibleSum = 0.05
 
 // decayingSum is a sum that halves with time. Its zero value is an empty sum. It is always used with the same half-life.
@@ -14,7 +14,7 @@
 	at    time.Time // of the value
 }
 
-// decay brings the sum to a time and gives its value; a time before the last one leaves it as it is.
+// decay brings the sum to a time and returns its value; a time before the last one leaves the value as it is.
 func (s *decayingSum) decay(now time.Time, halfLife time.Duration) float64 {
 	if s.value != 0 && now.After(s.at) {
 		s.value *= math.Exp2(-now.Sub(s.at).Seconds() / halfLife.Seconds())
--- a/coord/outlier/detector.go
+++ b/coord/outlier/detector.go
@@ -12,14 +12,16 @@
 	suspicionLifetime = 3 * time.Second
 	// suspectShare is the part of the requests that a suspect still gets, of those that are not retriable.
 	suspectShare = 0.1
-	// suspectRetriableShare is the same of those that are: they are the fleet's trial of it.
+	// suspectRetriableShare is the same of those that are: their answers clear it or confirm the suspicion.
 	suspectRetriableShare = 0.6
-	// overduePredictionFactor times the prediction, and at least overdueMargin later, is overdue.
+	// overduePredictionFactor times the prediction, and overdueMargin more, is overdue: the margin keeps short predictions
+	// from making noise.
 	overduePredictionFactor = 4.0
 	overdueMargin           = 150 * time.Millisecond
 	// overdueTargetFactor times the latency target is the least that counts: queues at busy replicas are common.
 	overdueTargetFactor = 1.5
-	// meanWindowAnswers is the number of answers that the mean time of a service runs over.
+	// meanWindowAnswers is the number of answers over which the mean answer time of a service moves; before that many came
+	// it is not used.
 	meanWindowAnswers = 50
 )
 
@@ -29,23 +31,23 @@
 // The values of Fitness, best last.
 const (
 	Ejected    Fitness = iota // or its one trial is under way
-	PassedOver                // under suspicion and passed over this time: only if there is no other
+	PassedOver                // suspected and passed over this time: to be used only if there is no other
 	Fit
 )
 
-// replicaRecord is what a detector holds against one replica.
+// replicaRecord is what a detector knows of one replica.
 type replicaRecord struct {
 	service       string
-	failures      decayingSum // in whole failures, over failureHalfLife
+	failures      decayingSum // weighted by kind, over failureHalfLife
 	episodes      decayingSum // ejections, over episodeHalfLife
 	ejectedUntil  time.Time   // zero: it never was
-	byEvidence    bool        // the ejection is by judgement, not at once
+	byEvidence    bool        // the newest ejection was by evidence against its peers, not at once
 	needsTrial    bool        // from an ejection on, until an answer comes: the next request is the one trial
 	trialUnderWay bool
-	suspectUntil  time.Time // zero: it is not
+	suspectUntil  time.Time // zero: it never was
 
 	unreportedSuccesses float64 // requests since the last TakeReports
-	unreportedFailures  float64 // whole failures since then
+	unreportedFailures  float64 // weighted by kind, since then
 }
 
 func (r *replicaRecord) isSuspect(now time.Time) bool { return now.Before(r.suspectUntil) }
@@ -62,9 +64,10 @@
 // Detector is one node's judgement of replicas. Make it with [NewDetector]. What is recorded of an unknown replica is
 // dropped. All methods are safe for concurrent use.
 type Detector struct {
-	// random gives a number from 0 up to 1.
+	// random returns a number in [0, 1); tests replace it.
 	random func() float64
-	// openCases is at least the number of replicas that anything is decided about; while it is 0 all are fit.
+	// flagged is no less than the number of replicas that are ejected, await a trial or are suspected; while it is 0 all
+	// are fit, which Fitness then says without the lock.
 	flagged atomic.Int64
 
 	mu       sync.Mutex                // guards the fields below
@@ -72,7 +75,7 @@
 	services map[string]*serviceRecord // by name
 }
 
-// NewDetector makes a detector that knows no replica.
+// NewDetector returns a detector that knows no replica.
 func NewDetector() *Detector {
 	return &Detector{
 		random:   rand.Float64,
@@ -105,7 +108,7 @@
 }
 
 // Fitness reports whether a replica may be chosen now; one that isn't known is fit. Retriable requests may be sent
-// again if they fail: most trials of suspects are made with these. For a suspect the answer is drawn at each call.
+// again if they fail: a suspect gets more of these. For a suspect the result is drawn at random at each call.
 func (d *Detector) Fitness(id string, retriable bool, now time.Time) Fitness {
 	if d.flagged.Load() == 0 {
 		return Fit
@@ -141,7 +144,7 @@
 	}
 }
 
-// RequestEnded records that a request has ended, whatever came of it.
+// RequestEnded records that a request has ended, with whatever result.
 func (d *Detector) RequestEnded(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,8 +154,8 @@
 }
 
 // OverdueAfter is how long after sending a first token is overdue: far later than predicted, or without a prediction
-// (0) than the service's answers take on average, and well after the latency target, before which a busy replica may
-// just have a queue. ok is false if the replica is unknown, or without a prediction while too few answers have come.
+// (0) than the service's answers take on average, and never before overdueTargetFactor times the latency target, as a
+// busy replica may just have a queue until then. ok is false if the replica is unknown, or without a prediction while too few answers have come.
 func (d *Detector) OverdueAfter(id string, predicted, target time.Duration) (after time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,14 +174,14 @@
 	return max(byPrediction, time.Duration(overdueTargetFactor*float64(target))), true
 }
 
-// Answer is a first token that came, or a whole answer without one.
+// Answer is the first token of an answer, or the complete answer if it has no tokens.
 type Answer struct {
-	Took      time.Duration // since it was sent
-	Predicted time.Duration // 0: nothing was
-	Overdue   bool          // it was recorded as a failure already that it came late
+	Took      time.Duration // since the request was sent
+	Predicted time.Duration // 0: there was no prediction
+	Overdue   bool          // its lateness was recorded as a failure already
 }
 
-// RecordSuccess records that a replica answered. An overdue answer ends a trial as any other, but is no success.
+// RecordSuccess records that a replica answered. An overdue answer ends a trial like any other, but is no success.
 func (d *Detector) RecordSuccess(id string, answer Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,8 +200,8 @@
 	}
 }
 
-// SetSuspects takes what the [Aggregator] found in the whole fleet's experience: these replicas, and no others, are
-// under suspicion for a while.
+// SetSuspects takes what the [Aggregator] found in the reports of the fleet: these replicas, and no others, are suspected
+// for suspicionLifetime. An id that isn't known is ignored.
 func (d *Detector) SetSuspects(ids []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coord/outlier/ejection.go
+++ b/coord/outlier/ejection.go
@@ -8,26 +8,27 @@
 const (
 	// FirstEjectionTime is the length of the first ejection.
 	FirstEjectionTime = 700 * time.Millisecond
-	// maxEjectionTime bounds later ones, which double.
+	// maxEjectionTime bounds later ones, each of which is up to twice as long as the one before.
 	maxEjectionTime = 4 * time.Second
-	// maxDoublings bounds the doublings themselves.
+	// maxDoublings bounds the exponent, so that the length can't overflow before maxEjectionTime is applied.
 	maxDoublings = 4
-	// episodeHalfLife is the time over which earlier ejections lengthen the next one by half as much.
+	// episodeHalfLife is the time over which the sum of earlier ejections halves: that long after one, the next one is
+	// lengthened half as much.
 	episodeHalfLife = 15 * time.Second
-	// failureHalfLife is the time over which a node's own evidence halves: one of a large fleet sees a replica every
-	// few seconds.
+	// failureHalfLife is the time over which a node's own evidence halves: a node of a large fleet sends to a replica only
+	// every few seconds.
 	failureHalfLife = 3 * time.Second
-	// ejectionThreshold is the own evidence, in whole failures, that ejects.
+	// ejectionThreshold is the node's own evidence, the decayed sum of weighted failures, that ejects.
 	ejectionThreshold = 1.0
-	// suspectEjectionThreshold is the same for a suspect: one failure of any kind.
+	// suspectEjectionThreshold is the same for a suspect: the least weight, so that one failure of any kind suffices.
 	suspectEjectionThreshold = 0.25
 	// peerRatio is how many times its peers' mean the evidence against a replica must be.
 	peerRatio = 3.0
-	// ejectableOneIn bounds what is out by judgement to one in so many replicas of a service.
+	// ejectableOneIn bounds ejections by evidence to one in so many replicas of a service.
 	ejectableOneIn = 3
 )
 
-// maxEjected is how many of a service's replicas may be out by judgement at once: never all of them.
+// maxEjected is how many of a service's replicas may be ejected by evidence at once: never all of them.
 func maxEjected(replicas int) int {
 	if replicas < 2 {
 		return 0
@@ -35,7 +36,7 @@
 	return max(1, replicas/ejectableOneIn)
 }
 
-// RecordFailure records a failure of a replica, and ejects it if that is evidence enough.
+// RecordFailure records a failure of a replica, and ejects it if the kind or the evidence so far calls for it.
 func (d *Detector) RecordFailure(id string, kind FailureKind, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// addFailure adds a failure to the sums and gives its peers' mean before it.
+// addFailure adds a failure to the sums and returns the mean sum of the replica's peers; 0 without peers.
 func (d *Detector) addFailure(replica *replicaRecord, weight float64, now time.Time) (peers float64) {
 	service := d.services[replica.service]
 	if service.replicas > 1 {
@@ -68,10 +69,11 @@
 	return peers
 }
 
-// exceedsEjectionThreshold reports whether the evidence is enough for an ejection by judgement after a failure.
+// exceedsEjectionThreshold reports whether a failure of a kind, added already, makes the evidence enough for an ejection.
+// During a trial any failure is.
 func (r *replicaRecord) exceedsEjectionThreshold(kind FailureKind, peers float64, now time.Time) bool {
 	if r.needsTrial {
-		return kind != StaleConnection // a trial on a connection that timed out says nothing
+		return kind != StaleConnection // a trial on an expired connection says nothing of the replica
 	}
 	threshold := ejectionThreshold
 	if r.isSuspect(now) {
@@ -92,8 +94,8 @@
 	return ejected
 }
 
-// eject keeps requests away for a time that grows with the late episodes. Beyond the part of a service that may be
-// out by judgement it doesn't grow.
+// eject keeps requests away for a time that grows with the recent episodes. While as many replicas are ejected already as
+// evidence may eject, it doesn't grow.
 func (d *Detector) eject(replica *replicaRecord, byEvidence bool, now time.Time) {
 	ejected := 0
 	for _, peer := range d.replicas {
@@ -103,7 +105,7 @@
 	}
 	length := FirstEjectionTime
 	if ejected < maxEjected(d.services[replica.service].replicas) {
-		doublings := math.Floor(replica.episodes.decay(now, episodeHalfLife) + 0.5)
+		doublings := math.Floor(replica.episodes.decay(now, episodeHalfLife) + 0.5) // rounded to the nearest
 		length = min(maxEjectionTime, time.Duration(float64(length)*math.Exp2(min(doublings, maxDoublings))))
 	}
 	d.flagged.Add(1)
--- a/coord/outlier/stats.go
+++ b/coord/outlier/stats.go
@@ -4,14 +4,14 @@
 
 // ReplicaStats is one replica on a state page.
 type ReplicaStats struct {
-	Failures  float64 `json:"failures_faded"` // whole failures, decayed
+	Failures  float64 `json:"failures_faded"` // weighted by kind, decayed
 	Ejected   bool    `json:"ejected"`
-	Trial     bool    `json:"trial"` // the next request, or one that is under way, is its trial
+	Trial     bool    `json:"trial"` // the next request, or one in flight, is its trial
 	Suspected bool    `json:"suspected"`
 	Episodes  float64 `json:"episodes_faded"` // ejections, decayed
 }
 
-// Stats gives the replicas that anything is held against, by id.
+// Stats returns the replicas that are ejected or suspected or failed recently, by id.
 func (d *Detector) Stats(now time.Time) map[string]ReplicaStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coord/slowness/detector.go
+++ b/coord/slowness/detector.go
@@ -15,17 +15,17 @@
 // the number of its steps.
 type Detector struct {
 	step          int
-	samples       []float64 // of the work's time, until the usual one is known
-	baseline      float64   // time of the piece of work in ns; 0: not known yet
+	samples       []float64 // of the work's time in ns, until there is a baseline
+	baseline      float64   // usual time of the piece of work in ns; 0: not known yet
 	badSteps      int       // steps in a row with evidence of slowness
-	goodSteps     int       // steps in a row without
+	goodSteps     int       // healthy steps in a row
 	slow          bool
 	slowSince     int // the step at which it became slow
 	refusingSteps int // steps in a row for which new connections have been refused
 	peers         map[string]peerReport
 }
 
-// NewDetector makes a detector without observations.
+// NewDetector returns a detector without observations.
 func NewDetector() *Detector { return &Detector{peers: map[string]peerReport{}} }
 
 // Step takes one observation: how long the piece of work took, and how late the
@@ -56,7 +56,7 @@
 	}
 }
 
-// isBad tells whether an observation is evidence of slowness.
+// isBad reports whether an observation is evidence of slowness.
 func (d *Detector) isBad(duration float64, late time.Duration) bool {
 	if late >= lateTimer {
 		return true
@@ -64,8 +64,8 @@
 	return d.baseline > 0 && duration >= slowFactor*d.baseline
 }
 
-// isGood tells whether an observation counts as well. One between the bounds of
-// isBad and isGood is neither.
+// isGood reports whether an observation counts as healthy. One between the bounds
+// of isBad and isGood is neither.
 func (d *Detector) isGood(duration float64, late time.Duration) bool {
 	if d.baseline == 0 {
 		return true
@@ -99,7 +99,7 @@
 	}
 }
 
-// learn takes an observation into the usual time: the median of the first ones,
+// learn takes an observation into the baseline: the median of the first ones,
 // then a moving average.
 func (d *Detector) learn(duration float64) {
 	if duration <= 0 {
@@ -123,32 +123,32 @@
 	d.peers[node] = peerReport{slow: slow, step: d.step}
 }
 
-// peersWell tells whether at least half of the other nodes are well. It counts
-// those that reported after this one became slow and some steps later, so that
-// whatever slows all of them has shown. If most are slow, or none reported, no
-// node is better than this one.
+// mostPeersHealthy reports whether at least half of the other nodes are healthy.
+// Only reports from some steps after this one became slow count, so that a cause
+// that all share has shown. If most are slow, or none reported, refusing would not
+// help: no other node is known to be better.
 func (d *Detector) mostPeersHealthy() bool {
-	well, all := 0, 0
+	healthy, all := 0, 0
 	for _, report := range d.peers {
 		if report.step < d.slowSince+stepsBeforePeersCount {
 			continue
 		}
 		all++
 		if !report.slow {
-			well++
+			healthy++
 		}
 	}
-	return well > 0 && 2*well >= all
+	return healthy > 0 && 2*healthy >= all
 }
 
-// Slow tells whether this machine is much slower than usual, whatever the other
-// nodes are.
+// Slow reports whether this machine is much slower than its baseline, whatever the
+// other nodes are.
 func (d *Detector) Slow() bool { return d.slow }
 
-// ShouldRefuseNew tells whether new connections should go to other nodes.
+// ShouldRefuseNew reports whether new connections should go to other nodes.
 func (d *Detector) ShouldRefuseNew() bool { return d.refusingSteps > 0 }
 
-// ShouldShed tells whether open connections should move too: new ones have
+// ShouldShed reports whether open connections should move too: new ones have
 // been refused long enough for the platform to have noticed.
 func (d *Detector) ShouldShed() bool { return d.refusingSteps > stepsToShed }
 
@@ -160,7 +160,7 @@
 	PeerReports int     `json:"heard"` // nodes whose report counts
 }
 
-// State gives the detector's state.
+// State returns the detector's state.
 func (d *Detector) State() State {
 	return State{
 		Slow:        d.slow,
--- a/coord/slowness/example_test.go
+++ b/coord/slowness/example_test.go
@@ -7,7 +7,7 @@
 	"shaletrestle/coord/slowness"
 )
 
-// A machine that takes five times its usual time refuses new connections once it knows of peers that are well.
+// A machine that takes five times its baseline refuses new connections once it knows of healthy peers.
 func ExampleDetector() {
 	detector := slowness.NewDetector()
 	for range 20 {
--- a/coord/slowness/monitor.go
+++ b/coord/slowness/monitor.go
@@ -19,8 +19,8 @@
 	lastMeasured time.Time // zero: not yet
 }
 
-// NewMonitor makes a monitor, which takes no measurement by itself. The function work
-// does the piece of work and gives its time; nil stands for hashing a few kilobytes.
+// NewMonitor returns a monitor, which takes no measurement by itself. The function work
+// does the piece of work and returns its time; nil: hashing a few kilobytes.
 // The log takes a line when ShouldRefuseNew changes.
 func NewMonitor(log *slog.Logger, work func() time.Duration) *Monitor {
 	if work == nil {
@@ -29,8 +29,8 @@
 	return &Monitor{log: log.With("part", "slowness"), work: work, detector: NewDetector()}
 }
 
-// hashingWork makes the usual piece of work: it hashes a buffer a few times and
-// gives the shortest time.
+// hashingWork returns the default piece of work: it hashes a buffer a few times and
+// returns the shortest time.
 func hashingWork() func() time.Duration {
 	buffer := make([]byte, workBytes)
 	sum := uint64(0)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Measure measures once. It is to be called each Interval; by how much a call is late
-// is part of the observation.
+// Measure measures once. Call it each Interval: by how much a call is late is part of
+// the observation.
 func (m *Monitor) Measure() {
 	now := time.Now()
 	work := m.work()
@@ -70,8 +70,8 @@
 	}
 }
 
-// lateness is by how much a measurement is late after the one before it; the caller
-// holds the lock.
+// lateness is by how much more than Interval a measurement comes after the one before
+// it; 0 for the first. The caller holds the lock.
 func (m *Monitor) lateness(now time.Time) time.Duration {
 	previous := m.lastMeasured
 	m.lastMeasured = now
@@ -88,28 +88,28 @@
 	m.mu.Unlock()
 }
 
-// Slow tells whether this machine is much slower than usual.
+// Slow reports whether this machine is much slower than its baseline.
 func (m *Monitor) Slow() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.detector.Slow()
 }
 
-// ShouldRefuseNew tells whether new connections should go to other nodes.
+// ShouldRefuseNew reports whether new connections should go to other nodes.
 func (m *Monitor) ShouldRefuseNew() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.detector.ShouldRefuseNew()
 }
 
-// ShouldShed tells whether open connections should move too.
+// ShouldShed reports whether open connections should move too.
 func (m *Monitor) ShouldShed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.detector.ShouldShed()
 }
 
-// State gives what the detector has found.
+// State returns what the detector has found.
 func (m *Monitor) State() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coord/wait/wait.go
+++ b/coord/wait/wait.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Every calls f once each interval, the first time after one interval, until the context ends or f returns false. The
-// interval must be positive. Ticks that pass while f runs are dropped, but one: f may be called again at once then. It
+// Every calls f once each interval, the first time after one interval, until the context ends or f returns false. An
+// interval that isn't positive panics. Ticks that pass while f runs are dropped, but one: f may be called again at once then. It
 // may be called once more after the context has ended.
 func Every(ctx context.Context, interval time.Duration, f func() bool) {
 	ticker := time.NewTicker(interval)
