--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics serves the figures of a program in the Prometheus text format.
 //
-// It owns no state: programs count what they count anyway, and the samples are made when somebody asks. Its functions
+// It owns no state: programs keep their counts themselves, and samples are made of them at each request. Its functions
 // are safe for concurrent use.
 package metrics
 
@@ -41,7 +41,7 @@
 	return prometheus.MustNewConstMetric(prometheus.NewDesc(s.Name, s.Help, labels, nil), kind, s.Value, values...)
 }
 
-// samples is a collector of what was sampled already.
+// samples makes a Prometheus collector of given samples.
 type samples []Sample
 
 // Describe describes nothing in advance: the collector is unchecked.
@@ -54,8 +54,8 @@
 	}
 }
 
-// Serve writes samples as an answer. Samples that contradict each other, or that are there twice, make an internal
-// error. A client that is gone is not reported.
+// Serve writes samples as an answer. Samples that contradict each other, or that are given twice, are answered
+// with an internal error. A client that is gone is not reported.
 func Serve(w http.ResponseWriter, current []Sample) {
 	registry := prometheus.NewRegistry()
 	if err := registry.Register(samples(current)); err != nil {
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -9,21 +9,21 @@
 const (
 	// randomCandidates is the number of random candidates, half of them from the own zone.
 	randomCandidates = 4
-	// maxDraws bounds the draws for one random candidate before all replicas are looked through.
+	// maxDraws bounds the draws for one random candidate: where so many fail, hardly any replica may be used.
 	maxDraws = 12
-	// drawsPerReplica bounds them too: a short list is soon drawn through.
+	// drawsPerReplica bounds them for short lists, of which few draws hit every replica.
 	drawsPerReplica = 4
 )
 
-// candidate is a replica that is weighed.
+// candidate is a replica whose cost is compared.
 type candidate struct {
 	replica        *replicaState
-	matchedTokens  int // of the prompt, that the index says it holds
-	expectedTokens int // that it is expected to hold for what other nodes sent there
+	matchedTokens  int // of the prompt, that it has cached according to the index
+	expectedTokens int // that it is expected to have cached since other nodes send such prompts there
 	cost           float64
 }
 
-// matched is what a candidate is believed or expected to hold.
+// matched is the tokens of the prompt that a candidate is believed or expected to have cached.
 func (c *candidate) matched() int { return max(c.matchedTokens, c.expectedTokens) }
 
 // candidateSet is a few candidates in the order in which they were found, each replica once. It lives on the stack.
@@ -32,7 +32,7 @@
 	items [homesPerChain + prefixindex.MaxHolders + randomCandidates]candidate
 }
 
-// add gives the candidate of a replica, a new one if it is none yet; nil if the set is full.
+// add returns the candidate of a replica, added if it was not in the set; nil if the set is full.
 func (s *candidateSet) add(replica *replicaState) *candidate {
 	for i := range s.count {
 		if s.items[i].replica == replica {
@@ -47,7 +47,8 @@
 	return &s.items[s.count-1]
 }
 
-// gather finds the candidates of a prompt: homes, those that the index names, and a few at random.
+// gather finds the candidates of a prompt: homes, those that the index names, and a few at random. If none of these may
+// be used, it is any one that may.
 func (s *selection) gather(set *candidateSet) {
 	s.addHomes(set)
 	if len(s.pool.open) <= len(set.items) { // so few that all are
@@ -67,8 +68,8 @@
 	}
 }
 
-// addHomes adds the first homes that may be used, the best first. The first is expected to hold all that the prompt
-// shares with others, since all nodes send such prompts there.
+// addHomes adds the first homes that may be used, the best first. The first is expected to have cached all that the
+// prompt shares with others, since all nodes send such prompts there.
 func (s *selection) addHomes(set *candidateSet) {
 	var top [homesPerChain]ranked
 	key := s.request.Chain.SharedKey()
@@ -86,7 +87,7 @@
 	}
 }
 
-// addHolders adds replicas that hold most of the prompt by the index.
+// addHolders adds the replicas that have most of the prompt cached according to the index.
 func (s *selection) addHolders(set *candidateSet) {
 	var holders [prefixindex.MaxHolders]string
 	for _, id := range s.index.Holders(s.request.Chain, holders[:0], s.mayHold) {
@@ -99,7 +100,7 @@
 	return replica != nil && replica.listed.Pool == s.request.Pool && s.isWarmedUp(replica)
 }
 
-// addRandom adds replicas drawn from the own zone and from all, in turns.
+// addRandom adds replicas drawn alternately from the own zone and from all.
 func (s *selection) addRandom(set *candidateSet) {
 	for i := range randomCandidates {
 		from := s.pool.open
@@ -112,7 +113,7 @@
 	}
 }
 
-// draw draws one that may be used from a list; nil if none was found in some draws.
+// draw draws a replica that may be used from a list; nil if a bounded number of draws hit none.
 func (s *selection) draw(replicas []*replicaState) *replicaState {
 	for range min(maxDraws, drawsPerReplica*len(replicas)) {
 		if replica := replicas[rand.IntN(len(replicas))]; s.isWarmedUp(replica) {
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// scan looks through a whole list and draws one that may be used; it is needed only when hardly any may be.
+// scan draws one of the replicas of a list that may be used, each with the same chance; nil if there is none. It looks at
+// all of them, so it is for when hardly any may be used.
 func (s *selection) scan(replicas []*replicaState) *replicaState {
 	var drawn *replicaState
 	usable := 0
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -11,16 +11,16 @@
 
 // costTerms is what the cost of a prompt at a replica is made of, in blocks (session caching 4.4).
 type costTerms struct {
-	ActivePrefill  float64 // waiting to be read at the replica
+	ActivePrefill  float64 // waiting for prefill at the replica
 	IncomingPrompt float64 // the prompt's
-	OverlapCredit  float64 // for what the replica holds of the prompt
-	ActiveDecode   float64 // of memory held by what runs there
-	IncomingActive float64 // that the prompt and its answer will hold
+	OverlapCredit  float64 // for what the replica has cached of the prompt
+	ActiveDecode   float64 // of memory in use by what runs there
+	IncomingActive float64 // of memory that the prompt and its answer will use
 	ActiveRequest  float64 // what the requests there count for by their number
-	PrefillScale   float64 // decode blocks for each block to be read
+	PrefillScale   float64 // decode blocks for each block to be prefilled
 }
 
-// total is the design's cost function: the least one wins. A credit never makes reading negative.
+// total is the design's cost function: the least one wins. A credit never makes the prefill negative.
 func (t *costTerms) total() float64 {
 	adjusted := max(0, t.ActivePrefill+t.IncomingPrompt-t.OverlapCredit)
 	return t.PrefillScale*adjusted + t.ActiveDecode + t.IncomingActive + t.ActiveRequest
@@ -46,7 +46,7 @@
 	late := replica.speed.residualDelay(s.now) / max(s.rates.prefillPerToken*block, minBlockSeconds)
 	terms.ActivePrefill = max(unread, waiting*meanPrompt, late)
 	terms.ActiveDecode = max(replica.sent.reservedTokens, running*s.pool.meanHeldTokens) / block
-	// What is over the mark waits for a slot, or is preempted and read anew: it counts as reading.
+	// What is over the mark waits for a slot, or is preempted and prefilled again: it counts as prefill.
 	if over := running + waiting + 1 - s.options.FullMark*replica.slots(); over > 0 {
 		terms.ActivePrefill += over * max(meanPrompt, terms.IncomingPrompt)
 	}
@@ -63,8 +63,8 @@
 	return terms
 }
 
-// sharedBlockWeight is what a shared block of a prompt weighs: the less time the latency target leaves beside reading
-// the prompt's own part, the nearer to one, so that a prompt in a hurry goes where it is read soonest.
+// sharedBlockWeight is what a shared block of a prompt weighs: the less time the latency target leaves beside the
+// prefill of the prompt's own part, the nearer to one, so that a prompt in a hurry goes where its prefill ends soonest.
 func (o *Options) sharedBlockWeight(request *Request, prefillPerToken float64) float64 {
 	own := request.Chain.Tokens()
 	if shared := request.Chain.SharedParts(); shared > 0 {
@@ -80,7 +80,7 @@
 	return all + (sharedWeight-1)*shared
 }
 
-// blocks gives the number of full blocks of a chain that are shared, and of all its blocks, a started one included.
+// blocks returns the number of full blocks of a chain that are shared, and of all its blocks, a partial one included.
 func (o *Options) blocks(chain *prefixindex.Chain) (shared, all float64) {
 	if n := chain.SharedParts(); n > 0 {
 		shared = float64(chain.PrefixTokens[n-1] / o.BlockTokens)
@@ -88,17 +88,17 @@
 	return shared, float64((chain.Tokens() + o.BlockTokens - 1) / o.BlockTokens)
 }
 
-// wholeBlocks rounds tokens down to full blocks.
+// roundToBlocks rounds tokens down to full blocks.
 func (o *Options) roundToBlocks(tokens int) int { return tokens / o.BlockTokens * o.BlockTokens }
 
-// creditBlocks is what so many held tokens take off a prompt.
+// creditBlocks is the blocks that cached tokens take off the prefill of a prompt.
 func (o *Options) creditBlocks(chain *prefixindex.Chain, heldTokens int, sharedWeight float64) float64 {
 	shared, _ := o.blocks(chain)
 	held := float64(heldTokens / o.BlockTokens)
 	return o.OverlapCredit * (held + (sharedWeight-1)*min(held, shared))
 }
 
-// decayedCredit is a credit where so many blocks wait to be read.
+// decayedCredit is what is left of a credit where so many blocks wait for prefill.
 func (o *Options) decayedCredit(credit, waitingBlocks float64) float64 {
 	if o.CreditDecayBlocks <= 0 {
 		return credit
--- a/internal/placement/feedback.go
+++ b/internal/placement/feedback.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// contradictingShare is the part of the time saved by what the index names that must be missing to count against
-	// the hint.
+	// contradictingShare is the part of the time that a hint of the index should have saved by which a first token must be
+	// late to count against the hint.
 	contradictingShare = 0.8
-	// minJudgedSaving is the least saving in seconds whose absence counts: less is lost in the noise.
+	// minJudgedSaving is the least saving, in seconds, whose absence counts: less can't be told from noise.
 	minJudgedSaving = 0.01
 )
 
-// FirstToken records that the first token, or the answer, of an attempt came so long after it was sent, while so much
-// was predicted (0 without a prompt). Only the first call for an attempt counts, and none for a replica that has left
+// FirstToken records that the first token, or the answer, of an attempt came a time after it was sent; predicted is the
+// time that its [Choice] predicted (0 without a prompt). Only the first call for an attempt counts, and none for a replica that has left
 // the list.
 func (p *Placer) FirstToken(attempt *Attempt, took, predicted time.Duration) {
 	saved, judged := p.observeFirstToken(attempt, took, predicted)
-	// What a home was only expected to hold is no hint of the index, and says nothing against one.
+	// What a home was only expected to have cached is no hint of the index, and says nothing against one.
 	if !judged || attempt.MatchedTokens == 0 || p.index.Matched(attempt.ReplicaID, attempt.Chain) < attempt.MatchedTokens {
 		return
 	}
@@ -30,8 +30,8 @@
 	}
 }
 
-// observeFirstToken learns from a first token. It gives the seconds that the held part of the prompt should have saved;
-// judged is false if the time says nothing about it, as others may have been in its way.
+// observeFirstToken learns from a first token. It returns the seconds that the cached part of the prompt should have
+// saved; judged is false if the time says nothing about that, because other requests may have delayed it.
 func (p *Placer) observeFirstToken(attempt *Attempt, took, predicted time.Duration) (saved float64, judged bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	return float64(attempt.MatchedTokens) * replica.speed.prefillPerToken, replica.sent.requests <= 1
 }
 
-// Release ends the count of an attempt, whatever came of it. Each choice is released once.
+// Release ends the count of an attempt, whatever its result. Call it once for each choice.
 func (p *Placer) Release(attempt *Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// IsQueued reports whether a replica said of late that requests wait there.
+// IsQueued reports whether a replica reported lately that requests wait there.
 func (p *Placer) IsQueued(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/fleetload.go
+++ b/internal/placement/fleetload.go
@@ -8,18 +8,19 @@
 	"shaletrestle/coord/loadsum"
 )
 
-// fleetLoadLifetime is the time over which a sum of the fleet fades to nothing. The next comes earlier.
+// fleetLoadLifetime is the time over which a sum of the fleet fades to nothing. In normal operation the next one comes
+// earlier.
 const fleetLoadLifetime = 1000 * time.Millisecond
 
 // fleetLoad is what waits at a replica by the fleet's sums, in prompt tokens.
 type fleetLoad struct {
 	key       uint32    // by which the sums name the replica
 	published uint32    // this process's own part of the newest sums, as [Placer.PendingPrefill] gave it last
-	others    float64   // what other nodes have there beyond the usual of its service
-	othersAt  time.Time // when others came; it is valid for fleetLoadLifetime
+	others    float64   // what other nodes have there beyond what is usual for its service
+	othersAt  time.Time // when the sum came; it counts for fleetLoadLifetime
 }
 
-// PendingPrefill gives the prompt tokens that this process has sent to replicas and that they have not read yet, sorted
+// PendingPrefill returns the prompt tokens that this process has sent to replicas and that still wait for prefill, sorted
 // by key, to be added up over the fleet.
 func (p *Placer) PendingPrefill() []loadsum.Load {
 	p.mu.Lock()
@@ -35,8 +36,9 @@
 	return loads
 }
 
-// UpdateFleetLoad takes what stands out in the fleet's sum of what waits; elsewhere nothing does. It is some hundred
-// milliseconds old when it comes, and where all are busy alike a prompt is read soonest where its shared parts are.
+// UpdateFleetLoad takes what stands out in the fleet's sum of what waits; replicas that aren't listed have no excess.
+// Only the excess counts: the sum is some hundred milliseconds old when it comes, and where all replicas are equally busy
+// a prompt is prefilled soonest where its shared parts are cached.
 func (p *Placer) UpdateFleetLoad(loads []loadsum.Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +54,7 @@
 	}
 }
 
-// otherNodesTokens is what other nodes have waiting at a replica beyond the usual, fading.
+// otherNodesTokens is what other nodes have waiting at a replica beyond what is usual, fading.
 func (r *replicaState) otherNodesTokens(now time.Time) float64 {
 	age := now.Sub(r.fleet.othersAt)
 	if age >= fleetLoadLifetime {
--- a/internal/placement/learning.go
+++ b/internal/placement/learning.go
@@ -10,30 +10,31 @@
 	InitialPrefillPerToken = 35 * time.Microsecond
 	// baseTTFT is the time to a first token that no prompt token explains.
 	baseTTFT = 45 * time.Millisecond
-	// minLearnTokens is the shortest prompt, without what is held of it, that tells about the time per token.
+	// minLearnTokens is the least number of uncached tokens from which a time per token is learned: below, baseTTFT
+	// outweighs them.
 	minLearnTokens = 1500
 	// learnDownWeight is the weight of an observation below what is believed.
 	learnDownWeight = 0.5
-	// learnUpWeight is the weight of one above: it holds waiting too.
+	// learnUpWeight is the weight of one above, which may include waiting.
 	learnUpWeight = 0.02
-	// rateObservationWeight is the weight of one observation in a replica's speed relative to the mean; waiting is in
-	// it, so one says little.
+	// rateObservationWeight is the weight of one observation in a replica's speed relative to the mean; it may
+	// include waiting, so one says little.
 	rateObservationWeight = 0.03
-	// rateNoiseBand is the difference from the mean up to which it is taken for chance.
+	// rateNoiseBand is the relative difference from the mean that is taken for chance.
 	rateNoiseBand = 0.1
 	// maxRelativeRate is the factor up to which a replica counts as slower or quicker than the mean.
 	maxRelativeRate = 2.0
 	// extraDelayLifetime is the time after which a delay seen at a replica is forgotten.
 	extraDelayLifetime = 2 * time.Second
-	// extraDelayDecay is the rate at which it fades until then, in parts a second: by e in half a second.
+	// extraDelayDecay is the rate of its exponential decay until then, per second: a factor of e in half a second.
 	extraDelayDecay = 2.0
 )
 
 // rates are learned by this process over all replicas. They are guarded by the Placer's lock.
 type rates struct {
-	prefillPerToken    float64 // seconds: quickly down, slowly up, so that waiting is mostly left out
+	prefillPerToken    float64 // seconds: learned quickly down, slowly up, so that waiting is mostly left out
 	observedPerToken   float64 // seconds, a mean with waiting in it; 0 before the first observation
-	meanUncachedTokens float64 // that a prompt leaves to be read, on average
+	meanUncachedTokens float64 // that a prompt leaves to be prefilled, on average
 }
 
 // replicaSpeed is learned from the first tokens of one replica.
@@ -41,7 +42,7 @@
 	prefillPerToken float64   // seconds, learned as in [rates]
 	slowness        float64   // by what part it is slower than the mean; negative: quicker
 	extraDelay      float64   // seconds that the newest first token came later than predicted, 0 if it did not
-	extraDelayAt    time.Time // when it came; the delay is valid for extraDelayLifetime
+	extraDelayAt    time.Time // when it came; the delay counts for extraDelayLifetime
 }
 
 // learn moves a rate to an observation: quickly down, slowly up, since waiting only ever adds to what is observed.
@@ -53,35 +54,37 @@
 	*rate += weight * (observed - *rate)
 }
 
-// observePrompt takes the tokens of a placed prompt that must be read.
-func (l *rates) observePrompt(uncachedTokens int) {
-	l.meanUncachedTokens += learnUpWeight * (float64(uncachedTokens) - l.meanUncachedTokens)
+// observePrompt takes the tokens of a placed prompt that must be prefilled.
+func (r *rates) observePrompt(uncachedTokens int) {
+	r.meanUncachedTokens += learnUpWeight * (float64(uncachedTokens) - r.meanUncachedTokens)
 }
 
-// observePrefill takes the time to a first token for a prompt of which so many tokens had to be read.
-func (l *rates) observePrefill(speed *replicaSpeed, took time.Duration, uncachedTokens float64) {
+// observePrefill takes the time to a first token for a prompt of which so many tokens had to be prefilled.
+func (r *rates) observePrefill(speed *replicaSpeed, took time.Duration, uncachedTokens float64) {
 	if uncachedTokens < minLearnTokens {
 		return
 	}
 	perToken := max(0, took.Seconds()-baseTTFT.Seconds()) / uncachedTokens
 	learn(&speed.prefillPerToken, perToken)
-	l.compare(speed, perToken)
-	learn(&l.prefillPerToken, perToken)
+	r.compare(speed, perToken)
+	learn(&r.prefillPerToken, perToken)
 }
 
-// compare sets a time per token that was seen at a replica, waiting included, beside the mean of all.
-func (l *rates) compare(speed *replicaSpeed, perToken float64) {
-	if l.observedPerToken == 0 {
-		l.observedPerToken = perToken
+// compare updates a replica's slowness by a time per token that was observed there, waiting included, relative to the
+// mean of all replicas.
+func (r *rates) compare(speed *replicaSpeed, perToken float64) {
+	if r.observedPerToken == 0 {
+		r.observedPerToken = perToken
 	}
-	l.observedPerToken += rateObservationWeight * (perToken - l.observedPerToken)
-	if l.observedPerToken > 0 {
-		difference := min(perToken/l.observedPerToken, 2*maxRelativeRate) - 1
+	r.observedPerToken += rateObservationWeight * (perToken - r.observedPerToken)
+	if r.observedPerToken > 0 {
+		difference := min(perToken/r.observedPerToken, 2*maxRelativeRate) - 1
 		speed.slowness += rateObservationWeight * (difference - speed.slowness)
 	}
 }
 
-// relativePrefillTime is how many times as long as the mean a replica reads; a small difference is chance.
+// relativePrefillTime is how many times as long as the mean a replica's prefill takes; a difference inside the noise band
+// counts as none.
 func (s *replicaSpeed) relativePrefillTime() float64 {
 	switch difference := s.slowness; {
 	case difference > rateNoiseBand:
@@ -92,7 +95,7 @@
 	return 1
 }
 
-// residualDelay is the delay beyond the predicted, in seconds, that was seen at a replica, fading.
+// residualDelay is the delay beyond the prediction, in seconds, that the newest first token of a replica had, decayed.
 func (s *replicaSpeed) residualDelay(now time.Time) float64 {
 	if age := now.Sub(s.extraDelayAt); age < extraDelayLifetime {
 		return s.extraDelay * math.Exp(-age.Seconds()*extraDelayDecay)
--- a/internal/placement/membership.go
+++ b/internal/placement/membership.go
@@ -9,12 +9,12 @@
 )
 
 // SetReplicas takes the list of replicas, by id, and the zones under evacuation; neither may be changed afterwards.
-// Replicas of a zone that takes requests again count as warming up for the given time, until the list has had time to
-// say whether they are.
+// When an evacuation ends, the replicas of the zone count as warming up for warmupAfterEvacuation: by then the list says
+// whether they are. The index and the detector are given the same replicas.
 func (p *Placer) SetReplicas(replicas map[string]*state.Replica, evacuated map[string]bool, warmupAfterEvacuation time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	holds := map[string]bool{}
+	ready := map[string]bool{} // those whose cache is still of use
 	services := make(map[string]string, len(replicas))
 	pools := map[string][]*replicaState{}
 	for id, listed := range replicas {
@@ -27,10 +27,10 @@
 			known.warmup.until = time.Now().Add(warmupAfterEvacuation)
 		}
 		if previous := known.listed; previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models) {
-			p.index.Forget(id) // other weights: nothing that it holds is of use
+			p.index.Forget(id) // other weights: its cache is of no use any more
 		}
 		known.listed, known.evacuated = listed, evacuated[listed.Zone]
-		holds[id], services[id] = listed.State == stateReady, listed.Pool
+		ready[id], services[id] = listed.State == stateReady, listed.Pool
 		pools[listed.Pool] = append(pools[listed.Pool], known)
 	}
 	for id := range p.replicas {
@@ -40,7 +40,7 @@
 	}
 	p.evacuated = evacuated
 	p.updatePools(pools)
-	p.index.Retain(holds)
+	p.index.Retain(ready)
 	p.health.SetReplicas(services)
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// Allowed reports whether a replica may be sent to by the list, whatever its health.
+// Allowed reports whether the list lets a replica take requests, whatever its health; false for an unknown one.
 func (p *Placer) Allowed(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/options.go
+++ b/internal/placement/options.go
@@ -11,15 +11,16 @@
 const (
 	// defaultOverlapCredit is one block for each block held (source).
 	defaultOverlapCredit = 1.0
-	// defaultRereadWeight: reading a shared block where it is not held costs its time, and room and wavering besides.
+	// defaultRecomputeWeight: a shared block that is prefilled at a second replica costs more than its time: it takes
+	// room there, and prompts then move back and forth between the two.
 	defaultRecomputeWeight = 16.0
-	// defaultPrefillLoadScale: memory held hardly slows a step, reading does.
+	// defaultPrefillLoadScale: memory in use hardly slows a step, prefill does.
 	defaultPrefillLoadScale = 64.0
-	// defaultActiveWeight is about a block's reading, for a request's part of each step.
+	// defaultActiveWeight is about the prefill of a block, for what a request adds to each step.
 	defaultActiveWeight = 64.0
 	// defaultCreditDecayBlocks is off: the queue itself already weighs against the credit.
 	defaultCreditDecayBlocks = 0.0
-	// defaultOtherZoneBlocks: the way to another zone and back takes about as long as reading so many blocks.
+	// defaultOtherZoneBlocks: the round trip to another zone takes about as long as the prefill of so many blocks.
 	defaultOtherZoneBlocks = 16.0
 	// defaultFullMark is the occupancy above which a home is passed over (source).
 	defaultFullMark = 0.85
@@ -33,10 +34,10 @@
 	// OverlapCredit is the credit in blocks for each full block that a replica is believed to hold. Default 1
 	// (source: session caching 4.4).
 	OverlapCredit float64 `yaml:"overlap_credit"`
-	// RereadWeight is the number of blocks that a shared block counts for where it must be read, and in the credit
-	// where it need not; for a prompt with no time to spare it counts as 1. Default 16 (ours).
+	// RecomputeWeight is the number of blocks that a shared block counts for where it must be prefilled, and in the
+	// credit where it need not; for a prompt with no time to spare it counts as 1. Default 16 (ours).
 	RecomputeWeight float64 `yaml:"reread_weight"`
-	// PrefillLoadScale is the number of decode blocks that weigh as much as one block to be read. Default 64 (the
+	// PrefillLoadScale is the number of decode blocks that weigh as much as one block to be prefilled. Default 64 (the
 	// term is that of session caching 4.4, the value ours).
 	PrefillLoadScale float64 `yaml:"prefill_load_scale"`
 	// CountActive says whether active requests count by their number. Default true (the term is that of session
@@ -44,17 +45,17 @@
 	CountActive bool `yaml:"count_active"`
 	// ActiveWeight is the number of decode blocks that one active request counts for. Default 64 (ours).
 	ActiveWeight float64 `yaml:"active_weight"`
-	// CreditDecayBlocks is the number of blocks waiting to be read at which the credit is halved; 0 means never.
+	// CreditDecayBlocks is the number of blocks waiting for prefill at which the credit is halved; 0 means never.
 	// Default 0 (the decay is an option of session caching 4.4).
 	CreditDecayBlocks float64 `yaml:"credit_decay_blocks"`
-	// OtherZoneBlocks is the number of blocks to be read that a replica in another zone counts for. Default 16 (ours).
+	// OtherZoneBlocks is the number of blocks to be prefilled that a replica in another zone counts for. Default 16 (ours).
 	OtherZoneBlocks float64 `yaml:"other_zone_blocks"`
-	// FullMark is the part of slots or memory, 0 to 1, beyond which requests wait or are read anew. Default 0.85
+	// FullMark is the part of slots or memory, 0 to 1, beyond which requests wait or are preempted. Default 0.85
 	// (source: m02).
 	FullMark float64 `yaml:"full_mark"`
 }
 
-// Defaults are the options of a settings file that names none.
+// Defaults returns the options of a settings file that names none.
 func Defaults() Options {
 	return Options{
 		BlockTokens:       prefixindex.BlockTokens,
@@ -77,7 +78,7 @@
 
 func (e *OptionError) Error() string { return fmt.Sprintf("placement.%s must be %s", e.Option, e.Want) }
 
-// Check gives an [OptionError] for the first option that is out of its range, nil if there is none.
+// Check returns an [OptionError] for the first option that is out of its range, nil if there is none.
 func (o *Options) Check() error {
 	for _, option := range []struct {
 		name  string
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -23,15 +23,15 @@
 	counts    counts
 }
 
-// counts are since the start of the process.
+// counts are since the start of the process; see [Choice] for their meaning.
 type counts struct {
 	placed       int64
 	spilled      int64
 	betterCached int64
 }
 
-// NewPlacer makes a Placer with the default options and no replicas. The index must not be nil; it is used and kept in
-// step with the replicas, and may be read and filled by others.
+// NewPlacer returns a Placer with the default options and no replicas. The index must not be nil; the Placer reads it and
+// drops what replicas lost. Others may read it too, and fill it.
 func NewPlacer(index *prefixindex.Index) *Placer {
 	return &Placer{
 		index:     index,
@@ -44,7 +44,7 @@
 	}
 }
 
-// Health is the detector whose ejections and suspicions are heeded. It is kept in step with the replicas.
+// Health is the detector whose ejections and suspicions are obeyed. [Placer.SetReplicas] sets its replicas too.
 func (p *Placer) Health() *outlier.Detector { return p.health }
 
 // Configure takes other options, which must have passed [Options.Check].
@@ -65,8 +65,8 @@
 	if pool == nil {
 		return Choice{}, false
 	}
-	choosing := p.newSelection(request, pool, now)
-	chosen := choosing.choose()
+	selecting := p.newSelection(request, pool, now)
+	chosen := selecting.choose()
 	if chosen.replica == nil {
 		return Choice{}, false
 	}
@@ -74,7 +74,7 @@
 }
 
 func (p *Placer) newSelection(request *Request, pool *pool, now time.Time) selection {
-	choosing := selection{
+	selecting := selection{
 		request:  request,
 		pool:     pool,
 		now:      now,
@@ -85,9 +85,9 @@
 		replicas: p.replicas,
 	}
 	if request.Chain != nil {
-		choosing.sharedWeight = p.options.sharedBlockWeight(request, p.rates.prefillPerToken)
+		selecting.sharedWeight = p.options.sharedBlockWeight(request, p.rates.prefillPerToken)
 	}
-	return choosing
+	return selecting
 }
 
 // commit counts a request as sent to the chosen replica.
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -3,15 +3,15 @@
 // meanObservationWeight is the weight of one observation in the means of a service.
 const meanObservationWeight = 0.02
 
-// pool is the replicas of one service and what is kept ready for choosing among them. It is guarded by the Placer's
+// pool is the replicas of one service, and what is precomputed for choosing among them. It is guarded by the Placer's
 // lock.
 type pool struct {
 	all            []*replicaState            // by id
-	open           []*replicaState            // of these, what takes requests by the list
+	open           []*replicaState            // those that take requests by the list
 	openByZone     map[string][]*replicaState // the same by zone
 	homes          homes
 	meanOccupancy  float64 // part of their slots that replicas report as running, on average
-	meanHeldTokens float64 // tokens of memory that a request holds, on average
+	meanHeldTokens float64 // tokens of memory that a request may take, on average
 }
 
 // setMembers takes a new set of replicas, sorted by id.
--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -16,6 +16,10 @@
 	queuedReportLifetime = 2 * time.Second
 )
 
+// waitingWeight is the number of running requests that a waiting one counts for in an occupancy: it shows that the slots
+// were not enough.
+const waitingWeight = 2
+
 // stateReady is the state of listed replicas that take requests.
 const stateReady = "ready"
 
@@ -40,8 +44,8 @@
 // sentLoad is what this process has at a replica. It is exact at any time.
 type sentLoad struct {
 	requests             int
-	pendingPrefillTokens float64 // of prompts that no token has come for yet
-	reservedTokens       float64 // of memory, that the prompts and the most that may be generated take
+	pendingPrefillTokens float64 // of prompts whose first token has not come yet, without what is cached of them
+	reservedTokens       float64 // of memory, for the prompts and the most that they may generate
 }
 
 // reportedLoad is the replica's own report, valid for the lifetimes above from its time on.
@@ -64,7 +68,7 @@
 	}
 }
 
-// isOpen reports whether a replica takes requests by the list.
+// isOpen reports whether a replica takes requests as far as the list says, whatever its health.
 func (r *replicaState) isOpen() bool {
 	return r.listed.State == stateReady && !r.evacuated && !r.misaddressed
 }
@@ -73,7 +77,7 @@
 	return r.listed.WarmupLeftMs > 0 || now.Before(r.warmup.until)
 }
 
-// isQueued reports whether a replica said of late that requests wait there.
+// isQueued reports whether a replica reported lately that requests wait there.
 func (r *replicaState) isQueued(now time.Time) bool {
 	return r.reported.Waiting > 0 && now.Sub(r.reported.at) < queuedReportLifetime
 }
@@ -88,12 +92,12 @@
 	}
 }
 
-// prefilled takes the prompt of an attempt off what is not read yet.
+// markPrefilled takes the prompt of an attempt off what waits for prefill.
 func (r *replicaState) markPrefilled(attempt *Attempt) {
 	r.sent.pendingPrefillTokens = max(0, r.sent.pendingPrefillTokens-float64(attempt.Chain.Tokens()-attempt.MatchedTokens))
 }
 
-// remove takes off what add counted.
+// removeAttempt takes off what addRequest counted.
 func (r *replicaState) removeAttempt(attempt *Attempt) {
 	r.sent.requests = max(0, r.sent.requests-1)
 	if attempt.Chain == nil {
@@ -104,7 +108,7 @@
 	}
 	r.sent.reservedTokens = max(0, r.sent.reservedTokens-float64(attempt.Chain.Tokens()+attempt.MaxOutputTokens))
 	if r.sent.requests == 0 {
-		r.sent.pendingPrefillTokens, r.sent.reservedTokens = 0, 0 // nothing is left of rounding
+		r.sent.pendingPrefillTokens, r.sent.reservedTokens = 0, 0 // no rounding errors are kept
 	}
 }
 
@@ -116,7 +120,7 @@
 	return float64(max(1, r.listed.Slots))
 }
 
-// load is how many requests run at a replica: its own report, fading to the service's mean, and never less than this
+// runningCount is how many requests run at a replica: its own report, fading to the service's mean, and never less than this
 // process has there.
 func (r *replicaState) runningCount(meanOccupancy float64, now time.Time) float64 {
 	running := meanOccupancy * r.slots()
@@ -134,21 +138,20 @@
 	return 0
 }
 
-// occupancy is the part of a replica's slots in use, for services without an engine: what waits counts twice, and a
-// report fades to nothing.
+// occupancy is the part of a replica's slots in use, for services without an engine; a report fades to nothing.
 func (r *replicaState) occupancy(now time.Time) float64 {
 	requests := float64(r.sent.requests)
 	if r.reported.Slots <= 0 {
 		return requests / float64(max(1, r.listed.Slots))
 	}
 	if age, lifetime := now.Sub(r.reported.at).Seconds(), runningReportLifetime.Seconds(); age < lifetime {
-		requests = max(requests, (r.reported.Running+2*r.reported.Waiting)*(1-age/lifetime))
+		requests = max(requests, (r.reported.Running+waitingWeight*r.reported.Waiting)*(1-age/lifetime))
 	}
 	return requests / r.reported.Slots
 }
 
-// queueDelay is the predicted time in seconds before a new request's own prompt is read; promptSeconds is what reading
-// a prompt takes on average.
+// queueDelay is the predicted time in seconds before the prefill of a new request begins; promptSeconds is what a
+// prefill takes on average.
 func (r *replicaState) queueDelay(now time.Time, promptSeconds float64) float64 {
 	delay := (r.sent.pendingPrefillTokens + r.otherNodesTokens(now)) * r.speed.prefillPerToken
 	delay = max(delay, r.speed.residualDelay(now))
--- a/internal/placement/selection.go
+++ b/internal/placement/selection.go
@@ -23,19 +23,19 @@
 	index          *prefixindex.Index
 	health         *outlier.Detector
 	replicas       map[string]*replicaState
-	sharedWeight   float64 // of a shared block of the prompt, from 1 on
-	allowSuspected bool    // replicas under suspicion may be used too
+	sharedWeight   float64 // of a shared block of the prompt, 1 or more
+	allowSuspected bool    // suspected replicas that are passed over may be used too
 }
 
 // selected is what was chosen; replica is nil if none may be used.
 type selected struct {
 	replica    *replicaState
-	choice     Choice  // but for its replica
+	choice     Choice  // all but its Replica
 	warmupRate float64 // requests a second that may be sent there if it is warming up
 }
 
-// choose chooses a warm replica, else one that is warming up. Suspects that were passed over are tried, in the same
-// order, only if that leaves none.
+// choose chooses a warmed-up replica, else one that is warming up. Suspects that were passed over are tried, in the same
+// order, only if there is none.
 func (s *selection) choose() selected {
 	chosen := s.chooseOnce()
 	if chosen.replica == nil {
@@ -70,12 +70,13 @@
 	return fitness == outlier.Fit || fitness == outlier.PassedOver && s.allowSuspected
 }
 
-// isWarm reports whether a replica may get the request as one that is not warming up.
+// isWarmedUp reports whether a replica may get the request now and is not warming up.
 func (s *selection) isWarmedUp(replica *replicaState) bool {
 	return s.isEligible(replica) && !replica.isWarmingUp(s.now)
 }
 
-// choosePrompt weighs the candidates of a prompt: the least cost wins, and of equal ones the first.
+// choosePrompt compares the candidates of a prompt: the least cost wins, and of equal ones the first. Homes come first, so
+// that is the first home unless no home may be used.
 func (s *selection) choosePrompt() selected {
 	var set candidateSet
 	s.gather(&set)
@@ -101,7 +102,7 @@
 	return selected{replica: candidates[best].replica, choice: choice}
 }
 
-// predict is what is to be expected of a prompt at a candidate.
+// predict returns a choice of a candidate, with the times that are expected there.
 func (s *selection) predict(c *candidate) Choice {
 	matched := c.matched()
 	perToken := c.replica.speed.prefillPerToken
@@ -110,7 +111,7 @@
 	return Choice{MatchedTokens: matched, UnloadedTTFT: unloaded, PredictedTTFT: durations.FromSeconds(delay) + unloaded}
 }
 
-// chooseLessLoaded takes the less loaded of two random replicas, the first of them from the own zone if it has any.
+// chooseLessLoaded returns the less loaded of two random replicas, the first of them from the own zone if it has any.
 func (s *selection) chooseLessLoaded() *replicaState {
 	near := s.pool.openByZone[s.request.Zone]
 	first := s.drawOrScan(near)
@@ -138,7 +139,8 @@
 	return s.scan(replicas)
 }
 
-// chooseWarmingUp takes the replica that is warming up, may be sent to, and was sent to longest ago.
+// chooseWarmingUp returns the replica that is warming up, may get the request, and may have its next request since the
+// longest time.
 func (s *selection) chooseWarmingUp() selected {
 	var chosen selected
 	for _, replica := range s.pool.open {
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -13,7 +13,7 @@
 	BetterCached          int64                           `json:"warmer"` // see [Choice].Warmer
 	PrefillMicrosPerToken float64                         `json:"prefill_us_per_token"`
 	Replicas              map[string]ReplicaStats         `json:"replicas"` // by id
-	Health                map[string]outlier.ReplicaStats `json:"health"`   // by id; only those with something against them
+	Health                map[string]outlier.ReplicaStats `json:"health"`   // by id; only those ejected, suspected or with recent failures
 }
 
 // ReplicaStats is one replica on the state page.
@@ -26,7 +26,7 @@
 	Misaddressed bool   `json:"address_reused"`
 }
 
-// Stats gives the state of the moment.
+// Stats returns the state of the moment.
 func (p *Placer) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/prefixindex/cache.go
+++ b/internal/prefixindex/cache.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// thrashRatio is the number of evictions over stores above which a cache is thrashing (source).
+	// thrashRatio is the ratio of evictions to stores above which a cache is thrashing (source).
 	thrashRatio = 0.9
-	// minCountedStores is the number of stores before a replica's evictions say anything.
+	// minCountedStores is the number of stores before a replica's ratio says anything.
 	minCountedStores = 16
 	// maxCountedStores is the number of stores after which both counters are halved, so that the newest count most.
 	maxCountedStores = 4096
 )
 
-// run is one hint: a replica is believed to hold the run of blocks of a key.
+// run is one hint: a replica is believed to have cached the run of blocks of a key.
 type run struct {
 	key            Key
 	tokens         int
@@ -25,7 +25,7 @@
 	position       int           // among the holders of its key
 }
 
-// cacheView is what one replica, from its start on, is believed to hold.
+// cacheView is what one replica is believed to have cached since its start.
 type cacheView struct {
 	replica        string
 	capacityTokens int
@@ -53,7 +53,7 @@
 	}
 }
 
-// get gives the run of a key, nil if it is not held.
+// get returns the run of a key, nil if it is not held.
 func (c *cacheView) get(key Key) *run {
 	element := c.runs[key]
 	if element == nil {
@@ -62,7 +62,7 @@
 	return element.Value.(*run)
 }
 
-// oldest is the run that was unused longest, nil if there is none.
+// leastRecentlyUsed is the run that was unused longest, nil if there is none.
 func (c *cacheView) leastRecentlyUsed() *run {
 	element := c.byRecentUse.Back()
 	if element == nil {
--- a/internal/prefixindex/evict.go
+++ b/internal/prefixindex/evict.go
@@ -1,6 +1,6 @@
 package prefixindex
 
-// MaxContradictions is the number of contradictions in a row at which a hint is dropped.
+// MaxContradictions is the number of contradictions in a row at which a hint is dropped: one may be chance.
 const MaxContradictions = 3
 
 // evict removes one run from its replica's view.
@@ -25,7 +25,7 @@
 	x.runs--
 }
 
-// removeHolder puts the last holder of the run's key in the run's position.
+// removeHolder removes a run from the holders of its key; the last holder takes its position.
 func (x *Index) removeHolder(removed *run) {
 	holders := x.holders[removed.key]
 	last := len(holders) - 1
@@ -106,9 +106,9 @@
 	delete(x.caches, replica)
 }
 
-// ReserveTokens records that running requests hold so many tokens of a replica's memory.
-// Held runs that the rest has no room for are taken as evicted, the longest unused
-// first.
+// ReserveTokens records that running requests use so many tokens of a replica's memory.
+// Cached runs that the rest has no room for are taken as evicted, the least recently used
+// first. It does nothing for a replica without runs.
 func (x *Index) ReserveTokens(replica string, reservedTokens float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/prefixindex/index.go
+++ b/internal/prefixindex/index.go
@@ -7,7 +7,7 @@
 	"shaletrestle/coord/fairshare"
 )
 
-// MaxRuns bounds the runs held over all replicas in an index of the usual size.
+// MaxRuns bounds the runs of all replicas together in an index of the usual size.
 const MaxRuns = 20000
 
 // Index holds the hints of one process. Make it with [NewIndex]. All methods are safe for concurrent use.
@@ -17,7 +17,7 @@
 	caches      map[string]*cacheView // by replica
 	queue       queue
 	sequence    int                   // of the newest pending prompt
-	memory      *fairshare.Shares     // the runs that this process may hold, shared out among the owners
+	memory      *fairshare.Shares     // bounds the runs of this process, and counts them by owner
 	owners      map[string]*list.List // of *run, the one used last in front
 	holders     map[Key][]*run        // the runs of a key, one for each replica that holds it
 	blockTokens int                   // tokens of a block
@@ -26,25 +26,24 @@
 	hits        int64 // lookups that found something
 }
 
-// NewIndex makes an empty index of the usual size, [MaxRuns].
+// NewIndex returns an empty index of the usual size, [MaxRuns].
 func NewIndex() *Index { return NewSizedIndex(MaxRuns) }
 
-// NewSizedIndex makes an empty index that holds at most so many runs. When it is
-// full, the owner that holds most gives way, so that a heavy owner can't push the
-// others' runs out.
+// NewSizedIndex returns an empty index of at most so many runs. When it is full, runs of
+// the owner that has most are evicted, so that a heavy owner can't displace the others.
 func NewSizedIndex(runs int) *Index {
 	return &Index{
 		sketch:      &sketch{},
 		caches:      map[string]*cacheView{},
-		memory:      fairshare.New(int64(runs), 1),
+		memory:      fairshare.New(int64(runs), 1), // no threshold: only the capacity counts
 		owners:      map[string]*list.List{},
 		holders:     map[Key][]*run{},
 		blockTokens: BlockTokens,
 	}
 }
 
-// SetBlockTokens sets the tokens of a block, by which later lookups are rounded down; below 1 it is 1. What is held
-// stays.
+// SetBlockTokens sets the tokens of a block, by which later lookups are rounded down; below 1 it is 1. The runs
+// stay.
 func (x *Index) SetBlockTokens(block int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -58,7 +57,7 @@
 	Hits    int64 // lookups that found something
 }
 
-// Stats gives the counts of the moment.
+// Stats returns the counts of the moment.
 func (x *Index) Stats() Stats {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/prefixindex/parse.go
+++ b/internal/prefixindex/parse.go
@@ -9,12 +9,12 @@
 
 // Bounds of a prompt's description.
 const (
-	maxParts      = 4096    // a description with more parts is not read
+	maxParts      = 4096    // a description with more parts is ignored
 	maxPartTokens = 1 << 28 // tokens of one part
 )
 
 // ParseParts reads the header Prompt-Prefix. It has the form
-// id:tokens,id:tokens. For a value that can't be read it gives nil, and the request goes without the hint.
+// id:tokens,id:tokens. For a value that can't be parsed it returns nil, and the request is placed without the hint.
 func ParseParts(header string) []Part {
 	if header == "" {
 		return nil
@@ -30,7 +30,7 @@
 	return parts
 }
 
-// parsePart reads one part, an id and its tokens. An id that is no hexadecimal
+// parsePart parses one part, an id and its tokens. An id that is no hexadecimal
 // number is hashed.
 func parsePart(text string) (part Part, ok bool) {
 	name, count, found := strings.Cut(strings.TrimSpace(text), ":")
--- a/internal/prefixindex/queue.go
+++ b/internal/prefixindex/queue.go
@@ -1,6 +1,6 @@
 package prefixindex
 
-// pendingLimit bounds the prompts that wait to be entered; the one of the lowest priority gives way.
+// pendingLimit bounds the prompts that wait to be entered; beyond it the one of the lowest priority is dropped.
 const pendingLimit = 256
 
 // pending is a prompt that waits to be entered into the index.
@@ -9,7 +9,7 @@
 	chain    *Chain
 	owner    string
 	parts    int // of the chain, to enter
-	priority int // matched length times count
+	priority int // tokens up to the last part to enter, times its sightings
 	sequence int // order of arrival
 }
 
--- a/internal/prefixindex/store.go
+++ b/internal/prefixindex/store.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// MinSightings is how often a prefix is seen before an entry is made (source).
+	// MinSightings is how often a prefix is seen before an entry is made (source): most prompts never come again.
 	MinSightings = 2
-	// pendingBatchFraction is the part of the queue's bound, one in so many, at which the queue is emptied while the
-	// memory is full.
+	// pendingBatchFraction: while the memory is over its capacity, the queue is entered only once it has one in so many of
+	// pendingLimit prompts.
 	pendingBatchFraction = 8
 )
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// cache gives the view of a replica's cache, a new one if there is none.
+// cache returns the view of a replica's cache, a new one if there is none.
 func (x *Index) cache(replica string) *cacheView {
 	cache := x.caches[replica]
 	if cache == nil {
@@ -55,7 +55,7 @@
 	return cache
 }
 
-// sighted counts a sighting of every part and gives the number of parts up to which the chain
+// countSightings counts a sighting of every part and returns the number of parts up to which the chain
 // was seen often enough to be entered, and how often that part was seen. Parts
 // behind one that is seen for the first time are counted too.
 func (x *Index) countSightings(cache *cacheView, chain *Chain) (upto, count int) {
@@ -96,16 +96,16 @@
 		}
 		x.add(&run{key: key, tokens: chain.Parts[i].Tokens, owner: owner, cache: cache}, owned)
 	}
-	for cache.usedTokens > cache.capacityTokens && cache.byRecentUse.Len() > 0 { // the replica's memory: it knows no owners
+	for cache.usedTokens > cache.capacityTokens && cache.byRecentUse.Len() > 0 { // the replica's memory, which knows no owners
 		x.evict(cache.leastRecentlyUsed())
 	}
-	for x.memory.OverCapacity() { // this process's memory: the heaviest owner gives way
+	for x.memory.OverCapacity() { // this process's memory: the heaviest owner loses runs
 		x.evict(x.owners[x.memory.HeaviestUser()].Back().Value.(*run))
 	}
 	cache.halveCounts()
 }
 
-// ownedBy gives the runs of an owner, a new list if there is none.
+// ownedBy returns the runs of an owner, a new list if there is none.
 func (x *Index) ownedBy(owner string) *list.List {
 	owned := x.owners[owner]
 	if owned == nil {
--- a/internal/replicamodel/memory.go
+++ b/internal/replicamodel/memory.go
@@ -7,7 +7,7 @@
 	parent   *node
 	children map[Part]*node
 	part     Part
-	complete bool          // read to its end
+	complete bool          // prefilled to its end
 	users    int           // running requests that use it
 	recent   *list.Element // in the order of use
 }
@@ -38,7 +38,7 @@
 	m.pinned += tokens
 }
 
-// acquire pins the nodes of a prompt and adds those that are not cached. It tells
+// acquire pins the nodes of a prompt and adds those that are not cached. It returns
 // how many of the prompt's tokens are cached; ok is false if there is no room.
 // What is cached is pinned first, so that making room can't evict it.
 func (m *memory) acquire(parts []Part) (path []*node, cached int, ok bool) {
@@ -60,7 +60,7 @@
 }
 
 // pinCached pins the cached nodes of a prompt and counts the tokens of those,
-// from the first on, that were read to their end.
+// from the first on, that were prefilled to their end.
 func (m *memory) pinCached(parts []Part) (path []*node, cached int) {
 	parent := m.root
 	complete := true
@@ -112,8 +112,8 @@
 	}
 }
 
-// release unpins a request's nodes and removes those that nobody read to their
-// end. It goes from the last part to the first, so that the first one ends up as
+// release unpins a request's nodes and removes those that no request prefilled to
+// their end. It goes from the last part to the first, so that the first one ends up as
 // the newest: a part is never older than those that follow it.
 func (m *memory) release(path []*node) {
 	for i := len(path) - 1; i >= 0; i-- {
--- a/internal/replicamodel/model.go
+++ b/internal/replicamodel/model.go
@@ -12,13 +12,13 @@
 	sequence   int // of the newest request
 	waiting    []*request
 	running    []*request
-	prefilling map[*request]int // prompt tokens read in the step under way
+	prefilling map[*request]int // prompt tokens prefilled in the step under way
 	stepEnd    time.Duration    // of the step under way
 	busy       bool             // a step is under way
-	prefilled  int64            // prompt tokens read since the start
+	prefilled  int64            // prompt tokens since the start
 }
 
-// New makes an idle replica with an empty cache.
+// New returns an idle replica with an empty cache.
 func New(spec Spec) *Model {
 	return &Model{spec: spec, memory: newMemory(spec.MemoryTokens), prefilling: map[*request]int{}}
 }
@@ -72,7 +72,7 @@
 // StepEnd is the end of the step under way; false if the replica is idle.
 func (m *Model) StepEnd() (time.Duration, bool) { return m.stepEnd, m.busy }
 
-// admit makes room for a request's prompt and begins to read what is not cached
+// admit makes room for a request's prompt and begins the prefill of what is not cached
 // of it; false if there is no room.
 func (m *Model) admit(admitted *request) bool {
 	path, cached, ok := m.memory.acquire(admitted.Parts)
@@ -81,13 +81,13 @@
 	}
 	admitted.path = path
 	admitted.unprefilled = admitted.promptTokens() - cached
-	admitted.unprefilled += admitted.generated // what it generated before it was preempted is read anew
+	admitted.unprefilled += admitted.generated // what it generated before it was preempted is prefilled too
 	m.memory.reserve(admitted.generated)
 	m.running = append(m.running, admitted)
 	return true
 }
 
-// release takes a request off the batch; the parts that were read to their end stay in
+// release takes a request off the batch; the parts that were prefilled to their end stay in
 // the cache.
 func (m *Model) release(released *request) {
 	for i, request := range m.running {
@@ -102,7 +102,7 @@
 	released.path = nil
 }
 
-// Load gives how busy the replica is.
+// Load reports how busy the replica is.
 func (m *Model) Load() Load {
 	return Load{
 		Active:          len(m.running),
--- a/internal/replicamodel/queue.go
+++ b/internal/replicamodel/queue.go
@@ -14,10 +14,10 @@
 	ends    []time.Duration // of the requests that are not finished, earliest first
 }
 
-// NewQueue makes an idle replica with so many slots, and so many places for waiting beyond them.
+// NewQueue returns an idle replica with so many slots, and room for so many waiting requests beyond them.
 func NewQueue(slots, waiting int) *Queue { return &Queue{slots: slots, waiting: waiting} }
 
-// Offer takes a request at a time and tells when it will be finished; false if
+// Offer takes a request at a time and returns when it will be finished; false if
 // the replica is full.
 func (q *Queue) Offer(now, work time.Duration) (end time.Duration, ok bool) {
 	outstanding := q.Outstanding(now)
@@ -41,7 +41,7 @@
 	return len(q.ends)
 }
 
-// Load gives how busy the replica is.
+// Load reports how busy the replica is.
 func (q *Queue) Load(now time.Duration) Load {
 	outstanding := q.Outstanding(now)
 	return Load{
--- a/internal/replicamodel/spec.go
+++ b/internal/replicamodel/spec.go
@@ -8,7 +8,7 @@
 	QueueLimit             int           // requests that may wait beyond them
 	StepTime               time.Duration // a batch step with one request in it
 	StepTimePerRequest     time.Duration // what every further request adds to it
-	PrefillTokensPerSecond float64       // prompt tokens read in a second
+	PrefillTokensPerSecond float64       // prompt tokens in a second
 	ChunkTokens            int           // prompt tokens at most between two tokens of the other requests
 	MemoryTokens           int           // that running requests and the cache share
 }
@@ -49,7 +49,7 @@
 	Queued          int   // requests that wait
 	PinnedTokens    int   // in memory, that can't be evicted
 	MemoryTokens    int   // in memory, all of them
-	PrefilledTokens int64 // prompt tokens read since the start
+	PrefilledTokens int64 // prompt tokens since the start
 }
 
 // request is a job that waits or runs.
@@ -57,6 +57,6 @@
 	Job
 	sequence    int // order of arrival
 	generated   int // tokens
-	unprefilled int // prompt tokens still to be read
+	unprefilled int // prompt tokens still to be prefilled
 	path        []*node
 }
--- a/internal/replicamodel/step.go
+++ b/internal/replicamodel/step.go
@@ -27,11 +27,11 @@
 }
 
 // advance ends the step for one request; it gives a token unless the request is
-// still reading its prompt.
+// still being prefilled.
 func (m *Model) advance(request *request) (token Token, ok bool) {
-	read := m.prefilling[request]
-	request.unprefilled -= read
-	m.prefilled += int64(read)
+	prefilled := m.prefilling[request]
+	request.unprefilled -= prefilled
+	m.prefilled += int64(prefilled)
 	if request.unprefilled > 0 {
 		return Token{}, false
 	}
@@ -59,17 +59,17 @@
 	if !m.busy {
 		return
 	}
-	decoding, read := m.planStep()
-	duration := durations.FromSeconds(float64(read) / m.spec.PrefillTokensPerSecond)
+	decoding, prefilled := m.planStep()
+	duration := durations.FromSeconds(float64(prefilled) / m.spec.PrefillTokensPerSecond)
 	if decoding > 0 {
 		duration += m.spec.StepTime + time.Duration(decoding-1)*m.spec.StepTimePerRequest
 	}
 	m.stepEnd = now + duration
 }
 
-// planStep shares a chunk among the requests that read their prompts. It tells
-// how many requests generate a token in the step, and the tokens that are read.
-func (m *Model) planStep() (decoding, read int) {
+// planStep shares a chunk among the requests in prefill. It returns how many requests
+// generate a token in the step, and the tokens that are prefilled.
+func (m *Model) planStep() (decoding, prefilled int) {
 	room := m.spec.ChunkTokens
 	for _, request := range m.running {
 		if request.unprefilled == 0 {
@@ -79,9 +79,9 @@
 		tokens := min(room, request.unprefilled)
 		m.prefilling[request] = tokens
 		room -= tokens
-		read += tokens
+		prefilled += tokens
 	}
-	return decoding, read
+	return decoding, prefilled
 }
 
 // preempt puts the newest among the least urgent running requests back into the
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -9,7 +9,7 @@
 type Pool struct {
 	Name            string
 	HealthCheckPath string
-	MaxConnections  int     // of the whole fleet to its replicas
+	MaxConnections  int     // of all nodes of the fleet together, to its replicas
 	WarmupPerSecond float64 // requests a second that a replica takes while it is warming up
 	WarmupSeconds   float64 // that a replica is warming up
 	Engine          *Engine // nil: its replicas run no model
