--- a/coord/outlier/ejection.go
+++ b/coord/outlier/ejection.go
@@ -51,7 +51,7 @@
 	switch {
 	case kind.ejectsAtOnce():
 		d.eject(replica, false, now)
-	case replica.exceedsEjectionThreshold(kind, peers, now) && d.ejectedByEvidence(replica.service, now) < maxEjected(d.services[replica.service].replicas):
+	case replica.exceedsEjectionThreshold(kind, peers, now) && d.mayEjectByEvidence(replica.service, now):
 		d.eject(replica, true, now)
 	}
 }
@@ -84,14 +84,15 @@
 	return r.failures.value >= threshold && r.failures.value >= peerRatio*peers
 }
 
-func (d *Detector) ejectedByEvidence(service string, now time.Time) int {
+// mayEjectByEvidence reports whether fewer replicas of a service are ejected by evidence than may be.
+func (d *Detector) mayEjectByEvidence(service string, now time.Time) bool {
 	ejected := 0
 	for _, replica := range d.replicas {
 		if replica.service == service && replica.byEvidence && replica.isEjected(now) {
 			ejected++
 		}
 	}
-	return ejected
+	return ejected < maxEjected(d.services[service].replicas)
 }
 
 // eject keeps requests away for a time that grows with the recent episodes. While as many replicas are ejected already as
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -42,17 +42,13 @@
 	terms.IncomingActive = math.Ceil(float64(s.request.Chain.Tokens()+s.request.MaxOutputTokens) / block)
 	meanPrompt := max(s.rates.meanUncachedTokens/block, 0)
 	running, waiting := replica.runningCount(s.pool.meanOccupancy, s.now), replica.queueLength(s.now)
-	unread := (replica.sent.pendingPrefillTokens + replica.otherNodesTokens(s.now)) / block
-	late := replica.speed.residualDelay(s.now) / max(s.rates.prefillPerToken*block, minBlockSeconds)
-	terms.ActivePrefill = max(unread, waiting*meanPrompt, late)
+	terms.ActivePrefill = s.queuedBlocks(replica, waiting*meanPrompt)
 	terms.ActiveDecode = max(replica.sent.reservedTokens, running*s.pool.meanHeldTokens) / block
 	// What is over the mark waits for a slot, or is preempted and prefilled again: it counts as prefill.
 	if over := running + waiting + 1 - s.options.FullMark*replica.slots(); over > 0 {
 		terms.ActivePrefill += over * max(meanPrompt, terms.IncomingPrompt)
 	}
-	if room := s.options.FullMark * float64(s.request.CapacityTokens) / block; s.request.CapacityTokens > 0 {
-		terms.ActivePrefill += max(0, terms.ActiveDecode+terms.IncomingActive-max(room, terms.IncomingActive))
-	}
+	terms.ActivePrefill += s.memoryShortage(&terms)
 	if s.options.CountActive {
 		terms.ActiveRequest = s.options.ActiveWeight * (running + waiting)
 	}
@@ -63,6 +59,25 @@
 	return terms
 }
 
+// queuedBlocks is what waits for prefill at a replica, in blocks: the most of what nodes sent there, what the replica
+// reports to wait, and the delay that was observed, as each of them may be missing or out of date.
+func (s *selection) queuedBlocks(replica *replicaState, reported float64) float64 {
+	block := float64(s.options.BlockTokens)
+	sent := (replica.sent.pendingPrefillTokens + replica.otherNodesTokens(s.now)) / block
+	delayed := replica.speed.residualDelay(s.now) / max(s.rates.prefillPerToken*block, minBlockSeconds)
+	return max(sent, reported, delayed)
+}
+
+// memoryShortage is the blocks of a replica's memory that would be needed beyond the full mark; 0 if the capacity is
+// unknown. A request that exceeds the mark alone is taken to fit an empty replica.
+func (s *selection) memoryShortage(terms *costTerms) float64 {
+	if s.request.CapacityTokens <= 0 {
+		return 0
+	}
+	room := s.options.FullMark * float64(s.request.CapacityTokens) / float64(s.options.BlockTokens)
+	return max(0, terms.ActiveDecode+terms.IncomingActive-max(room, terms.IncomingActive))
+}
+
 // sharedBlockWeight is what a shared block of a prompt weighs: the less time the latency target leaves beside the
 // prefill of the prompt's own part, the nearer to one, so that a prompt in a hurry goes where its prefill ends soonest.
 func (o *Options) sharedBlockWeight(request *Request, prefillPerToken float64) float64 {
--- a/internal/placement/membership.go
+++ b/internal/placement/membership.go
@@ -18,15 +18,11 @@
 	services := make(map[string]string, len(replicas))
 	pools := map[string][]*replicaState{}
 	for id, listed := range replicas {
-		known := p.replicas[id]
-		if known == nil {
-			known = newReplicaState(id, p.rates.prefillPerToken)
-			p.replicas[id] = known
-		}
+		known := p.knownReplica(id)
 		if p.evacuated[listed.Zone] && !evacuated[listed.Zone] {
 			known.warmup.until = time.Now().Add(warmupAfterEvacuation)
 		}
-		if previous := known.listed; previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models) {
+		if known.hasOtherModels(listed) {
 			p.index.Forget(id) // other weights: its cache is of no use any more
 		}
 		known.listed, known.evacuated = listed, evacuated[listed.Zone]
@@ -44,6 +40,22 @@
 	p.health.SetReplicas(services)
 }
 
+// knownReplica returns the state of a replica, a new one if there is none.
+func (p *Placer) knownReplica(id string) *replicaState {
+	known := p.replicas[id]
+	if known == nil {
+		known = newReplicaState(id, p.rates.prefillPerToken)
+		p.replicas[id] = known
+	}
+	return known
+}
+
+// hasOtherModels reports whether a new entry of the list gives a replica other models than the one before it.
+func (r *replicaState) hasOtherModels(listed *state.Replica) bool {
+	previous := r.listed
+	return previous != nil && previous.Pool == listed.Pool && !slices.Equal(previous.Models, listed.Models)
+}
+
 // updatePools brings the pools up to date with the replicas of each service.
 func (p *Placer) updatePools(members map[string][]*replicaState) {
 	for name := range p.pools {
