--- a/coord/attempt/attempt_test.go
+++ b/coord/attempt/attempt_test.go
@@ -69,7 +69,7 @@
 		history.Advance(to)
 		require.Equal(t, to != NotExecuted, history.MayHaveRun(), to.String())
 		history.BeginSend()
-		require.Equal(t, to != NotExecuted, history.MayHaveRun(), "a new send takes nothing back")
+		require.Equal(t, to != NotExecuted, history.MayHaveRun(), "a new send does not undo an earlier one")
 	}
 	broken := History{}
 	broken.Advance(PartlySent)
--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -131,11 +131,11 @@
 			time.Sleep(3 * time.Second)
 			at := f.Position().Number
 			have := c.Position().Number
-			require.Less(t, at-have, uint64(2*ackWindow), "it stays near while changes go on")
+			require.Less(t, at-have, uint64(2*ackWindow), "it stays close behind while changes go on")
 			stopPushing()
 			time.Sleep(5 * time.Second)
 			require.Equal(t, string(b.Snapshot()), string(got.Snapshot()))
-			require.Equal(t, 1, l.dials, "one connection did it all")
+			require.Equal(t, 1, l.dials, "over one connection")
 			require.LessOrEqual(t, len(f.changes), changeHistory, "what is kept is bounded")
 		})
 	}
@@ -177,8 +177,8 @@
 		t.Logf("%d followers after %v", many, time.Since(start))
 		require.LessOrEqual(t, maxInFlight, snapshotsAtOnce)
 		require.Less(t, time.Since(start), 20*time.Second, "the link needs %d s for the bytes alone", many*300<<10/rpc.LinkBytesPerSecond)
-		require.LessOrEqual(t, b.snapshots, 2, "encoded once a state, for all")
-		require.Equal(t, many, l.dials, "nobody gave up")
+		require.LessOrEqual(t, b.snapshots, 2, "encoded once per position, for all")
+		require.Equal(t, many, l.dials, "no follower disconnected")
 		for _, c := range cursors {
 			at := c.Position().Number
 			require.Equal(t, uint64(1), at)
--- a/coord/distribution/distribution_test.go
+++ b/coord/distribution/distribution_test.go
@@ -126,7 +126,7 @@
 		require.Equal(t, Position{Epoch: 2, Number: 1}, c.Position())
 		require.ErrorIs(t, c.Restore(Position{1, 9}, []byte("stale"), true), ErrStale, "an older epoch is rejected")
 		require.False(t, c.Apply(Position{2, 7}, []byte("gap")))
-		require.True(t, c.Apply(Position{2, 1}, []byte("+d")), "one that was taken is no gap")
+		require.True(t, c.Apply(Position{2, 1}, []byte("+d")), "one that was applied before is no gap")
 		require.Equal(t, "old+a+b+c+d", string(got.Snapshot()))
 		require.Len(t, f.EndFollowers(), 1)
 	})
@@ -316,7 +316,7 @@
 
 func (c *countingState) Snapshot() []byte { c.snapshots++; return c.textState.Snapshot() }
 
-func TestFollower_SilentSource_LeftForTheNext(t *testing.T) {
+func TestFollower_SilentParent_NextOneFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Second) }()
@@ -334,7 +334,7 @@
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		require.Len(t, tried, 1)
-		f.End() // a relay that hears nothing says so after a while
+		f.End() // a relay without contact says so after a while
 		time.Sleep(relayStaleAfter + updateTimeout)
 		synctest.Wait()
 		require.Greater(t, len(tried), 1)
@@ -356,12 +356,12 @@
 		require.Equal(t, "s+", string(b.Snapshot()))
 		require.ErrorIs(t, f.Restore(Position{2, 9}, []byte("old"), true), ErrStale)
 		beginSource(f, 4)
-		require.False(t, f.Apply(Position{4, 1}, []byte("x")), "a source takes nothing from others")
+		require.False(t, f.Apply(Position{4, 1}, []byte("x")), "a source applies no updates of others")
 		require.ErrorIs(t, f.Restore(Position{4, 9}, []byte("y"), true), ErrStale)
 	})
 }
 
-// TestRelay_ManyFollowers_AcksDoNotGrowWithTheSquare: each heartbeat of each follower once made the relay pass its whole
+// TestRelay_ManyFollowers_AcksDoNotGrowWithTheSquare: each heartbeat of each follower once made the relay send its complete
 // list of members on.
 func TestRelay_ManyFollowers_AcksDoNotGrowWithTheSquare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -457,7 +457,7 @@
 	})
 }
 
-func TestFollower_NotRunning_NoSource(t *testing.T) {
+func TestFollower_NotRunning_ErrNoParent(t *testing.T) {
 	follower := NewFollower(FollowerOptions{Sink: NewCursor(&textState{})})
 	_, err := follower.Call(&rpc.Message{Kind: rpc.Loan}, time.Second)
 	require.ErrorIs(t, err, ErrNoParent)
--- a/coord/distribution/order_test.go
+++ b/coord/distribution/order_test.go
@@ -52,7 +52,7 @@
 		require.Nil(t, f.Begin(1, b.Snapshot), "a newer source is known")
 
 		source = f.Begin(3, b.Snapshot)
-		require.NoError(t, f.Restore(Position{4, 0}, []byte("newest"), true), "it hears of its follower before it steps down")
+		require.NoError(t, f.Restore(Position{4, 0}, []byte("newest"), true), "a snapshot of a newer epoch ends the source")
 		_, ok = source.Push([]byte("+late"))
 		require.False(t, ok)
 		require.Equal(t, "newest", string(b.Snapshot()))
@@ -130,7 +130,7 @@
 		time.Sleep(5 * time.Second)
 		epoch := behind.Position().Epoch
 		require.Equal(t, uint64(1), epoch)
-		require.GreaterOrEqual(t, behind.SinceContact(), 5*time.Second, "nothing current was heard")
+		require.GreaterOrEqual(t, behind.SinceContact(), 5*time.Second, "no parent was current")
 
 		empty := NewCursor(&textState{})
 		go NewFollower(FollowerOptions{
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -189,7 +189,7 @@
 		go w.Run(ctx)
 		time.Sleep(8*every + 50*time.Millisecond) // just after a round: the longest way
 		mu.Lock()
-		require.LessOrEqual(t, pinged["b"], 10, "a well one is pinged once a round")
+		require.LessOrEqual(t, pinged["b"], 10, "one that answers is pinged once a round")
 		up = false
 		mu.Unlock()
 		lost := time.Now()
@@ -212,7 +212,7 @@
 	require.NotEmpty(t, first)
 	known = nodeNames(40)
 	again := w.assignment()
-	require.Same(t, &first[0], &again[0], "nothing changed, nothing is computed")
+	require.Same(t, &first[0], &again[0], "the assignment is not computed again")
 	known = nodeNames(60)
 	require.Equal(t, WatchedBy("node-7", known, watchersPerNode), w.assignment())
 }
--- a/coord/fairshare/lender_test.go
+++ b/coord/fairshare/lender_test.go
@@ -18,6 +18,6 @@
 	require.Zero(t, l.Lend("p", 4, t0, at.Add(12*time.Second)))
 	require.EqualValues(t, 4, l.Lend("q", 4, t0, at), "each service has its own")
 	require.EqualValues(t, 4, l.Lend("p", 4, t0, at.Add(12*time.Second+1)))
-	require.Zero(t, l.Lend("p", 4, at, at.Add(time.Second)), "the lease was given up in between")
+	require.Zero(t, l.Lend("p", 4, at, at.Add(time.Second)), "responsibility began anew: earlier loans may be in use")
 	require.Zero(t, l.Lend("p", -4, t0, at.Add(time.Hour)))
 }
--- a/coord/fairshare/shares_test.go
+++ b/coord/fairshare/shares_test.go
@@ -9,7 +9,7 @@
 func TestSharesTryAcquire_HeavyUser_LeavesRoomForOthers(t *testing.T) {
 	p := New(100, 0.5)
 	for range 50 {
-		require.True(t, p.TryAcquire("heavy", 1), "nobody is held back while there is plenty")
+		require.True(t, p.TryAcquire("heavy", 1), "no limit while there is plenty")
 	}
 	require.False(t, p.TryAcquire("heavy", 1), "scarce: the rest is for a newcomer")
 	for range 33 {
@@ -42,7 +42,7 @@
 	for range 10 {
 		p.Acquire("b", 1)
 	}
-	require.False(t, p.OverCapacity(), "giving back too much makes no room out of nothing")
+	require.False(t, p.OverCapacity(), "releasing more than was acquired adds no capacity")
 	p.Acquire("b", 1)
 	require.True(t, p.OverCapacity())
 }
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -74,7 +74,7 @@
 			}
 		}
 		time.Sleep(Duration)
-		require.False(t, a.Held(), "it stops by itself")
+		require.False(t, a.Held(), "the lease ends by itself")
 		require.True(t, b.Renew())
 	})
 }
@@ -91,15 +91,15 @@
 	})
 }
 
-func TestHolder_Frozen_NotHeldOnWaking(t *testing.T) {
+func TestHolder_Paused_NotHeldAfterwards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newGrantors()
 		time.Sleep(Duration)
 		a, b := f.holder(1), f.holder(2)
 		require.True(t, a.Renew())
-		time.Sleep(5 * time.Second) // frozen; the others went on
+		time.Sleep(5 * time.Second) // paused; the others went on
 		require.True(t, b.Renew())
-		require.False(t, a.Held(), "the time is looked at in each call")
+		require.False(t, a.Held(), "Held compares the time in each call")
 		require.False(t, a.Renew())
 	})
 }
@@ -123,7 +123,7 @@
 		f.down[2] = true
 		require.True(t, a.Renew())
 		synctest.Wait()
-		f.members[0] = NewGrantor() // forgot what it gave
+		f.members[0] = NewGrantor() // forgot what it granted
 		f.down[2] = false
 		require.False(t, b.Renew() && a.Held())
 	})
@@ -241,7 +241,7 @@
 			}
 		})
 	}
-	require.Greater(t, held, 10000, "it is held at all")
+	require.Greater(t, held, 10000, "the lease is held in enough of the samples to test anything")
 }
 
 func TestGrantor_LateRelease_KeepsNewerGrant(t *testing.T) {
@@ -310,7 +310,7 @@
 		f.lag = 20 * time.Millisecond
 		go a.release()
 		synctest.Wait()
-		require.Equal(t, uint64(2), a.lastRequest, "numbered when the lease is given up, not when it is sent")
+		require.Equal(t, uint64(2), a.lastRequest, "numbered when the lease is released, not when the request is sent")
 		time.Sleep(time.Second)
 	})
 }
--- a/coord/loadsum/excess_test.go
+++ b/coord/loadsum/excess_test.go
@@ -13,10 +13,10 @@
 		s.ByReplica[i] = "a"
 		loads = append(loads, Load{i, 90000})
 	}
-	require.Empty(t, Excess(loads, s), "all are busy alike")
+	require.Empty(t, Excess(loads, s), "all equally busy")
 	s.ByReplica[20], s.ByReplica[21] = "b", "b"
 	require.Equal(t, []Load{{20, uint32(90000 - usualFactor*90000/2 - usualTokens)}}, Excess(append(loads, Load{20, 90000}), s), "by its own service, silent replicas counted in")
-	require.Empty(t, Excess([]Load{{99, 1 << 31}}, s), "nobody knows it")
+	require.Empty(t, Excess([]Load{{99, 1 << 31}}, s), "unknown replica")
 	require.Empty(t, Excess([]Load{{20, usualTokens}}, s))
 }
 
--- a/coord/loadsum/sum_test.go
+++ b/coord/loadsum/sum_test.go
@@ -11,7 +11,7 @@
 func TestDecode_EncodedLoads_AreEqual(t *testing.T) {
 	loads := []Load{{1, 2}, {Key("i-1"), 1 << 31}}
 	require.Equal(t, loads, Decode(Encode(loads)))
-	require.Equal(t, loads[:1], Decode(Encode(loads)[:loadBytes+3]), "half a load is none")
+	require.Equal(t, loads[:1], Decode(Encode(loads)[:loadBytes+3]), "an incomplete load is left out")
 	require.Empty(t, Decode(nil))
 }
 
@@ -65,5 +65,5 @@
 	}
 	s.Put(7, []Load{{7, 1 << 31}}, now)
 	s.Put(8, []Load{{7, 1 << 31}}, now)
-	require.Equal(t, Load{7, 1<<32 - 1}, s.Total(now)[0], "a sum that is too large stays at the most")
+	require.Equal(t, Load{7, 1<<32 - 1}, s.Total(now)[0], "a sum beyond the range stays at the largest value")
 }
--- a/coord/outlier/aggregator_test.go
+++ b/coord/outlier/aggregator_test.go
@@ -30,7 +30,7 @@
 	suspects = aggregator.Evaluate(size, at(0.2))
 	require.False(t, suspects.Publish, "published once")
 	suspects = aggregator.Evaluate(size, at(0.2).Add(suspicionLifetime/2))
-	require.True(t, suspects.Publish, "and again before it runs out")
+	require.True(t, suspects.Publish, "and again before it expires")
 }
 
 func TestEvaluate_SuccessesOrTime_SuspicionEnds(t *testing.T) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// The fleet finds grey replicas though each node sees next to nothing of them, and lets them back when they work again.
-func TestFleet_GreyReplicas_FoundAndLetBack(t *testing.T) {
+// TestAggregator_GreyReplicas_EjectedThenUsedAgain: the fleet finds grey replicas though each node sees next to nothing of them, and uses them again when they work.
+func TestAggregator_GreyReplicas_EjectedThenUsedAgain(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			fleet := newTestFleet(rand.New(rand.NewPCG(seed, 9)))
@@ -182,7 +182,7 @@
 			fleet.run(10, 25)
 			after := fleet.run(25, 30)
 			require.Zero(t, after.failed)
-			require.Greater(t, after.grey*fleet.replicas, after.all*fleet.grey*3/4, "they take their part again")
+			require.Greater(t, after.grey*fleet.replicas, after.all*fleet.grey*3/4, "they get their part of the requests again")
 		})
 	}
 }
--- a/coord/outlier/detector_test.go
+++ b/coord/outlier/detector_test.go
@@ -37,7 +37,7 @@
 	require.Greater(t, second, first)
 	require.Greater(t, third, second)
 	require.LessOrEqual(t, out(10), maxEjectionTime)
-	require.Equal(t, FirstEjectionTime, out(200), "what was long ago is forgotten")
+	require.Equal(t, FirstEjectionTime, out(200), "old episodes are forgotten")
 }
 
 func TestFitness_EjectionOver_OneTrial(t *testing.T) {
@@ -70,7 +70,7 @@
 		all.RecordFailure(fmt.Sprintf("r%d", i%9), ServerError, at(float64(i)/100))
 	}
 	for i := range 9 {
-		require.Equal(t, Fit, all.Fitness(fmt.Sprintf("r%d", i), false, at(1)), "all fail alike: nobody is worse than the others")
+		require.Equal(t, Fit, all.Fitness(fmt.Sprintf("r%d", i), false, at(1)), "all fail alike: none is worse than its peers")
 	}
 }
 
@@ -130,7 +130,7 @@
 	require.Equal(t, Ejected, detector.Fitness("r1", false, at(0.3)))
 	suspecting := newTestDetector(9)
 	suspecting.SetSuspects([]string{"r1"}, at(0))
-	require.Equal(t, Fit, suspecting.Fitness("r1", false, at(0).Add(suspicionLifetime)), "not repeated, it ends")
+	require.Equal(t, Fit, suspecting.Fitness("r1", false, at(0).Add(suspicionLifetime)), "a suspicion that is not repeated ends")
 	suspecting.SetSuspects([]string{"r1"}, at(0))
 	suspecting.SetSuspects(nil, at(0))
 	require.Equal(t, Fit, suspecting.Fitness("r1", false, at(0.1)))
@@ -152,18 +152,18 @@
 	require.True(t, ok)
 	require.InDelta(t, 160*time.Millisecond+overdueMargin, after, float64(time.Millisecond))
 	after, _ = detector.OverdueAfter("r8", 0, time.Second)
-	require.Equal(t, 1500*time.Millisecond, after, "not before the aim is missed by half")
+	require.Equal(t, 1500*time.Millisecond, after, "not before one and a half latency targets")
 	for range 3 {
 		detector.RecordFailure("r8", Overdue, at(0))
 		detector.RecordSuccess("r8", Answer{Took: time.Second, Predicted: time.Millisecond, Overdue: true})
 	}
-	require.Equal(t, Fit, detector.Fitness("r8", false, at(0.1)), "lateness alone ejects only whom the fleet suspects")
+	require.Equal(t, Fit, detector.Fitness("r8", false, at(0.1)), "overdue answers eject only suspects")
 	detector.SetSuspects([]string{"r8"}, at(0.1))
 	detector.RecordFailure("r8", Overdue, at(0.1))
 	require.Equal(t, Ejected, detector.Fitness("r8", false, at(0.2)))
 	reports := detector.TakeReports(1, at(0))
 	require.Len(t, reports, 1)
-	require.Zero(t, reports[0].Successes, "an overdue answer is no good one")
+	require.Zero(t, reports[0].Successes, "an overdue answer is no success")
 	require.InDelta(t, 4*weights[Overdue], reports[0].Failures, 1e-9)
 }
 
--- a/coord/slowness/detector_test.go
+++ b/coord/slowness/detector_test.go
@@ -11,7 +11,7 @@
 
 const microsecond = time.Microsecond
 
-// calibratedDetector knows its usual time; three peers have reported that they are well.
+// calibratedDetector has a baseline; three peers have reported that they are healthy.
 func calibratedDetector() *Detector {
 	l := NewDetector()
 	for range samplesForBaseline + 4 {
@@ -31,22 +31,22 @@
 
 // becomeSlow steps a detector that is slow until reports of peers count, and has so many of them report that they are
 // well.
-func becomeSlow(l *Detector, well int) {
+func becomeSlow(l *Detector, healthy int) {
 	repeatStep(l, stepsToSlow+stepsBeforePeersCount, 50*microsecond, 0)
-	for i := range well {
+	for i := range healthy {
 		l.UpdatePeer(fmt.Sprint("n", i), false)
 	}
 	l.Step(50*microsecond, 0)
 }
 
-func TestDetector_FiveTimesSlower_RefusesNewUntilWell(t *testing.T) {
+func TestDetector_FiveTimesSlower_RefusesNewUntilRecovered(t *testing.T) {
 	l := calibratedDetector()
 	repeatStep(l, stepsToSlow-1, 50*microsecond, time.Millisecond)
 	require.False(t, l.Slow(), "one or two steps are chance")
 	l.Step(50*microsecond, time.Millisecond)
 	require.True(t, l.Slow())
 	repeatStep(l, stepsBeforePeersCount, 50*microsecond, time.Millisecond)
-	require.False(t, l.ShouldRefuseNew(), "what the others said before doesn't count")
+	require.False(t, l.ShouldRefuseNew(), "reports from before it was slow don't count")
 	l.UpdatePeer("n1", false)
 	l.Step(50*microsecond, time.Millisecond)
 	require.True(t, l.ShouldRefuseNew())
@@ -70,7 +70,7 @@
 	require.False(t, l.ShouldShed())
 }
 
-func TestDetector_UsualSpreadAndSingleLateTimers_NotSlow(t *testing.T) {
+func TestDetector_HealthySpreadAndSingleLateTimers_NotSlow(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	l := calibratedDetector()
 	for i := range 4000 {
@@ -99,19 +99,19 @@
 		l.UpdatePeer(fmt.Sprint("n", i), i == 0)
 	}
 	l.Step(50*microsecond, 0)
-	require.True(t, l.ShouldRefuseNew(), "three in four are well: %v", l.peers)
+	require.True(t, l.ShouldRefuseNew(), "three in four are healthy: %v", l.peers)
 	l.UpdatePeer("n1", true)
 	l.UpdatePeer("n2", true)
 	l.Step(50*microsecond, 0)
 	require.False(t, l.ShouldRefuseNew(), "most are slow")
 	l.UpdatePeer("n1", false)
 	l.Step(50*microsecond, 0)
-	require.True(t, l.ShouldRefuseNew(), "half are well")
+	require.True(t, l.ShouldRefuseNew(), "half are healthy")
 	repeatStep(l, peerReportSteps, 50*microsecond, 0)
-	require.False(t, l.ShouldRefuseNew(), "their report is old")
+	require.False(t, l.ShouldRefuseNew(), "their reports are too old")
 }
 
-func TestDetector_SlowByTurns_KeepsRefusing(t *testing.T) {
+func TestDetector_IntermittentlySlow_KeepsRefusing(t *testing.T) {
 	l := calibratedDetector()
 	becomeSlow(l, 3)
 	for range 30 {
@@ -122,16 +122,16 @@
 	}
 }
 
-func TestDetector_UsualTime_NotLearnedWhileSlow(t *testing.T) {
+func TestDetector_Baseline_NotLearnedWhileSlow(t *testing.T) {
 	l := calibratedDetector()
 	repeatStep(l, 400, 14*microsecond, 0)
 	require.InDelta(t, 14, l.State().BaselineUs, 0.1, "a machine may grow a little slower")
 	repeatStep(l, 400, 70*microsecond, 0)
 	require.InDelta(t, 14, l.State().BaselineUs, 0.1)
-	require.True(t, l.Slow(), "it stays slow for as long as it is")
+	require.True(t, l.Slow(), "slow work is not learned as the baseline")
 	l = NewDetector()
 	repeatStep(l, 50, 0, 0)
-	require.False(t, l.Slow(), "a clock that shows nothing is no evidence")
+	require.False(t, l.Slow(), "a work time of 0 is no evidence")
 }
 
 // maxRefusing steps a fleet of detectors that get the reports of two others each, as watchers' pings do; each notices up
@@ -174,7 +174,7 @@
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		require.Equal(t, 13, maxRefusing(r, func(i int) bool { return i%7 == 0 }))
-		require.Zero(t, maxRefusing(r, func(int) bool { return true }), "all are slow: all stay in")
+		require.Zero(t, maxRefusing(r, func(int) bool { return true }), "all are slow: none refuses")
 		require.Zero(t, maxRefusing(r, func(int) bool { return false }))
 	}
 }
--- a/internal/placement/candidates_test.go
+++ b/internal/placement/candidates_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestPlace_HardlyAnyWarm_WarmBeforeWarmingUp(t *testing.T) {
+func TestPlace_OneWarmedUpOfMany_ChosenBeforeThoseWarmingUp(t *testing.T) {
 	placer := NewPlacer(prefixindex.NewIndex())
 	replicas := fleet(300)
 	for id, listed := range replicas {
@@ -234,9 +234,9 @@
 	placer.SetReplicas(replicas, map[string]bool{"c": true}, 0)
 	require.Zero(t, index.Matched("r0", prompt), "other weights")
 	require.Zero(t, index.Matched("r1", prompt), "it will not come back")
-	require.NotZero(t, index.Matched("r2", prompt), "an evacuated zone comes back with what it held")
+	require.NotZero(t, index.Matched("r2", prompt), "an evacuated zone comes back with its caches")
 	placer.Health().RecordFailure("r2", outlier.Timeout, time.Now())
-	require.NotZero(t, index.Matched("r2", prompt), "a failure says nothing of what is held")
+	require.NotZero(t, index.Matched("r2", prompt), "a failure says nothing of the cache")
 	placer.MarkMisaddressed("r2")
 	require.Zero(t, index.Matched("r2", prompt), "another is at its address")
 	require.Equal(t, 1, placer.openCount("p"))
@@ -245,7 +245,7 @@
 	replicas["r0b"] = &state.Replica{ID: "r0b", Pool: "p", State: "ready", Zone: "a", Slots: 8}
 	placer.SetReplicas(replicas, nil, 0)
 	require.Zero(t, index.Matched("r0", prompt))
-	require.Zero(t, index.Matched("r0b", prompt), "a new incarnation holds nothing")
+	require.Zero(t, index.Matched("r0b", prompt), "a new incarnation has an empty cache")
 }
 
 func TestUpdateLoad_MemoryTaken_IndexEvicts(t *testing.T) {
--- a/internal/placement/cost_test.go
+++ b/internal/placement/cost_test.go
@@ -42,7 +42,7 @@
 	return scale*adjusted + decode + potential + requests
 }
 
-func TestCost_RandomLoads_AsInTheSource(t *testing.T) {
+func TestCost_RandomLoads_EqualsTheDesignsFormula(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 2000 {
 		options := Defaults()
@@ -60,14 +60,14 @@
 		prompt := prefixindex.NewChain(prefixindex.RootKey("m", 1), parts)
 		request := ask(prompt)
 		request.MaxOutputTokens, request.CapacityTokens = random.IntN(300), 0
-		choosing := placer.newSelection(request, placer.pools["p"], time.Now())
-		choosing.sharedWeight = 1 + random.Float64()*(options.RecomputeWeight-1)
+		selecting := placer.newSelection(request, placer.pools["p"], time.Now())
+		selecting.sharedWeight = 1 + random.Float64()*(options.RecomputeWeight-1)
 		replica := placer.replicas["r0"]
 		replica.sent.pendingPrefillTokens, replica.sent.reservedTokens, replica.sent.requests = float64(random.IntN(5000)), float64(random.IntN(90000)), random.IntN(6)
 		held := random.IntN(prompt.Tokens()+1) / options.BlockTokens * options.BlockTokens
 		weighed := candidate{replica: replica, matchedTokens: held}
-		want := reference(parts, options.BlockTokens, held, choosing.sharedWeight, options.PrefillLoadScale, replica.sent.pendingPrefillTokens/float64(options.BlockTokens), replica.sent.reservedTokens/float64(options.BlockTokens), float64(request.MaxOutputTokens), options.ActiveWeight*float64(replica.sent.requests))
-		require.InDelta(t, want, choosing.cost(&weighed), 1e-6*max(1, want))
+		want := reference(parts, options.BlockTokens, held, selecting.sharedWeight, options.PrefillLoadScale, replica.sent.pendingPrefillTokens/float64(options.BlockTokens), replica.sent.reservedTokens/float64(options.BlockTokens), float64(request.MaxOutputTokens), options.ActiveWeight*float64(replica.sent.requests))
+		require.InDelta(t, want, selecting.cost(&weighed), 1e-6*max(1, want))
 	}
 }
 
@@ -111,6 +111,6 @@
 		require.Equal(t, 2.0, replica.runningCount(pool.meanOccupancy, time.Now()))
 		require.Equal(t, 2.0, placer.replicas["r1"].runningCount(pool.meanOccupancy, time.Now()), "one that never reported counts as the mean")
 		replica.sent.requests = 7
-		require.Equal(t, 7.0, replica.runningCount(pool.meanOccupancy, time.Now()), "what this process has there is certain")
+		require.Equal(t, 7.0, replica.runningCount(pool.meanOccupancy, time.Now()), "never less than this process has there")
 	})
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -60,7 +60,7 @@
 	require.Equal(t, home.Replica.ID, again.Replica.ID)
 }
 
-func TestPlace_WarmerReplica_WinsIfItSavesMoreThanTheWait(t *testing.T) {
+func TestPlace_ReplicaWithMoreCached_WinsIfItSavesMoreThanTheWait(t *testing.T) {
 	index := prefixindex.NewIndex()
 	placer := NewPlacer(index)
 	placer.SetReplicas(fleet(9), nil, 0)
@@ -72,7 +72,7 @@
 		other = "r1"
 	}
 	for range 2 {
-		index.RecordSent(other, 100000, prompt, "p") // it holds the own part too
+		index.RecordSent(other, 100000, prompt, "p") // it has cached the own part too
 	}
 	got, _ := placer.Place(ask(prompt))
 	require.Equal(t, other, got.Replica.ID)
--- a/internal/prefixindex/index_test.go
+++ b/internal/prefixindex/index_test.go
@@ -75,7 +75,7 @@
 	index := NewIndex()
 	prompt := chain(Part{1, 100}, Part{2, 400}, Part{9, 50})
 	index.RecordSent("r", 1<<20, prompt, "own")
-	require.Zero(t, index.Matched("r", prompt), "one sighting is no reason to hold anything")
+	require.Zero(t, index.Matched("r", prompt), "one sighting makes no entry")
 	index.RecordSent("r", 1<<20, prompt, "own")
 	require.Equal(t, 544, index.Matched("r", prompt))
 	require.Equal(t, 496, index.Matched("r", chain(Part{1, 100}, Part{2, 400}, Part{8, 50})))
@@ -85,7 +85,7 @@
 	require.Zero(t, index.Matched("r", NewChain(RootKey("m", 2), prompt.Parts)), "other weights")
 	require.Zero(t, index.Matched("r", NewChain(RootKey("n", 1), prompt.Parts)), "another model")
 	index.Retain(map[string]bool{})
-	require.Zero(t, index.Matched("r", prompt), "an incarnation that is over")
+	require.Zero(t, index.Matched("r", prompt), "an earlier incarnation")
 }
 
 func TestRecordSent_CacheFull_OldestRunsEvictedChildrenFirst(t *testing.T) {
@@ -96,7 +96,7 @@
 		index.RecordSent("r", 500, prompt, "own")
 	}
 	require.Equal(t, 192, index.Matched("r", chain(Part{1, 100}, Part{19, 100})))
-	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared part is held, the oldest own one is not")
+	require.Equal(t, 96, index.Matched("r", chain(Part{1, 100}, Part{10, 100})), "the shared part is kept, the oldest own one evicted")
 	require.Equal(t, 5, index.Stats().Runs)
 }
 
@@ -169,10 +169,10 @@
 	for i := range 50 {
 		require.Equal(t, 128, index.Matched("r", light(i)), "%d", i)
 	}
-	require.Equal(t, 300, index.Stats().Runs, "the whole is never exceeded")
+	require.Equal(t, 300, index.Stats().Runs, "the size of the index is never exceeded")
 	shares := index.OwnerShares()
 	require.Equal(t, "reports", shares[0].User)
-	require.Equal(t, int64(200), shares[0].Used, "and the heavy one has all that is left")
+	require.Equal(t, int64(200), shares[0].Used, "and the heavy one has the rest")
 	index.Retain(map[string]bool{})
 	require.Zero(t, index.Stats().Runs)
 	require.Empty(t, index.OwnerShares())
--- a/internal/prefixindex/lookup_test.go
+++ b/internal/prefixindex/lookup_test.go
@@ -10,7 +10,7 @@
 
 func anyone(string) bool { return true }
 
-func TestHolders_RandomIndex_ThoseThatHoldTheMost(t *testing.T) {
+func TestHolders_RandomIndex_ThoseWithMostCached(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 100 {
 		index := NewIndex()
@@ -42,7 +42,7 @@
 				n++
 			}
 		}
-		require.Equal(t, index.runs, n, "the reverse names each run once")
+		require.Equal(t, index.runs, n, "the holders name each run once")
 		for range 10 {
 			prompt := some()
 			best := 0
@@ -55,7 +55,7 @@
 				continue
 			}
 			require.NotEmpty(t, got)
-			require.Equal(t, best, index.Matched(got[0], prompt), "the first holds as much as any")
+			require.Equal(t, best, index.Matched(got[0], prompt), "the first has as much as any")
 		}
 	}
 }
--- a/internal/replicamodel/model_test.go
+++ b/internal/replicamodel/model_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, Load{MemoryTokens: 1000, PrefilledTokens: 1000}, model.Load())
 }
 
-func TestOffer_CachedParts_NotReadAgain(t *testing.T) {
+func TestOffer_CachedParts_NotPrefilledAgain(t *testing.T) {
 	model := New(spec)
 	model.Offer(0, Job{ID: "a", Parts: []Part{{1, 700}, {2, 300}}, OutputTokens: 1})
 	drain(model)
@@ -97,7 +97,7 @@
 	require.NotContains(t, last, "a")
 	require.Contains(t, last, "b")
 	require.Equal(t, 0, model.Load().PinnedTokens)
-	require.Equal(t, 0, model.Load().MemoryTokens, "a part that was not read to its end is not cached")
+	require.Equal(t, 0, model.Load().MemoryTokens, "a part that was not prefilled to its end is not cached")
 }
 
 func TestOffer_CacheFull_LeastRecentlyUsedEvicted(t *testing.T) {
@@ -115,7 +115,7 @@
 	drain(model)
 	model.Offer(0, Job{ID: "old", Parts: []Part{{7, 500}, {10, 800}}, OutputTokens: 1})
 	drain(model)
-	require.Equal(t, read+1600+800, model.Load().PrefilledTokens, "the oldest gave way, what they stood behind did not")
+	require.Equal(t, read+1600+800, model.Load().PrefilledTokens, "the oldest are evicted, their prefix is not")
 }
 
 func TestStep_MemoryFull_NewestLeastUrgentPreempted(t *testing.T) {
@@ -165,7 +165,7 @@
 	for id := range last {
 		delete(open, id)
 	}
-	require.Empty(t, open, "all that was taken ends")
+	require.Empty(t, open, "every accepted request ends")
 	require.Equal(t, 0, model.Load().PinnedTokens)
 }
 
