--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -7,8 +7,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-
-	"shaletrestle/coord/fairshare"
 )
 
 // slowLender lends a number of retries a while after it was asked.
