--- a/internal/retrybudget/shares_test.go
+++ b/internal/retrybudget/shares_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	"shaletrestle/coord/failuredetector"
 	"shaletrestle/coord/fairshare"
 )
 
