--- a/coord/replication/core/mutants_test.go
+++ b/coord/replication/core/mutants_test.go
@@ -178,3 +178,12 @@
 	}
 	mutation.AllFound(t, mutations)
 }
+
+// TestConditions_Core_Survey takes single conditions out of the core; docs/model-checking.md holds what it logged.
+func TestConditions_Core_Survey(t *testing.T) {
+	mutation.Survey(t, []mutation.Stage{
+		{Name: "direct tests", Args: []string{"-test.skip=TestExplore|TestMutants|TestConditions"}},
+		{Name: "schedules", Package: "simulation", Args: []string{"-schedules=100"}},
+		{Name: "search", Args: []string{"-test.run=^TestExplore$"}},
+	})
+}
