--- /dev/null
+++ b/coord/replication/core/command.go
@@ -0,0 +1,101 @@
+package core
+
+import (
+	"slices"
+)
+
+// takeOrder queues an order.
+func (c *Core) enqueueCommand(command Command) {
+	if !c.isPrimary || c.leaving != nil && c.leaving.handingOver {
+		c.sendResult(command.Token, Deposed, nil)
+		return
+	}
+	if len(c.commands) >= c.limits.MaxPending {
+		c.sendResult(command.Token, Indeterminate, ErrTooManyPending)
+		return
+	}
+	c.commands = append(c.commands, command)
+}
+
+func (c *Core) sendResult(token Token, outcome Outcome, err error) {
+	c.emit(Result{Token: token, Outcome: outcome, Err: err})
+}
+
+// runOrders begins orders as long as they end at once.
+func (c *Core) startCommands() {
+	for c.mayStartCommand() {
+		view := c.register.View
+		if c.viewChangesForCommand < c.targetWitnesses() && c.canImprove(view) {
+			// Invariant: what is acknowledged is borne as well as can be: the copies and witnesses that are to be had come first.
+			c.viewChangesForCommand++
+			c.startViewChange(view)
+			return
+		}
+		c.viewChangesForCommand = 0
+		command := c.commands[0]
+		c.commands = c.commands[1:]
+		c.startCommand(command)
+	}
+}
+
+func (c *Core) mayStartCommand() bool {
+	c.expireCommands()
+	if len(c.commands) == 0 || !c.isPrimary || c.change != nil || c.write != nil {
+		return false
+	}
+	return !c.confirm.required && !c.disk.changesState() && !c.disk.stalled && !c.state.logBroken
+}
+
+// expireOrders gives up the orders that did not begin in time.
+//
+// Invariant: an order whose deadline has passed never begins.
+func (c *Core) expireCommands() {
+	c.commands = slices.DeleteFunc(c.commands, func(command Command) bool {
+		late := c.now > command.Deadline
+		if late {
+			c.sendResult(command.Token, Indeterminate, ErrDeadlineExceeded)
+		}
+		return late
+	})
+}
+
+// beginOrder decides an order and writes its entry.
+func (c *Core) startCommand(command Command) {
+	data, err := command.Decide()
+	if err != nil {
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err})
+		return
+	}
+	if data == nil {
+		c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange})
+		return
+	}
+	view := c.register.View
+	entry := Entry{
+		Index:    c.state.position.Index + 1,
+		Epoch:    view.Epoch,
+		Ballot:   view.Ballot,
+		Previous: c.state.position.Digest,
+		Data:     data,
+	}
+	c.write = &pendingWrite{command: command, entry: entry, startedAt: c.now}
+	c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})
+	c.sendAppends()
+}
+
+// answerAllDeposed ends all calls of a member that is no longer primary: unclear if something was begun, else known not to be done.
+func (c *Core) failPendingCalls() {
+	if c.write != nil && !c.write.resultSent {
+		c.sendResult(c.write.command.Token, Indeterminate, nil)
+	}
+	c.write = nil
+	for _, command := range c.commands {
+		c.sendResult(command.Token, Deposed, nil)
+	}
+	c.commands = nil
+	c.viewChangesForCommand = 0
+	for _, waiting := range c.confirm.takeAll() {
+		c.sendResult(waiting.token, Deposed, nil)
+	}
+	c.confirm.reset()
+}
--- /dev/null
+++ b/coord/replication/core/contact.go
@@ -0,0 +1,53 @@
+package core
+
+import (
+	"log/slog"
+	"time"
+)
+
+// contactTimeout is how long ago a majority of the witnesses may have answered.
+func (c *Core) contactTimeout() time.Duration {
+	return c.timing.PrimaryTimeout + c.timing.HeartbeatInterval
+}
+
+// hearsWitnesses tells whether a majority of the view's witnesses answered lately.
+func (c *Core) hasWitnessContact() bool {
+	view := c.register.View
+	inContact := 0
+	for _, witness := range view.Witnesses {
+		p := c.peer(witness.ID)
+		if witness.ID == c.self.ID || p != nil && c.now-p.lastReplyAt <= c.contactTimeout() {
+			inContact++
+		}
+	}
+	return inContact >= majority(len(view.Witnesses))
+}
+
+// noticeTime is called first in each Step.
+//
+// Invariant: what wakes late doesn't act on old news. A primary that got no answer of a majority of the witnesses for the contact time-out gives no clear answer and begins no order until a round of confirmation, begun from now on, has ended.
+func (c *Core) advanceClock(now time.Duration) {
+	slept := now - c.now
+	c.now = max(now, c.now)
+	if !c.isPrimary || c.hasWitnessContact() {
+		return
+	}
+	if slept > c.timing.PrimaryTimeout {
+		c.confirm.confirmBy = c.now + c.timing.ReplyTimeout
+	}
+	c.confirm.requireRound()
+}
+
+// stopBeingPrimary ends the writing of this member. What was begun ends unclear.
+func (c *Core) stopBeingPrimary(reason StopReason) {
+	if !c.isPrimary {
+		return
+	}
+	c.isPrimary = false
+	c.lastPrimaryContact = c.now
+	c.lastPrimary = Member{}
+	c.viewChangeDue = false
+	c.log(slog.LevelWarn, "stepped down as primary", slog.String("reason", reason.String()))
+	c.emit(SteppedDown{Reason: reason})
+	c.failPendingCalls()
+}
--- /dev/null
+++ b/coord/replication/core/domains.go
@@ -0,0 +1,28 @@
+package core
+
+import (
+	"cmp"
+	"slices"
+)
+
+func (c *Core) failureDomain(m Member) string {
+	if c.config.FailureDomain == nil {
+		return m.Zone
+	}
+	return c.config.FailureDomain(m.Zone)
+}
+
+func (c *Core) countPerDomain(members []Member) map[string]int {
+	perDomain := map[string]int{}
+	for _, m := range members {
+		perDomain[c.failureDomain(m)]++
+	}
+	return perDomain
+}
+
+// emptiest is the member whose area holds the fewest of those placed.
+func (c *Core) inSmallestDomain(members []Member, perDomain map[string]int) Member {
+	return slices.MinFunc(members, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(perDomain[c.failureDomain(a)], perDomain[c.failureDomain(b)]), cmp.Compare(a.ID, b.ID))
+	})
+}
--- /dev/null
+++ b/coord/replication/core/heartbeat.go
@@ -0,0 +1,102 @@
+package core
+
+import (
+	"log/slog"
+)
+
+// tickPrimary sends the heartbeats and looks for lost members.
+func (c *Core) tickPrimary() {
+	if !c.isPrimary {
+		return
+	}
+	if c.confirm.required && c.now >= c.confirm.confirmBy {
+		view := c.register.View
+		c.stopBeingPrimary(LostWitnesses)
+		c.startYielding(view) // its way out may work though it hears nobody
+		return
+	}
+	if c.now-c.lastHeartbeat < c.timing.HeartbeatInterval {
+		return
+	}
+	c.heartbeat()
+	if c.change == nil {
+		c.checkView()
+	}
+}
+
+func (c *Core) heartbeat() {
+	c.lastHeartbeat = c.now
+	for _, p := range c.peers {
+		c.heartbeatTo(p.member)
+	}
+}
+
+func (c *Core) heartbeatTo(member Member) {
+	c.send(Heartbeat{Envelope: c.envelopeTo(member), View: c.View(), Members: c.contactedMembers()})
+}
+
+// checkView asks for a new view if a backup is lost, or more or other members are to be had.
+func (c *Core) checkView() {
+	view := c.register.View
+	if c.hasLostBackup(view) || c.canImprove(view) || c.nextWitnesses(view) != nil {
+		c.viewChangeDue = true
+		return
+	}
+	c.warnOfLowTolerance(view)
+}
+
+func (c *Core) hasLostBackup(view *View) bool {
+	for _, backup := range view.Backups {
+		p := c.peer(backup.ID)
+		if p == nil || c.now-p.lastReplyAt > c.timing.PrimaryTimeout || !p.status.Writable {
+			return true
+		}
+	}
+	return false
+}
+
+// warnOfLosses says once in an epoch that the view bears fewer losses than it should and nobody is there to mend it.
+func (c *Core) warnOfLowTolerance(view *View) {
+	if c.toleranceWarnedEpoch == view.Epoch || c.now-c.startedAt <= c.timing.WitnessTimeout {
+		return
+	}
+	tolerated := failuresTolerated(view)
+	if tolerated >= c.config.MaxFailures {
+		return
+	}
+	c.toleranceWarnedEpoch = view.Epoch
+	c.log(slog.LevelWarn, "fault tolerance below configuration", slog.Int("tolerated", tolerated), slog.Int("configured", c.config.MaxFailures), slog.Int("members", 1+len(c.peers)))
+}
+
+func (c *Core) onHeartbeat(m Heartbeat) {
+	if m.View == nil {
+		return
+	}
+	if p := c.recordContact(m.From); p != nil {
+		p.status.Writable = true // or it would not be primary
+	}
+	c.learn(m.View)
+	c.addKnownMembers(m.Members)
+	if c.knownEpoch() == m.View.Epoch {
+		c.lastPrimaryContact = c.now
+		c.lastPrimary = m.From
+	}
+	c.send(HeartbeatReply{
+		Envelope: c.replyTo(m),
+		Epoch:    m.View.Epoch,
+		Joined:   c.state.joined == m.View.Tag(),
+		Status:   c.status(),
+		View:     c.viewNewerThan(m.View.Epoch),
+	})
+}
+
+func (c *Core) onHeartbeatReply(m HeartbeatReply) {
+	c.recordStatus(m.From, m.Status)
+	c.learn(m.View)
+	if !c.isPrimary || c.primaryEpoch != m.Epoch || m.Joined {
+		return
+	}
+	if indexOf(c.register.View.Backups, m.From.ID) >= 0 {
+		c.viewChangeDue = true // it was restarted, or sealed
+	}
+}
--- a/coord/replication/core/mutants_test.go
+++ b/coord/replication/core/mutants_test.go
@@ -53,7 +53,7 @@
 		edits: []mutation.Replacement{
 			{File: "register.go", From: "c.repliesAwaitingRegister = append(c.repliesAwaitingRegister, reply)", To: "c.send(reply)"},
 			{File: "write.go", From: "w.carried || !w.synced {", To: "w.carried {"},
-			{File: "write.go", From: "reply.DiskPosition = m.Entry.Position()\n", To: "reply.DiskPosition = m.Entry.Position()\n\tc.send(reply)\n"},
+			{File: "append.go", From: "reply.DiskPosition = m.Entry.Position()\n", To: "reply.DiskPosition = m.Entry.Position()\n\tc.send(reply)\n"},
 		},
 		found: []detector{bySearch("crash, write", "on disk"), byMonitors, byHistories},
 	},
@@ -69,13 +69,13 @@
 	},
 	{
 		name:  "a backup acknowledges before its entry is synced",
-		edits: []mutation.Replacement{{File: "write.go", From: "reply.DiskPosition = m.Entry.Position()\n", To: "reply.DiskPosition = m.Entry.Position()\n\tc.send(reply)\n"}},
+		edits: []mutation.Replacement{{File: "append.go", From: "reply.DiskPosition = m.Entry.Position()\n", To: "reply.DiskPosition = m.Entry.Position()\n\tc.send(reply)\n"}},
 		found: []detector{bySearch("crash, write", "is a replica of"), byMonitors},
 	},
 	{
 		name: "result before the backups have the entry",
 		edits: []mutation.Replacement{{
-			File: "write.go", From: "c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})\n\tc.sendAppends()\n",
+			File: "command.go", From: "c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})\n\tc.sendAppends()\n",
 			To: "c.appendEntry(diskJob{kind: ownAppendJob, entry: entry})\n\tc.sendAppends()\n\tc.sendResult(command.Token, Committed, nil)\n\tc.write.resultSent = true\n",
 		}},
 		found: []detector{bySearch("crash, write", "is a replica of"), byMonitors},
@@ -83,14 +83,14 @@
 	{
 		name: "one witness is a majority",
 		edits: []mutation.Replacement{
-			{File: "view_change.go", From: "len(c.change.granted) >= c.change.quorum()", To: "len(c.change.granted) >= 1"},
+			{File: "votes.go", From: "len(c.change.granted) >= c.change.quorum()", To: "len(c.change.granted) >= 1"},
 			{File: "confirm.go", From: "len(f.granted) < majority(len(view.Witnesses))", To: "len(f.granted) < 1"},
 		},
 		found: []detector{bySearch("cut, read", "majority"), byMonitors, byHistories},
 	},
 	{
 		name:  "one witness chooses a view",
-		edits: []mutation.Replacement{{File: "view_change.go", From: "len(c.change.granted) >= c.change.quorum()", To: "len(c.change.granted) >= 1"}},
+		edits: []mutation.Replacement{{File: "votes.go", From: "len(c.change.granted) >= c.change.quorum()", To: "len(c.change.granted) >= 1"}},
 		found: []detector{bySearch("cut, read", "no majority of the witnesses has accepted it"), byMonitors},
 	},
 	{
@@ -106,8 +106,8 @@
 	{
 		name: "rejected and unchanged commands ask no witness",
 		edits: []mutation.Replacement{
-			{File: "write.go", From: "c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err})", To: "c.sendResult(command.Token, Rejected, err)"},
-			{File: "write.go", From: "c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange})", To: "c.sendResult(command.Token, NoChange, nil)"},
+			{File: "command.go", From: "c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: Rejected, err: err})", To: "c.sendResult(command.Token, Rejected, err)"},
+			{File: "command.go", From: "c.finishAfterRound(pendingCall{token: command.Token, deadline: command.Deadline, outcome: NoChange})", To: "c.sendResult(command.Token, NoChange, nil)"},
 		},
 		found: []detector{bySearch("freeze, check", "without a majority"), byMonitors, byHistories},
 	},
@@ -126,7 +126,7 @@
 	},
 	{
 		name:  "an earlier proposal is not finished first",
-		edits: []mutation.Replacement{{File: "view_change.go", From: "if change.earlierProposal != nil {", To: "if false {"}},
+		edits: []mutation.Replacement{{File: "proposal.go", From: "if change.earlierProposal != nil {", To: "if false {"}},
 		found: []detector{bySearch("crash, read, lost", "two views of epoch"), byMonitors},
 	},
 	{
@@ -139,12 +139,12 @@
 	},
 	{
 		name:  "a ballot is used before it is synced",
-		edits: []mutation.Replacement{{File: "view_change.go", From: "\tc.register.Promised = change.ballot\n\tc.registerDirty = true\n", To: "\tchange.ballotSynced = true\n"}},
+		edits: []mutation.Replacement{{File: "proposal.go", From: "\tc.register.Promised = change.ballot\n\tc.registerDirty = true\n", To: "\tchange.ballotSynced = true\n"}},
 		found: []detector{byTest("TestBallot_Restarted_IsNotReused", "incarnations that used ballot"), byKills},
 	},
 	{
 		name:  "a witness whose reply comes twice has two votes",
-		edits: []mutation.Replacement{{File: "view_change.go", From: " && !slices.Contains(v.granted, id) {", To: " {"}},
+		edits: []mutation.Replacement{{File: "votes.go", From: " && !slices.Contains(v.granted, id) {", To: " {"}},
 		found: []detector{bySearch("crash, no call, slow disk, repeat", "no majority of the witnesses has accepted it"), byRepeats},
 	},
 	{
@@ -154,7 +154,7 @@
 	},
 	{
 		name:  "a command starts before a required round has ended",
-		edits: []mutation.Replacement{{File: "write.go", From: "!c.confirm.required && ", To: ""}},
+		edits: []mutation.Replacement{{File: "command.go", From: "!c.confirm.required && ", To: ""}},
 		found: []detector{byTest("TestCommand_PrimaryWakesSuperseded_IsNotStarted", "expected: 0x6")},
 	},
 	{
--- a/coord/replication/core/wake.go
+++ b/coord/replication/core/wake.go
@@ -43,17 +43,3 @@
 	}
 	return c.timing.PrimaryTimeout
 }
-
-// KnownEpoch is the epoch of the newest view known to be chosen, 0 before the first.
-func (c *Core) KnownEpoch() Epoch { return c.knownEpoch() }
-
-// PrimaryContact says when a primary was last in contact, on the clock of Step. The zero contact is "none yet".
-type PrimaryContact struct {
-	Primary Member
-	At      time.Duration
-}
-
-// LastPrimaryContact is the member last heard to be primary, and when.
-func (c *Core) LastPrimaryContact() PrimaryContact {
-	return PrimaryContact{Primary: c.lastPrimary, At: c.lastPrimaryContact}
-}
