--- a/coord/replication/core/append.go
+++ b/coord/replication/core/append.go
@@ -1,12 +1,13 @@
 package core
 
-// onAppend takes the next entry of the view that was joined.
+// onAppend appends the next entry of the view that was joined.
 //
-// Invariant: the index and the digest of what precedes an entry are compared, so that a gap, a repeat and a fork are three different answers and none of them changes what is held.
+// Invariant: the index and the digest of what precedes an entry are compared, so that missing entries, a duplicate and a diverged history are three different rejections, and none of them changes what is on disk.
 func (c *Core) onAppend(m Append) {
 	reply := AppendReply{Envelope: c.replyTo(m), Epoch: m.Entry.Epoch, Ballot: m.Entry.Ballot, Index: m.Entry.Index}
-	reply.Rejection, reply.DiskPosition = c.checkAppend(m.Entry)
-	if reply.Rejection != Granted || reply.DiskPosition.Index >= m.Entry.Index {
+	check := c.checkAppend(m.Entry)
+	reply.Rejection, reply.DiskPosition = check.rejection, check.position
+	if check.rejection != Granted || check.isOnDisk(m.Entry) {
 		reply.View = c.viewNewerThan(m.Entry.Epoch)
 		c.send(reply)
 		return
@@ -15,52 +16,61 @@
 	c.appendEntry(diskJob{kind: backupAppendJob, entry: m.Entry, reply: reply})
 }
 
-// checkAppend tells whether an entry is the next one. Granted with a position at or past the entry means that it is on disk already: the position is the entry's.
-func (c *Core) checkAppend(entry Entry) (Rejection, Position) {
+// appendCheck is whether a backup may append an entry, and the position that it reports: of its disk, or of the entry if that is on disk already.
+type appendCheck struct {
+	rejection Rejection
+	position  Position
+}
+
+// isOnDisk reports whether a granted entry is on disk already.
+func (a appendCheck) isOnDisk(entry Entry) bool { return a.position.Index >= entry.Index }
+
+// checkAppend checks that an entry is the next one.
+func (c *Core) checkAppend(entry Entry) appendCheck {
 	held := c.state.position
 	switch {
 	case c.state.joined == StateTag{} || c.state.joined != entry.Tag():
-		return NotJoined, held
+		return appendCheck{NotJoined, held}
 	case c.disk.stalled:
-		return Unavailable, held
+		return appendCheck{Unavailable, held}
 	case entry.Index <= held.Index:
 		return c.checkRepeat(entry)
 	case c.disk.changesState():
-		return Busy, held
+		return appendCheck{Busy, held}
 	case c.state.logBroken:
-		return DiskFailed, held
+		return appendCheck{DiskFailed, held}
 	case entry.Index > held.Index+1:
-		return MissingEntries, held
+		return appendCheck{MissingEntries, held}
 	case !entry.Follows(held):
-		return DivergedHistory, held
+		return appendCheck{DivergedHistory, held}
 	}
-	return Granted, held
+	return appendCheck{Granted, held}
 }
 
-// checkRepeat acknowledges an entry again that is on disk.
-func (c *Core) checkRepeat(entry Entry) (Rejection, Position) {
+// checkRepeat checks an entry that is not past the end of the log: it may be on disk already.
+func (c *Core) checkRepeat(entry Entry) appendCheck {
 	position := entry.Position()
 	if position == c.state.position {
-		return Granted, position
+		return appendCheck{Granted, position}
 	}
 	for _, other := range c.state.cachedEntries {
 		if other.Index != entry.Index {
 			continue
 		}
 		if other.Position() == position {
-			return Granted, position
+			return appendCheck{Granted, position}
 		}
-		return DivergedHistory, c.state.position
+		return appendCheck{DivergedHistory, c.state.position}
 	}
-	return DuplicateEntry, c.state.position
+	return appendCheck{DuplicateEntry, c.state.position}
 }
 
-// backupAppendDone acknowledges an entry that is on disk.
+// backupAppendDone acknowledges an entry once it is on disk.
 func (c *Core) backupAppendDone(job diskJob, err error) {
 	reply := job.reply
 	if err != nil {
 		c.state.logBroken = true
-		c.state.joined = StateTag{} // what the disk holds is in doubt: the state must be given again
+		c.state.joined = StateTag{} // what the disk holds is unknown: the state must be transferred again
 		reply.Rejection = DiskFailed
 		reply.DiskPosition = c.state.position
 		c.send(reply)
--- a/coord/replication/core/bootstrap.go
+++ b/coord/replication/core/bootstrap.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// firstBase gives the view of epoch 0, whose witnesses make the first view, once every seed is there, with a disk or without any. Of the seeds with first disks the lowest address goes first, the others after some seconds.
+// bootstrapBase gives the view of epoch 0, whose witnesses make the first view, once every seed is there, with a disk or without any. Of the seeds with bootstrap disks the lowest address proposes first, each other one WitnessTimeout later.
 //
 // Invariant: there is one first view. A seed's disk may be lost and another come in its place while the first view is made, so two proposers may mean different witnesses. The first view is prepared at all of the witnesses that its proposer means, not at a majority, and most of these must be first disks: whatever was chosen before was accepted by a majority, so it shows at one of them.
 func (c *Core) bootstrapBase() (*View, bool) {
@@ -39,7 +39,7 @@
 	return base, true
 }
 
-// firstSeeds are the addresses of the first start, sorted.
+// bootstrapSeeds are the addresses of the first start, sorted.
 func (c *Core) bootstrapSeeds() []string {
 	seeds := c.config.BootstrapSeeds
 	if len(seeds) == 0 {
@@ -48,7 +48,7 @@
 	return slices.Sorted(slices.Values(seeds))
 }
 
-// sharesSeeds tells whether the witnesses of a first base are those that this member would name: its seeds without the relays. Members that started with other seeds get no vote of it.
+// sharesSeeds reports whether the witnesses of a first base are those that this member would name: its seeds without the relays. Members that started with other seeds get no vote of it.
 func (c *Core) sharesSeeds(base *View) bool {
 	named := map[string]bool{}
 	for _, witness := range base.Witnesses {
--- a/coord/replication/core/candidates.go
+++ b/coord/replication/core/candidates.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// fit are the other members that answered lately, whose disks take writes, and that want to stay.
+// writableMembers are the other members that are responsive, whose disks take writes, and that are not leaving.
 func (c *Core) writableMembers() []Member {
 	var members []Member
 	for _, p := range c.peers {
@@ -16,7 +16,7 @@
 	return members
 }
 
-// fitButLeaving are those that are taken only if nobody else is to be had.
+// writableButLeaving are the leaving ones, which take a role only if no other member is available.
 func (c *Core) writableButLeaving() []Member {
 	var members []Member
 	for _, p := range c.peers {
@@ -29,7 +29,7 @@
 
 func (c *Core) isResponsive(p peer) bool { return c.now-p.lastReplyAt < c.timing.PrimaryTimeout }
 
-// spare are the fit members that are no copies and have not refused to be one lately.
+// spareMembers are the writable members that are no replicas and have not rejected a transfer lately.
 func (c *Core) spareMembers(view *View) []Member {
 	return slices.DeleteFunc(c.writableMembers(), func(m Member) bool {
 		return c.rejectedTransferLately(m) || indexOf(view.Replicas(), m.ID) >= 0
@@ -49,7 +49,7 @@
 	return p != nil && p.status.Leaving
 }
 
-// nextCandidate picks whom to give the state next: those that answer, then other areas, then the old copies, then witnesses, then the rest. Members that want to leave come last, when nobody else is to be had.
+// nextCandidate picks the member to transfer the state to next: the lowest penalty first, then the least used failure domain, then the old replicas, the witnesses and the others. Leaving members come last, when no other is available.
 func (c *Core) nextCandidate(base *View, asked, placed []Member) (Member, bool) {
 	notAsked := func(members []Member) []Member {
 		return slices.DeleteFunc(members, func(m Member) bool { return indexOf(asked, m.ID) >= 0 })
@@ -71,7 +71,7 @@
 	}), true
 }
 
-// reluctance puts last those that did not answer lately, and the primary that this member takes over from, unless it has answered since.
+// penalty puts last those that did not reply lately or rejected a transfer, and the primary that this member takes over from, unless it has replied since.
 func (c *Core) penalty(m Member) int {
 	p := c.peer(m.ID)
 	if p == nil {
--- a/coord/replication/core/command.go
+++ b/coord/replication/core/command.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// takeOrder queues an order.
+// enqueueCommand queues a command.
 func (c *Core) enqueueCommand(command Command) {
 	if !c.isPrimary || c.leaving != nil && c.leaving.handingOver {
 		c.sendResult(command.Token, Deposed, nil)
@@ -21,12 +21,12 @@
 	c.emit(Result{Token: token, Outcome: outcome, Err: err})
 }
 
-// runOrders begins orders as long as they end at once.
+// startCommands starts the first commands of the queue, until one has an entry to write.
 func (c *Core) startCommands() {
 	for c.mayStartCommand() {
 		view := c.register.View
 		if c.viewChangesForCommand < c.targetWitnesses() && c.canImprove(view) {
-			// Invariant: what is acknowledged is borne as well as can be: the copies and witnesses that are to be had come first.
+			// Invariant: a committed entry tolerates as many failures as can be had: available replicas and witnesses that the view lacks come first.
 			c.viewChangesForCommand++
 			c.startViewChange(view)
 			return
@@ -46,9 +46,9 @@
 	return !c.confirm.required && !c.disk.changesState() && !c.disk.stalled && !c.state.logBroken
 }
 
-// expireOrders gives up the orders that did not begin in time.
+// expireCommands ends the commands that did not start in time.
 //
-// Invariant: an order whose deadline has passed never begins.
+// Invariant: a command whose deadline has passed never starts.
 func (c *Core) expireCommands() {
 	c.commands = slices.DeleteFunc(c.commands, func(command Command) bool {
 		late := c.now > command.Deadline
@@ -59,7 +59,7 @@
 	})
 }
 
-// beginOrder decides an order and writes its entry.
+// startCommand runs Decide and writes the entry, if there is one.
 func (c *Core) startCommand(command Command) {
 	data, err := command.Decide()
 	if err != nil {
@@ -83,7 +83,7 @@
 	c.sendAppends()
 }
 
-// answerAllDeposed ends all calls of a member that is no longer primary: unclear if something was begun, else known not to be done.
+// failPendingCalls ends all calls of a member that is no longer primary: Indeterminate if an entry is written, else Deposed.
 func (c *Core) failPendingCalls() {
 	if c.write != nil && !c.write.resultSent {
 		c.sendResult(c.write.command.Token, Indeterminate, nil)
--- a/coord/replication/core/confirm.go
+++ b/coord/replication/core/confirm.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// call is an answer that waits for the witnesses' word.
+// pendingCall is a result that waits for a round of confirmation.
 type pendingCall struct {
 	token    Token
 	deadline time.Duration
@@ -15,7 +15,7 @@
 
 // confirmation asks the witnesses whether a later view was accepted, in rounds.
 //
-// Invariant: every clear answer is linearizable. A refusal, an empty acknowledgement and a read are answered only after a majority of the view's witnesses said, in a round begun after the call arrived (for the first two: after Decide ran), that they accepted no later view. So no later view was chosen when the round began, and the state the answer speaks of was the newest then.
+// Invariant: every definite result is linearizable. A rejection, a "no change" and a read are given only after a majority of the view's witnesses replied, in a round begun after the call arrived (for the first two: after Decide ran), that they accepted no later view. So no later view was chosen when the round began, and the state the answer speaks of was the newest then.
 type confirmation struct {
 	round      uint64
 	running    bool
@@ -25,18 +25,18 @@
 	inRound    []pendingCall // that the running round serves
 	queued     []pendingCall // for the next round
 	superseded bool          // a witness of the running round has accepted a later view
-	required   bool          // no clear answer and no order before a round has ended
+	required   bool          // no definite result and no command before a round has ended
 	confirmBy  time.Duration
 }
 
-// void ends the running round without an answer; its calls wait for the next one.
+// abandonRound ends the running round without results; its calls wait for the next one.
 func (f *confirmation) abandonRound() {
 	f.running = false
 	f.queued = append(f.inRound, f.queued...)
 	f.inRound = nil
 }
 
-// doubt demands a new round before anything clear is said.
+// requireRound requires a new round before any definite result.
 func (f *confirmation) requireRound() {
 	if !f.required {
 		f.abandonRound()
@@ -44,7 +44,7 @@
 	f.required = true
 }
 
-// reset forgets all but the number of the last round, which is never used again.
+// reset keeps only the number of the last round, which is never used again in this incarnation.
 func (f *confirmation) reset() {
 	*f = confirmation{round: f.round}
 }
@@ -56,7 +56,7 @@
 	return calls
 }
 
-// takeRead queues a read for the next round.
+// enqueueRead queues a read for the next round.
 func (c *Core) enqueueRead(read Read) {
 	if !c.isPrimary {
 		c.sendResult(read.Token, Deposed, nil)
@@ -69,12 +69,12 @@
 	c.finishAfterRound(pendingCall{token: read.Token, deadline: read.Deadline, outcome: Current})
 }
 
-// confirmBefore answers a call after the next round.
+// finishAfterRound gives a call its result after the next round.
 func (c *Core) finishAfterRound(waiting pendingCall) {
 	c.confirm.queued = append(c.confirm.queued, waiting)
 }
 
-// runConfirmation begins a round if one is wanted. One round serves all calls that wait.
+// startRound begins a round if one is needed. One round serves all calls that wait.
 func (c *Core) startRound() {
 	f := &c.confirm
 	wanted := len(f.queued) > 0 || f.required
@@ -101,7 +101,7 @@
 	}
 }
 
-// onConfirmReply counts a witness, and answers the calls of the round once a majority has spoken.
+// onConfirmReply counts a witness once, and ends the round with a majority. The view's tag is compared because rounds count from 1 in each incarnation: a late reply to an earlier one may bear this round's number, but not this view.
 func (c *Core) onConfirmReply(m ConfirmReply) {
 	c.learn(m.View)
 	f := &c.confirm
@@ -142,7 +142,7 @@
 	c.sendResult(waiting.token, waiting.outcome, waiting.err)
 }
 
-// tickConfirmation repeats what was not answered. A round that does not end makes way for a new one, which serves those that wait as well.
+// tickConfirmation repeats requests without reply. A round that does not end in time makes way for a new one, which serves the queued calls as well.
 func (c *Core) tickConfirmation() {
 	f := &c.confirm
 	if !f.running || c.change != nil {
@@ -150,7 +150,7 @@
 	}
 	if c.now-f.startedAt >= c.timing.ReplyTimeout {
 		f.abandonRound()
-		c.viewChangeDue = c.viewChangeDue || f.superseded // what was begun must be finished before anybody can be sure
+		c.viewChangeDue = c.viewChangeDue || f.superseded // the later proposal must be finished first: until then no round can end
 		return
 	}
 	if c.now-f.sentAt >= c.timing.ResendInterval {
@@ -158,7 +158,7 @@
 	}
 }
 
-// expireCalls ends the calls whose time is over.
+// expireCalls ends the calls whose deadline has passed.
 func (c *Core) expireCalls() {
 	c.expireCommands()
 	if w := c.write; w != nil && !w.resultSent && c.now > w.command.Deadline {
--- a/coord/replication/core/contact.go
+++ b/coord/replication/core/contact.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// contactTimeout is how long ago a majority of the witnesses may have answered.
+// contactTimeout is how long ago a majority of the witnesses may have replied last.
 func (c *Core) contactTimeout() time.Duration {
 	return c.timing.PrimaryTimeout + c.timing.HeartbeatInterval
 }
 
-// hearsWitnesses tells whether a majority of the view's witnesses answered lately.
+// hasWitnessContact reports whether a majority of the view's witnesses, this member included, replied within contactTimeout.
 func (c *Core) hasWitnessContact() bool {
 	view := c.register.View
 	inContact := 0
@@ -23,9 +23,9 @@
 	return inContact >= majority(len(view.Witnesses))
 }
 
-// noticeTime is called first in each Step.
+// advanceClock is called first in each Step.
 //
-// Invariant: what wakes late doesn't act on old news. A primary that got no answer of a majority of the witnesses for the contact time-out gives no clear answer and begins no order until a round of confirmation, begun from now on, has ended.
+// Invariant: a process that was paused does not act on what it knew before. A primary without a reply of a majority of the witnesses for contactTimeout gives no definite result and starts no command until a round of confirmation, begun from now on, has ended.
 func (c *Core) advanceClock(now time.Duration) {
 	slept := now - c.now
 	c.now = max(now, c.now)
@@ -38,7 +38,7 @@
 	c.confirm.requireRound()
 }
 
-// stopBeingPrimary ends the writing of this member. What was begun ends unclear.
+// stopBeingPrimary makes this member step down, if it is primary. A command with an entry written ends Indeterminate.
 func (c *Core) stopBeingPrimary(reason StopReason) {
 	if !c.isPrimary {
 		return
--- a/coord/replication/core/core.go
+++ b/coord/replication/core/core.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// ErrDamaged says that what the disk held is no whole state.
+// ErrCorrupt is wrapped by errors of New: what the disk held is no consistent state.
 var ErrCorrupt = errors.New("the stored state is damaged")
 
-// ErrTooMany comes with an Unclear answer if too many orders or reads wait already.
+// ErrTooManyPending comes with an Indeterminate result if Limits.MaxPending commands or reads wait already. The command was not begun.
 var ErrTooManyPending = errors.New("too many calls wait")
 
-// ErrTooLate comes with an Unclear answer if the deadline passed.
+// ErrDeadlineExceeded comes with an Indeterminate result if the deadline passed first.
 var ErrDeadlineExceeded = errors.New("the deadline passed")
 
-// Core is one member's part of the protocol. It is not safe for concurrent use: one driver steps it.
+// Core is one member's part of the protocol. Use New to make one. It is not safe for concurrent use, its read-only methods included: one driver steps it.
 type Core struct {
 	config Config
 	self   Member
@@ -25,11 +25,11 @@
 	now       time.Duration
 	startedAt time.Duration
 	effects   []Effect
-	loopback  []Message // sent to this member by itself
+	loopback  []Message // sent to this member by itself; received before Step returns
 
 	register                Register
 	registerDirty           bool
-	repliesAwaitingRegister []Message // that wait for the register to be synced
+	repliesAwaitingRegister []Message // sent once the register is synced
 
 	disk     diskQueue
 	state    replicatedState
@@ -44,16 +44,16 @@
 	isPrimary            bool
 	primaryEpoch         Epoch
 	viewChangeDue        bool
-	retryAfter           time.Duration // no view change is tried before
-	isolatedSince        time.Duration // nobody was heard since a view change began that failed; longAgo: not so
+	retryAfter           time.Duration // no view change is attempted before
+	isolatedSince        time.Duration // no contact with any member since a view change began that failed; longAgo: not so
 	lastPromiseAt        time.Duration // when a promise was last given to another member
 	lastRound            uint64        // of the last ballot, for the epoch after the known view
 	change               *viewChange
-	toleranceWarnedEpoch Epoch // for which the tolerance was said to be out of reach
+	toleranceWarnedEpoch Epoch // for which the low tolerance was logged
 
 	commands              []Command
 	write                 *pendingWrite
-	viewChangesForCommand int // view changes made for the order that is first in the queue
+	viewChangesForCommand int // attempted for the command that is first in the queue
 	confirm               confirmation
 
 	yielding *yielding
@@ -63,7 +63,7 @@
 // longAgo stands for "never" among times.
 const longAgo = -time.Hour
 
-// New makes a core from what its disk held. It gives an error that wraps ErrDamaged if that is no whole state; the store then has to start over as an empty disk with a new identity.
+// New makes a core from what its disk held, and restores the state machine from the snapshot. The error wraps ErrCorrupt if the snapshot can't be restored or the entries don't follow it; the disk can then be used only as an empty one under a new MemberID.
 func New(config Config, stored Stored) (*Core, error) {
 	c := &Core{
 		config:   config,
@@ -84,7 +84,7 @@
 	return c, nil
 }
 
-// Step handles one event. now is a steady clock since the process started that never goes back.
+// Step handles one event and gives the effects, which the caller carries out in their order before the next Step. now is the time since the process started, on a monotonic clock; a now before the one of an earlier Step counts as that one.
 func (c *Core) Step(now time.Duration, event Event) []Effect {
 	c.effects = nil
 	c.advanceClock(now)
@@ -114,7 +114,7 @@
 	}
 }
 
-// settle goes on with whatever the event made possible, until nothing is left to do.
+// settle continues with whatever the event made possible, until nothing is left to do.
 func (c *Core) settle() {
 	for {
 		c.startCommands()
@@ -134,13 +134,13 @@
 	c.lastPrimaryContact = c.now
 	view := c.register.View
 	if view != nil && view.Primary.ID == c.self.ID {
-		c.lastPrimaryContact = c.now - 2*c.timing.HeartbeatInterval // a primary that comes back asks at once; the witnesses know better if it was followed
+		c.lastPrimaryContact = c.now - 2*c.timing.HeartbeatInterval // a primary that restarts proposes at once; the witnesses reject it if it was superseded
 	}
 	c.sendHello()
 	c.considerViewChange()
 }
 
-// tick does what time demands.
+// tick does what is due by the clock.
 func (c *Core) tick() {
 	c.expireCalls()
 	c.tickWrite()
@@ -154,7 +154,7 @@
 	c.forgetPeers()
 }
 
-// receive handles a message, and refuses one that was meant for another disk.
+// receive handles a message, and rejects one that was meant for another disk.
 func (c *Core) receive(message Message) {
 	envelope := message.Route()
 	if envelope.From.ID != c.self.ID {
@@ -189,7 +189,7 @@
 	case Install:
 		c.onInstall(m)
 	case SnapshotChunk:
-		c.onSnapshotPart(m)
+		c.onSnapshotChunk(m)
 	case Append:
 		c.onAppend(m)
 	case Confirm:
@@ -217,7 +217,7 @@
 	case InstallReply:
 		c.onInstallReply(m)
 	case SnapshotChunkReply:
-		c.onSnapshotPartReply(m)
+		c.onSnapshotChunkReply(m)
 	case AppendReply:
 		c.onAppendReply(m)
 	case ConfirmReply:
@@ -237,7 +237,7 @@
 	c.emit(Log{Level: level, Message: text, Attributes: attributes})
 }
 
-// to addresses a message to a member, where it was last heard.
+// envelopeTo addresses a message to a member, at the address of its last contact.
 func (c *Core) envelopeTo(member Member) Envelope {
 	address := member.Address
 	if p := c.peer(member.ID); p != nil {
@@ -246,7 +246,7 @@
 	return Envelope{From: c.self, To: member.ID, ToAddress: address}
 }
 
-// back addresses the reply to a message.
+// replyTo addresses the reply to a message.
 func (c *Core) replyTo(request Message) Envelope {
 	from := request.Route().From
 	return Envelope{From: c.self, To: from.ID, ToAddress: from.Address}
--- a/coord/replication/core/core_test.go
+++ b/coord/replication/core/core_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestWrite_BackupLost_CommitsInNextView loses a backup at each step of a write: the answer comes after a new copy was made.
+// TestWrite_BackupLost_CommitsInNextView loses a backup at each step of a write: the answer comes after a new replica was made.
 func TestWrite_BackupLost_CommitsInNextView(t *testing.T) {
 	eachLayout(t, func(t *testing.T, net *network) {
 		primary := net.commit("first")
@@ -110,7 +110,7 @@
 	require.Equal(t, NoChange, primary.outcome(primary.propose(func() ([]byte, error) { return nil, nil })))
 }
 
-// TestPrimary_IsolatedOrFrozen_GivesNoDefiniteResult is the proven fault: a primary that was followed while it was frozen or cut off refuses an order on the newer state.
+// TestPrimary_IsolatedOrFrozen_GivesNoDefiniteResult is the proven fault: a primary that was followed while it was frozen or cut off rejects a command on the newer state.
 func TestPrimary_IsolatedOrFrozen_GivesNoDefiniteResult(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
 		for _, after := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
--- a/coord/replication/core/disk.go
+++ b/coord/replication/core/disk.go
@@ -12,10 +12,10 @@
 	backupAppendJob         // an entry of the primary's
 	compactionJob           // a snapshot in place of a grown log
 	repairJob               // a snapshot in place of a broken log
-	transferJob             // state that was given
+	transferJob             // state that was received
 )
 
-// diskJob is a job that the disk has not ended. Only the fields of its kind are set.
+// diskJob is a job that has not ended. Only the fields of its kind are set.
 type diskJob struct {
 	token    Token
 	kind     jobKind
@@ -27,7 +27,7 @@
 	received receivedState
 }
 
-// diskQueue holds the jobs under way in their order.
+// diskQueue holds the jobs that have not ended, in their order.
 type diskQueue struct {
 	last    Token
 	jobs    []diskJob
@@ -42,7 +42,7 @@
 	return job.token
 }
 
-// changesState tells whether a job is under way whose end changes what is held.
+// changesState reports whether a job is queued whose end changes the replicated state on disk.
 func (q *diskQueue) changesState() bool {
 	for _, job := range q.jobs {
 		switch job.kind {
@@ -90,7 +90,7 @@
 	}
 }
 
-// diskStalled takes this member out of the writing until the disk moves again.
+// diskStalled takes this member out of the replicas until the disk ends the job.
 func (c *Core) diskStalled(event DiskStalled) {
 	if len(c.disk.jobs) == 0 || c.disk.jobs[0].token != event.Token {
 		return
@@ -101,7 +101,7 @@
 	c.stepDownForDisk()
 }
 
-// trimDone notes a log that is broken if its snapshot could not be saved: what it holds is on disk still, but nothing can be added.
+// compactionDone marks the log as broken if the snapshot could not be saved: what it holds is on disk still, but nothing can be appended.
 func (c *Core) compactionDone(err error) {
 	if err == nil {
 		return
@@ -111,7 +111,7 @@
 	c.stepDownForDisk()
 }
 
-// ownDiskFailed lets another member take over from a primary whose disk takes no writes.
+// stepDownForDisk lets another member take over from a primary whose disk takes no writes.
 func (c *Core) stepDownForDisk() {
 	view := c.register.View
 	if !c.isPrimary {
--- a/coord/replication/core/domains.go
+++ b/coord/replication/core/domains.go
@@ -20,7 +20,7 @@
 	return perDomain
 }
 
-// emptiest is the member whose area holds the fewest of those placed.
+// inSmallestDomain is the member whose failure domain holds the fewest of those counted; of several, the one with the lowest id.
 func (c *Core) inSmallestDomain(members []Member, perDomain map[string]int) Member {
 	return slices.MinFunc(members, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(perDomain[c.failureDomain(a)], perDomain[c.failureDomain(b)]), cmp.Compare(a.ID, b.ID))
--- a/coord/replication/core/encode.go
+++ b/coord/replication/core/encode.go
@@ -70,7 +70,7 @@
 	return entries[len(entries)-1].Position()
 }
 
-// reader takes fields from the front; bad stays set after the first that is not whole.
+// reader takes fields from the front; bad stays set after the first that is incomplete.
 type reader struct {
 	data []byte
 	bad  bool
--- a/coord/replication/core/explore_call_test.go
+++ b/coord/replication/core/explore_call_test.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// callState is an order or a read of the model's clients.
+// callState is a command or a read of the model's clients.
 type callState struct {
 	kind        callKind
 	token       Token
 	node        int
-	floor       string // the longest state that a clear answer spoke of before this call began
+	floor       string // the longest state that a definite result spoke of before this call began
 	decided     string // what Decide saw
 	ran         bool   // Decide ran
 	done        bool
@@ -22,13 +22,13 @@
 
 const (
 	writeCall callKind = iota + 1
-	checkCall          // refused if the state has a "1", in force if not; never writes
+	checkCall          // rejected if the state has a "1", in force if not; never writes
 	readCall
 )
 
 var errHasOne = errors.New("there is a one already")
 
-// bindOrders lets the waiting orders decide on this state's machine.
+// bindOrders lets the waiting commands decide on this state's machine.
 func (m *model) bindOrders(i int) {
 	c := m.nodes[i].core
 	for j := range c.commands {
@@ -36,7 +36,7 @@
 	}
 }
 
-// decide makes the function of an order.
+// decide makes the function of a command.
 func (m *model) decide(i int, token Token) func() ([]byte, error) {
 	return func() ([]byte, error) {
 		call := m.callOf(token)
@@ -92,7 +92,7 @@
 	}
 }
 
-// answered checks a clear answer against all that were given before.
+// answered checks a definite result against all that were given before.
 func (m *model) answered(answer Result) {
 	call := m.callOf(answer.Token)
 	if call == nil || call.done {
@@ -113,7 +113,7 @@
 	}
 }
 
-// call begins the next order or read at a member.
+// call begins the next command or read at a member.
 func (m *model) call(i int) *model {
 	out := m.copied()
 	kind := out.rules.calls[len(out.calls)]
--- a/coord/replication/core/explore_model_test.go
+++ b/coord/replication/core/explore_model_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// start begins a life of a member.
+// start begins an incarnation of a member.
 func (m *model) start(i int, disk storedDisk, incarnation int) *model {
 	out := m.copied()
 	disk.pending = nil
@@ -272,7 +272,7 @@
 	return out
 }
 
-// believers are the members that take themselves for the primary.
+// primaries are the members that take themselves for the primary.
 func (m *model) primaries() []int {
 	var out []int
 	for i, node := range m.nodes {
--- a/coord/replication/core/explore_monitor_test.go
+++ b/coord/replication/core/explore_monitor_test.go
@@ -9,29 +9,29 @@
 // monitors watch the invariants over a run.
 type monitors struct {
 	failed            string
-	reported          string // the longest state that a clear answer spoke of
-	acknowledged      string // the longest state that an order was acknowledged with
+	reported          string // the longest state that a definite result spoke of
+	acknowledged      string // the longest state that a command was acknowledged with
 	acknowledgedEpoch Epoch
-	notExecuted       []string // orders answered as surely not begun
+	notExecuted       []string // commands answered as surely not begun
 	writers           []writerRecord
 	views             []chosenView
 	votes             []voteRecord
 	accepts           []acceptanceRecord
 }
 
-// writerNote says which member, in which life, was primary of an epoch.
+// writerRecord says which member, in which incarnation, was primary of an epoch.
 type writerRecord struct {
 	epoch       Epoch
 	node        int
 	incarnation int
 }
 
-// viewNote is a view that is known to be chosen.
+// chosenView is a view that is known to be chosen.
 type chosenView struct {
 	view View
 }
 
-// voteNote is what a witness has said for an epoch: the highest promise and the highest acceptance.
+// voteRecord is what a witness has said for an epoch: the highest promise and the highest acceptance.
 type voteRecord struct {
 	id       MemberID
 	epoch    Epoch
@@ -78,7 +78,7 @@
 	}
 }
 
-// heldContent is the state with what is on disk and not applied.
+// diskContent is the state with what is on disk and not applied.
 func (c *Core) diskContent(machine *text) string {
 	content := machine.content
 	for _, entry := range c.state.tail {
@@ -200,7 +200,7 @@
 	w.learned(view)
 }
 
-// clear checks a clear answer: it speaks of a state that has all that earlier clear answers spoke of, and a majority was asked after the call.
+// clear checks a definite result: it speaks of a state that has all that earlier definite results spoke of, and a majority was asked after the call.
 func (w *monitors) clear(m *model, call *callState, reported string) {
 	if !strings.HasPrefix(reported, call.floor) {
 		w.fail("%v speaks of %q, and before the call %q was spoken of", call.outcome, reported, call.floor)
@@ -237,13 +237,13 @@
 	}
 }
 
-// check looks at the whole state after each step.
+// check looks at the whole model after each step.
 func (w *monitors) check(m *model) {
 	w.checkCopies(m)
 	w.checkJoined(m)
 }
 
-// checkCopies requires that every copy of the newest view has on disk what was acknowledged, unless its disk was lost.
+// checkCopies requires that every replica of the newest view has on disk what was acknowledged, unless its disk was lost.
 func (w *monitors) checkCopies(m *model) {
 	if w.acknowledged == "" || len(w.views) == 0 {
 		return
@@ -275,7 +275,7 @@
 	return content
 }
 
-// checkJoined requires that the copies that take appends of one view hold prefixes of one history.
+// checkJoined requires that the replicas that take appends of one view hold prefixes of one history.
 func (w *monitors) checkJoined(m *model) {
 	held := map[StateTag]string{}
 	for i, node := range m.nodes {
--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -28,7 +28,7 @@
 	net.holds("first;")
 }
 
-// giveState hands a member a whole state for the view after the known one, as a proposer would, and gives its last reply.
+// giveState hands a member a complete state for the view after the known one, as a proposer would, and gives its last reply.
 func giveState(t *testing.T, net *network, proposer, receiver *node, target Position, stream []byte) SnapshotChunkReply {
 	t.Helper()
 	base := receiver.core.View()
--- a/coord/replication/core/heartbeat.go
+++ b/coord/replication/core/heartbeat.go
@@ -4,7 +4,7 @@
 	"log/slog"
 )
 
-// tickPrimary sends the heartbeats and looks for lost members.
+// tickPrimary sends the heartbeats and checks the view, or steps down for want of contact.
 func (c *Core) tickPrimary() {
 	if !c.isPrimary {
 		return
@@ -12,7 +12,7 @@
 	if c.confirm.required && c.now >= c.confirm.confirmBy {
 		view := c.register.View
 		c.stopBeingPrimary(LostWitnesses)
-		c.startYielding(view) // its way out may work though it hears nobody
+		c.startYielding(view) // its messages may arrive though it receives none
 		return
 	}
 	if c.now-c.lastHeartbeat < c.timing.HeartbeatInterval {
@@ -35,7 +35,7 @@
 	c.send(Heartbeat{Envelope: c.envelopeTo(member), View: c.View(), Members: c.contactedMembers()})
 }
 
-// checkView asks for a new view if a backup is lost, or more or other members are to be had.
+// checkView makes a view change due if a backup failed, or members are available that improve the view.
 func (c *Core) checkView() {
 	view := c.register.View
 	if c.hasLostBackup(view) || c.canImprove(view) || c.nextWitnesses(view) != nil {
@@ -55,7 +55,7 @@
 	return false
 }
 
-// warnOfLosses says once in an epoch that the view bears fewer losses than it should and nobody is there to mend it.
+// warnOfLowTolerance logs once in an epoch that the view tolerates fewer failures than configured, and no member is available that could repair it.
 func (c *Core) warnOfLowTolerance(view *View) {
 	if c.toleranceWarnedEpoch == view.Epoch || c.now-c.startedAt <= c.timing.WitnessTimeout {
 		return
@@ -73,7 +73,7 @@
 		return
 	}
 	if p := c.recordContact(m.From); p != nil {
-		p.status.Writable = true // or it would not be primary
+		p.status.Writable = true // a primary's disk takes writes
 	}
 	c.learn(m.View)
 	c.addKnownMembers(m.Members)
@@ -97,6 +97,6 @@
 		return
 	}
 	if indexOf(c.register.View.Backups, m.From.ID) >= 0 {
-		c.viewChangeDue = true // it was restarted, or sealed
+		c.viewChangeDue = true // it was restarted, or sealed by a proposer
 	}
 }
--- a/coord/replication/core/hello.go
+++ b/coord/replication/core/hello.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// considerHello asks the known addresses who is there, when the primary is not heard.
+// considerHello looks for members at the known addresses while there is no contact with the primary.
 func (c *Core) considerHello() {
 	if c.isPrimary {
 		return
@@ -53,7 +53,7 @@
 	c.learn(m.View)
 	c.send(HelloReply{Envelope: c.replyTo(m), Status: c.status(), View: c.View(), Members: c.contactedMembers()})
 	if c.isPrimary {
-		c.heartbeatTo(m.From) // so that it is known at once whether it answers
+		c.heartbeatTo(m.From) // its reply shows at once that it receives this member too
 	}
 }
 
--- a/coord/replication/core/leave.go
+++ b/coord/replication/core/leave.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// leaving is what a member does that wants to give up its roles. It still acknowledges appends, promises and accepts until it has left, but it is chosen for new roles only if nobody else is to be had.
+// leaving is a graceful shutdown in progress. The member still acknowledges appends, promises and accepts until it has left, but it gets new roles only if no other member is available.
 type leaving struct {
 	deadline    time.Duration
-	handingOver bool // it was primary and takes no orders any more
+	handingOver bool // it is primary and takes no more commands
 	sentAt      time.Duration
 	done        bool
 }
@@ -29,7 +29,7 @@
 	c.tickLeaving()
 }
 
-// tickLeaving goes on until no role is left, or the deadline is near. Only the primary can tell: it knows the newest view, and gives no new role to a member that it knows to be leaving.
+// tickLeaving continues until no role is left, or the deadline is near. Only the primary can say that none is left: it knows the newest view, and gives no new role to a member that it knows to be leaving.
 func (c *Core) tickLeaving() {
 	l := c.leaving
 	if l == nil || l.done {
@@ -57,7 +57,7 @@
 	c.emit(Left{Complete: complete, Roles: roles})
 }
 
-// handOver lets a backup take over once the order under way has ended. A primary without a backup that stays goes on to the end.
+// handOver lets a backup take over once the pending write has ended. A primary without a backup that stays goes on serving.
 func (c *Core) handOver() {
 	view := c.register.View
 	if c.change != nil || !c.hasSuccessor(view) {
@@ -81,7 +81,7 @@
 	return false
 }
 
-// askToLeave tells the primary, or asks who it is.
+// sendLeaveRequest asks the primary for a view without this member, or looks for the primary.
 func (c *Core) sendLeaveRequest() {
 	c.leaving.sentAt = c.now
 	primary, known := c.Primary(c.now)
@@ -92,7 +92,7 @@
 	c.send(LeaveRequest{Envelope: c.envelopeTo(primary), Status: c.status()})
 }
 
-// onLeaveRequest makes a new view without the sender, if others are to be had.
+// onLeaveRequest starts a view change without the sender, if a replacement is available.
 func (c *Core) onLeaveRequest(m LeaveRequest) {
 	c.recordStatus(m.From, m.Status)
 	reply := LeaveRequestReply{Envelope: c.replyTo(m), View: c.View()}
@@ -131,7 +131,7 @@
 	}
 }
 
-// startYielding begins to ask the backups of a view.
+// startYielding starts to ask the backups of a view to take over.
 func (c *Core) startYielding(view *View) {
 	if view == nil || c.isPrimary {
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-// onYield takes over at once, if this member may.
+// onYield takes over at once, if this member may lead.
 func (c *Core) onYield(m Yield) {
 	reply := YieldReply{Envelope: c.replyTo(m), Epoch: m.Epoch, Rejection: c.checkYield(m)}
 	c.send(reply)
--- a/coord/replication/core/membership.go
+++ b/coord/replication/core/membership.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// What must be borne: with f losses, f+1 copies and 2f+1 witnesses. Whoever reaches most of the witnesses reaches f+1 members with disks, so a view at its tolerance never needs fewer copies.
+// To tolerate f failures a view has f+1 replicas and 2f+1 witnesses. Whoever reaches a majority of the witnesses reaches f+1 members with disks, so a view at its tolerance never needs fewer replicas.
 
 func indexOf(members []Member, id MemberID) int {
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
@@ -12,7 +12,7 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// rolesOf tells what a member is in a view.
+// rolesOf gives the roles of a member in a view; none in nil.
 func rolesOf(view *View, id MemberID) Role {
 	var roles Role
 	if view == nil {
@@ -30,7 +30,7 @@
 	return roles
 }
 
-// lossesBorne is the number of members that may be lost at once under a view.
+// failuresTolerated is the number of members that may fail at once under a view.
 func failuresTolerated(view *View) int {
 	if view == nil {
 		return 0
@@ -38,10 +38,10 @@
 	return min(len(view.Backups), max(0, len(view.Witnesses)-1)/2)
 }
 
-// copiesWanted is how many copies a view should have. With nothing to bear, a backup is kept where one is to be had.
+// targetReplicas is how many replicas a view should have. With no failures to tolerate, a backup is kept where one is available.
 func (c *Core) targetReplicas() int { return max(c.config.MaxFailures, 1) + 1 }
 
-// fewestCopies is the number below which no view is made: what its witnesses bear, and one more.
+// minReplicas is the number below which no view is made: the failures that its witnesses tolerate, and one more.
 func (c *Core) minReplicas(base *View) int {
 	if c.config.MaxFailures == 0 {
 		return 1
@@ -49,7 +49,7 @@
 	return max(2, (len(base.Witnesses)-1)/2+1)
 }
 
-// short tells whether the view has fewer copies or witnesses than wanted, has them in too few areas, or has one that wants to leave, while others are to be had.
+// canImprove reports whether the view has fewer replicas or witnesses than its targets, has them in too few failure domains, or has a member that is leaving, and members are available to change that.
 func (c *Core) canImprove(view *View) bool {
 	if len(view.Replicas()) < c.targetReplicas() && len(c.spareMembers(view)) > 0 {
 		return true
@@ -57,7 +57,7 @@
 	return c.isConcentrated(view) || c.hasLeavingBackup(view) || c.withMoreWitnesses(view) != nil || c.withSpreadWitnesses(view) != nil
 }
 
-// narrow tells whether the copies lie in so few areas that these may all be lost, while a member elsewhere could be one.
+// isConcentrated reports whether the replicas lie in so few failure domains that all may fail at once, while a member of another domain is available.
 func (c *Core) isConcentrated(view *View) bool {
 	perDomain := c.countPerDomain(view.Replicas())
 	if len(perDomain) > c.config.MaxDomainFailures {
@@ -66,7 +66,7 @@
 	return slices.ContainsFunc(c.spareMembers(view), func(m Member) bool { return perDomain[c.failureDomain(m)] == 0 })
 }
 
-// leavingBackup tells whether a backup that wants to leave can be replaced, or is more than is wanted.
+// hasLeavingBackup reports whether a leaving backup can be replaced, or exceeds the target.
 func (c *Core) hasLeavingBackup(view *View) bool {
 	leaves := slices.ContainsFunc(view.Backups, func(m Member) bool { return c.isLeaving(m) })
 	if !leaves {
--- a/coord/replication/core/messages.go
+++ b/coord/replication/core/messages.go
@@ -1,6 +1,6 @@
 package core
 
-// Envelope says whom a message is from and for.
+// Envelope holds the sender and the addressee of a message.
 type Envelope struct {
 	From      Member
 	To        MemberID // 0: whoever lives at the address
@@ -16,16 +16,16 @@
 	isMessage()
 }
 
-// Status is what a member says of itself.
+// Status is what a member reports of itself.
 type Status struct {
 	Writable      bool     // its disk takes writes
 	Relay         bool     // it has no disk
-	Leaving       bool     // it wants to be no copy and no witness any more
+	Leaving       bool     // it gives up its roles
 	BootstrapDisk bool     // its disk was made for the first start
 	Position      Position // of the state on its disk
 }
 
-// Hello asks whoever lives at an address who it is and what it knows.
+// Hello asks the member at an address for its identity and what it knows. It is the only message without an addressee.
 type Hello struct {
 	Envelope
 	Status Status
@@ -37,10 +37,10 @@
 	Envelope
 	Status  Status
 	View    *View
-	Members []Member // all that the member knows
+	Members []Member // that the replying member heard itself, and it
 }
 
-// Heartbeat is the primary's sign of life, to all members.
+// Heartbeat goes from the primary to all members it knows, every HeartbeatInterval.
 type Heartbeat struct {
 	Envelope
 	View    *View
@@ -56,27 +56,27 @@
 	View   *View // if a newer one is known
 }
 
-// Prepare asks a witness to promise to accept nothing under a lower ballot for the epoch after Base.
+// Prepare asks a witness to promise to accept nothing under a lower ballot for the epoch after Base (phase 1a of Paxos).
 type Prepare struct {
 	Envelope
 	Base   View
 	Ballot Ballot
 }
 
-// PrepareReply answers a Prepare. The promise is synced before it is sent.
+// PrepareReply answers a Prepare (phase 1b). The promise is synced before it is sent.
 type PrepareReply struct {
 	Envelope
 	Epoch          Epoch // Base's and one more
 	Ballot         Ballot
 	Rejection      Rejection
-	Promised       Ballot // if refused for a higher promise
+	Promised       Ballot // if rejected for a higher promise
 	AcceptedBallot Ballot
 	Accepted       *View // what the witness accepted for that epoch before
 	View           *View // if a newer one is known
 	Status         Status
 }
 
-// Accept asks a witness to accept a view for the epoch after Base.
+// Accept asks a witness to accept a view for the epoch after Base (phase 2a).
 type Accept struct {
 	Envelope
 	Base     View
@@ -84,7 +84,7 @@
 	Proposal View
 }
 
-// AcceptReply answers an Accept. What was accepted is synced before it is sent.
+// AcceptReply answers an Accept (phase 2b). What was accepted is synced before it is sent.
 type AcceptReply struct {
 	Envelope
 	Epoch     Epoch
@@ -94,7 +94,7 @@
 	View      *View
 }
 
-// Install tells a new witness of a view that was chosen.
+// Install gives a new witness a view that was chosen.
 type Install struct {
 	Envelope
 	View View
@@ -109,26 +109,26 @@
 	View      *View
 }
 
-// SnapshotPart is a bounded part of the state, given to a member that is to be a copy of the view proposed under Tag. The parts together are the stream of EncodeState.
+// SnapshotChunk is a bounded chunk of the state, given to a member that is to be a replica of the view proposed under Tag. The chunks together are the stream that encodeState writes, or encodeEntries if Since is not zero.
 type SnapshotChunk struct {
 	Envelope
 	Tag          StateTag
 	Base         *View    // the view before the proposed one; nil before the first
-	Since        Position // the stream holds the entries after this position only; zero: the whole state
-	Position     Position // of the state once it is whole
-	Size         int64    // of the stream
-	StreamDigest Digest   // of the stream: parts of equal streams belong together, also under another tag
-	Offset       int64    // of Data in it
+	Since        Position // the stream holds the entries after this position only; zero: the complete state
+	Position     Position // that the complete stream leads to
+	Size         int64    // of the stream, in bytes
+	StreamDigest Digest   // of the stream: chunks of equal streams belong together, also under another tag
+	Offset       int64    // of Data in the stream, in bytes
 	Data         []byte
 }
 
-// SnapshotPartReply answers a SnapshotPart.
+// SnapshotChunkReply answers a SnapshotChunk.
 type SnapshotChunkReply struct {
 	Envelope
 	Tag          StateTag
 	StreamDigest Digest
 	Received     int64 // bytes of the stream held from its start on: go on from here
-	Complete     bool  // the state is whole and synced
+	Complete     bool  // the state is complete and synced
 	Rejection    Rejection
 	DiskPosition Position // of the state on this member's disk
 	View         *View    // if a newer one is known
@@ -183,7 +183,7 @@
 	Rejection Rejection
 }
 
-// LeaveRequest asks the primary for a view in which the sender is neither copy nor witness.
+// LeaveRequest asks the primary for a view in which the sender is neither replica nor witness.
 type LeaveRequest struct {
 	Envelope
 	Status Status
--- a/coord/replication/core/network_test.go
+++ b/coord/replication/core/network_test.go
@@ -25,7 +25,7 @@
 	run      func()
 }
 
-// world is a simulated network of cores with one clock.
+// network is a simulated network of cores with one clock.
 type network struct {
 	t        testing.TB
 	now      time.Duration
@@ -39,13 +39,13 @@
 	nextID   MemberID
 	token    Token
 	delay    time.Duration
-	rate     int                              // bytes a second of a link for parts of a state; 0: no bound
+	rate     int                              // bytes a second of a link for chunks of a state; 0: no bound
 	freeAt   map[[2]string]time.Duration      // when a link has sent what it was given
 	cut      map[[2]string]bool               // one way
 	drop     func(from *node, m Message) bool // whether a message is lost
 	logging  bool
 	views    map[Epoch]StateTag // chosen, as members learned them
-	writers  map[Epoch]string   // who was primary, in which life
+	writers  map[Epoch]string   // who was primary, in which incarnation
 }
 
 func newNetwork(t testing.TB, losses int, zones ...string) *network {
@@ -104,7 +104,7 @@
 	}
 }
 
-// oneWriter requires that one member, in one life, writes in a view.
+// requireOnePrimary requires that one member, in one incarnation, writes in a view.
 func (net *network) requireOnePrimary(node *node, epoch Epoch) {
 	writer := fmt.Sprint(node.disk.id, " in life ", node.incarnation)
 	if net.writers[epoch] == "" {
@@ -113,7 +113,7 @@
 	require.Equal(net.t, net.writers[epoch], writer, "primary of epoch %d", epoch)
 }
 
-// oneView requires that views are a chain.
+// requireOneView requires that views are a chain.
 func (net *network) requireOneView(view View) {
 	if _, found := net.views[view.Epoch]; !found {
 		net.views[view.Epoch] = view.Tag()
@@ -163,7 +163,7 @@
 
 func (net *network) heal() { clear(net.cut) }
 
-// order begins an order of a member; the answer comes as time goes on.
+// propose begins a command of a member; the answer comes as time goes on.
 func (node *node) propose(decide func() ([]byte, error)) Token {
 	node.network.token++
 	token := node.network.token
@@ -204,7 +204,7 @@
 	return found
 }
 
-// commit gives an order to the primary, which must take it.
+// commit gives a command to the primary, which must take it.
 func (net *network) commit(s string) *node {
 	net.t.Helper()
 	primary := net.primary()
--- a/coord/replication/core/peers.go
+++ b/coord/replication/core/peers.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// peer is another member as it was last heard.
+// peer is what is known of another member.
 type peer struct {
 	member           Member
-	lastSeen         time.Duration // when it was heard, or heard of
-	contacted        bool          // itself, not only of
-	lastReplyAt      time.Duration // when it last answered: it hears this member too
+	lastSeen         time.Duration // when a message of it, or about it, came last
+	contacted        bool          // a message came from itself, not only about it
+	lastReplyAt      time.Duration // when it replied last: it receives this member too
 	status           Status
-	missedWrite      bool          // it did not answer a write since it last told its status
-	noTransferBefore time.Duration // it took no transfer, and is not offered one for its own sake before
+	missedWrite      bool          // it did not acknowledge a write since its last status
+	noTransferBefore time.Duration // it rejected a transfer, and is not offered one for its own sake before
 }
 
 func (c *Core) peer(id MemberID) *peer {
@@ -38,7 +38,7 @@
 	return &c.peers[i]
 }
 
-// touch notes that a member was heard. Another disk at the same address means that the old one is gone.
+// recordContact records a message from a member. Another disk at the same address means that the old one is gone. It gives nil for this member itself.
 func (c *Core) recordContact(member Member) *peer {
 	if member.ID == 0 || member.ID == c.self.ID || member.Address == "" {
 		return nil
@@ -57,19 +57,19 @@
 	return p
 }
 
-// hasAnswered notes that a member answered. Only such members count as present: one that is heard but hears nobody, as behind a link that is cut one way, is of no use.
+// recordReply records that a member replied. Only such members count as responsive: one that sends but receives nothing, as behind a link that is cut one way, can't take a role.
 func (c *Core) recordReply(member Member) {
 	if p := c.peer(member.ID); p != nil {
 		p.lastReplyAt = c.now
 	}
 }
 
-// heardSince tells whether any other member was heard since a time.
+// hadContactSince reports whether a message of any other member came after a time.
 func (c *Core) hadContactSince(since time.Duration) bool {
 	return slices.ContainsFunc(c.peers, func(p peer) bool { return p.contacted && p.lastSeen > since })
 }
 
-// saw notes what a member said of itself.
+// recordStatus records what a member reports of itself.
 func (c *Core) recordStatus(member Member, status Status) {
 	p := c.recordContact(member)
 	if p == nil {
@@ -79,7 +79,7 @@
 	p.missedWrite = false
 }
 
-// hearOf takes members that others know. It never displaces what was heard at an address: a disk may have been replaced since.
+// addKnownMembers takes members that others know. It never replaces the member known at an address: a disk may have been replaced since.
 func (c *Core) addKnownMembers(members []Member) {
 	for _, member := range members {
 		if member.ID == 0 || member.Address == "" || member.Address == c.self.Address {
@@ -93,14 +93,14 @@
 	}
 }
 
-// forgetPeers drops members that were not seen for long, unless the view names them.
+// forgetPeers drops members without contact for ForgetAfter, unless the view names them.
 func (c *Core) forgetPeers() {
 	c.peers = slices.DeleteFunc(c.peers, func(p peer) bool {
 		return c.now-p.lastSeen > c.timing.ForgetAfter && rolesOf(c.register.View, p.member.ID) == 0
 	})
 }
 
-// Members are all members known, this one too, sorted by address.
+// Members are all members known, this one included, sorted by address.
 func (c *Core) Members() []Member {
 	members := []Member{c.self}
 	for _, p := range c.peers {
@@ -110,7 +110,7 @@
 	return members
 }
 
-// heardMembers are those that this member heard itself, and it. What was only heard of is not passed on, or a member that is gone would be passed round for ever.
+// contactedMembers are this member and those that it received a message from. Members known only from others are not passed on, or one that is gone would be passed round for ever.
 func (c *Core) contactedMembers() []Member {
 	members := []Member{c.self}
 	for _, p := range c.peers {
--- a/coord/replication/core/proposal.go
+++ b/coord/replication/core/proposal.go
@@ -9,7 +9,7 @@
 	change := c.change
 	c.lastRound = max(c.lastRound, ballotRound(c.register.Promised)) + 1
 	change.ballot = ballotOf(c.lastRound, c.self.ID)
-	// Invariant: no two lives of a member use one ballot. The ballot is promised on the own disk before anything is offered under it, also if this member is no witness.
+	// Invariant: no two incarnations of a member use one ballot. The ballot is promised on the own disk before state is offered or a view proposed under it, also if this member is no witness.
 	c.register.Promised = change.ballot
 	c.registerDirty = true
 	c.enterPhase(preparing)
@@ -24,14 +24,14 @@
 	c.considerPrepared()
 }
 
-// considerPrepared goes on once a quorum has promised and the own promise is synced.
+// considerPrepared continues once a quorum has promised and the own promise is synced.
 func (c *Core) considerPrepared() {
 	change := c.change
 	if change.phase != preparing || !change.ballotSynced || !c.hasQuorum() {
 		return
 	}
 	if change.earlierProposal != nil {
-		c.enterPhase(finishing) // somebody was here before: its choice is finished first
+		c.enterPhase(finishing) // it may be chosen already, so it is proposed again
 		return
 	}
 	change.phase = transferring
@@ -39,7 +39,7 @@
 	c.continueTransfers()
 }
 
-// propose asks the witnesses to accept the view with the copies that have the state.
+// propose asks the witnesses to accept the view with the replicas that have the state.
 func (c *Core) propose() {
 	change := c.change
 	if 1+len(change.ready) < c.minReplicas(&change.base) {
@@ -62,19 +62,19 @@
 	c.enterPhase(accepting)
 }
 
-// finished ends the change that only completed an earlier proposal.
+// earlierProposalFinished ends a view change that completed an earlier proposal.
 //
-// Invariant: one primary writes in a view, and only the member that proposed it, in that life. Nobody becomes primary here, also if the earlier proposal names this member.
+// Invariant: one primary writes in a view, and only the member that proposed it, in that incarnation. So this member does not become primary here, even if the earlier proposal names it.
 func (c *Core) earlierProposalFinished() {
 	found := c.change.earlierProposal
 	c.failViewChange("completed an earlier proposal")
 	c.learn(found)
 	if p := c.peer(found.Primary.ID); p == nil || c.now-p.lastSeen > c.timing.PrimaryTimeout {
-		c.retryAfter = c.now // it was lost on the way
+		c.retryAfter = c.now // the primary of that view failed meanwhile: propose the next one without backoff
 	}
 }
 
-// chosen takes the view that a majority of the old witnesses accepted.
+// proposalChosen takes the view that a majority of the old witnesses accepted.
 func (c *Core) proposalChosen() {
 	change := c.change
 	proposal := change.proposal
@@ -90,7 +90,7 @@
 	return slices.EqualFunc(a, b, func(x, y Member) bool { return x.ID == y.ID })
 }
 
-// becomePrimary begins the writing in the own view.
+// becomePrimary starts serving as the primary of the own view.
 func (c *Core) becomePrimary() {
 	view := c.change.proposal
 	c.change = nil
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// incomingState is a stream that is being received. What came of it stays when a new proposal offers the same stream.
+// incomingState is a stream that is being received. What has arrived is kept when a new proposal offers the same stream.
 type incomingState struct {
 	from   Member
 	tag    StateTag
@@ -18,7 +18,7 @@
 	data   []byte
 }
 
-// givenState is state that is being saved for a proposal.
+// receivedState is a received state that is being saved for a proposal.
 type receivedState struct {
 	from     Member
 	tag      StateTag
@@ -34,12 +34,13 @@
 	}
 }
 
-// onSnapshotPart takes a part of the state for a view that is being proposed.
-func (c *Core) onSnapshotPart(m SnapshotChunk) {
+// onSnapshotChunk takes a chunk of the state for a view that is being proposed.
+func (c *Core) onSnapshotChunk(m SnapshotChunk) {
 	c.learn(m.Base)
 	reply := SnapshotChunkReply{Envelope: c.replyTo(m), Tag: m.Tag, StreamDigest: m.StreamDigest, DiskPosition: c.state.position}
-	reply.Rejection, reply.Complete = c.checkTransfer(m)
-	if reply.Rejection != Granted || reply.Complete {
+	check := c.checkTransfer(m)
+	reply.Rejection, reply.Complete = check.rejection, check.complete
+	if check.rejection != Granted || check.complete {
 		reply.View = c.viewNewerThan(m.Tag.Epoch - 1)
 		c.send(reply)
 		return
@@ -52,35 +53,41 @@
 	}
 }
 
-// checkGiven tells whether state given under a tag may take the place of what is held.
+// transferCheck is whether a chunk may be taken, or the state that it belongs to is complete here already.
+type transferCheck struct {
+	rejection Rejection
+	complete  bool
+}
+
+// checkTransfer checks whether state transferred under a tag may replace what is on disk.
 //
-// Invariant: state goes over older state only. State under the same tag is never given twice: what was appended since the first time may be acknowledged.
-func (c *Core) checkTransfer(m SnapshotChunk) (reason Rejection, complete bool) {
+// Invariant: only older state is overwritten. State under the same tag is never saved twice: what was appended since the first time may be committed.
+func (c *Core) checkTransfer(m SnapshotChunk) transferCheck {
 	sameTag := m.Tag == c.state.tag
 	switch {
 	case m.Tag.Epoch == 0 || m.Tag.Epoch <= c.knownEpoch():
-		return NewerView, false
+		return transferCheck{rejection: NewerView}
 	case m.Tag.Epoch > c.knownEpoch()+1:
-		return UnknownView, false
+		return transferCheck{rejection: UnknownView}
 	case sameTag && c.state.joined == m.Tag:
-		return Granted, true
+		return transferCheck{rejection: Granted, complete: true}
 	case sameTag:
-		return DuplicateEntry, false
+		return transferCheck{rejection: DuplicateEntry}
 	case !m.Tag.Covers(c.state.tag):
-		return HigherPromise, false
+		return transferCheck{rejection: HigherPromise}
 	case c.disk.stalled:
-		return Unavailable, false
+		return transferCheck{rejection: Unavailable}
 	case m.Tag.Epoch == c.knownEpoch()+1 && c.register.Promised > m.Tag.Ballot:
-		return HigherPromise, false
+		return transferCheck{rejection: HigherPromise}
 	case c.disk.changesState():
-		return Busy, false
+		return transferCheck{rejection: Busy}
 	case m.Since != Position{} && m.Since != c.state.position:
-		return MissingEntries, false
+		return transferCheck{rejection: MissingEntries}
 	}
-	return Granted, false
+	return transferCheck{rejection: Granted}
 }
 
-// sealFor keeps this member from writing and from taking appends of the old view.
+// seal keeps this member from serving as primary and from taking appends of the old view.
 func (c *Core) seal(m SnapshotChunk) {
 	c.state.joined = StateTag{}
 	c.lastPrimaryContact = c.now
@@ -90,7 +97,7 @@
 	c.stopBeingPrimary(AnotherProposes)
 }
 
-// receivePart adds a part to the stream and tells how much of it is here.
+// receiveChunk adds a chunk to the stream and gives the bytes that have arrived.
 func (c *Core) receiveChunk(m SnapshotChunk) int64 {
 	in := c.incoming
 	if in == nil || in.stream != m.StreamDigest || in.size != m.Size || in.since != m.Since || in.target != m.Position {
@@ -105,7 +112,7 @@
 	return int64(len(in.data))
 }
 
-// stateReceived saves a state that is whole.
+// stateReceived saves a complete state.
 func (c *Core) stateReceived() {
 	in := c.incoming
 	c.incoming = nil
@@ -118,7 +125,7 @@
 	c.saveSnapshot(diskJob{kind: transferJob, received: received}, received.snapshot, received.entries)
 }
 
-// decodeGiven reads a stream and checks that it leads from the position it starts at to the one promised.
+// decodeReceived reads a stream and checks that it leads from the position it starts at to the one promised.
 func (c *Core) decodeReceived(in *incomingState) (receivedState, error) {
 	received := receivedState{from: in.from, tag: in.tag, stream: in.stream, position: in.target}
 	if Digest(xxhash.Sum64(in.data)) != in.stream {
@@ -143,7 +150,7 @@
 	return received, nil
 }
 
-// transferDone takes over the state that was saved, and joins the view that is proposed.
+// transferDone restores the state that was saved, and joins the view that is proposed.
 func (c *Core) transferDone(job diskJob, err error) {
 	received := job.received
 	if err != nil {
@@ -172,7 +179,7 @@
 	c.sendTransferReply(received, NewerView)
 }
 
-// mayJoin tells whether a proposal is not overtaken.
+// mayJoin reports whether a proposal is not superseded.
 func (c *Core) mayJoin(tag StateTag) bool {
 	if c.knownEpoch() == tag.Epoch {
 		return c.register.View.Tag() == tag
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -25,7 +25,7 @@
 	return c.register.View.Epoch
 }
 
-// newerThan gives the known view if it is newer than an epoch, to go with a reply.
+// viewNewerThan gives the known view if it is newer than an epoch, to go with a reply.
 func (c *Core) viewNewerThan(epoch Epoch) *View {
 	if c.knownEpoch() > epoch {
 		return c.register.View.Clone()
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// learn takes a chosen view; it tells whether it was new.
+// learn takes a chosen view; it reports whether it was new.
 //
 // Invariant: views are a chain. A view given here was chosen at a majority of the witnesses of the one before it.
 func (c *Core) learn(view *View) bool {
@@ -62,7 +62,7 @@
 	c.log(slog.LevelInfo, "view changed", slog.Uint64("epoch", uint64(view.Epoch)), slog.String("primary", view.Primary.Address))
 }
 
-// answerOnceSynced sends a reply when the register is on disk as it is now.
+// replyOnceSynced sends a reply once the register is on disk as it is now.
 func (c *Core) replyOnceSynced(reply Message) {
 	c.registerDirty = true
 	c.repliesAwaitingRegister = append(c.repliesAwaitingRegister, reply)
@@ -133,7 +133,7 @@
 	c.replyOnceSynced(reply)
 }
 
-// checkBallot tells whether this witness may promise or accept a ballot for the epoch after base.
+// checkBallot checks whether this witness may promise or accept a ballot for the epoch after base.
 func (c *Core) checkBallot(base *View, ballot Ballot) Rejection {
 	if base.Epoch > 0 {
 		c.learn(base)
@@ -176,7 +176,7 @@
 	c.replyOnceSynced(reply)
 }
 
-// onConfirm tells whether a view is the newest that this witness accepted. It needs no sync: what is not synced counts as accepted already.
+// onConfirm replies whether a view is the newest that this witness accepted. It needs no sync: what is not synced counts as accepted already.
 func (c *Core) onConfirm(m Confirm) {
 	reply := ConfirmReply{Envelope: c.replyTo(m), Epoch: m.Epoch, Ballot: m.Ballot, Round: m.Round}
 	reply.View = c.viewNewerThan(m.Epoch)
--- a/coord/replication/core/reject.go
+++ b/coord/replication/core/reject.go
@@ -1,6 +1,6 @@
 package core
 
-// refuse answers a request that this member can't take; a reply that went astray is dropped.
+// reject replies to a request that this member can't take; a reply to another member is dropped.
 func (c *Core) reject(request Message, reason Rejection) {
 	back := c.replyTo(request)
 	switch m := request.(type) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// refusedReply is a register's reply with a refusal in place of its grant.
+// rejectedReply is a register's reply with a rejection in place of its grant.
 func rejectedReply(reply Message, reason Rejection) Message {
 	switch m := reply.(type) {
 	case PrepareReply:
@@ -43,7 +43,7 @@
 	return reply
 }
 
-// needsDisk tells whether only a member with a disk can take a message.
+// needsDisk reports whether only a member with a disk can take a message.
 func needsDisk(message Message) bool {
 	switch message.(type) {
 	case Prepare, Accept, Install, SnapshotChunk, Append, Confirm, Yield:
--- a/coord/replication/core/simulation/changes_test.go
+++ b/coord/replication/core/simulation/changes_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// strikeZone takes the power from a zone, or cuts it off.
+// injectZone takes the power from a zone, or cuts it off.
 func (c *cluster) injectZone(zone string, f fault) {
 	for _, h := range c.currentHosts() {
 		switch {
--- a/coord/replication/core/simulation/clients_test.go
+++ b/coord/replication/core/simulation/clients_test.go
@@ -9,7 +9,7 @@
 
 type (
 	callID    uint64 // one call of a client
-	commandID uint64 // an order; its repeats are other calls
+	commandID uint64 // a command; its repeats are other calls
 )
 
 type operation uint8
@@ -37,7 +37,7 @@
 	request  request
 	sent     time.Duration
 	ended    time.Duration // when the client had its answer
-	definite bool          // the client had a clear answer
+	definite bool          // the client had a definite result
 	outcome  core.Outcome
 	seen     [keyCount]observed // what the answer says; a read sees all keys
 
@@ -46,20 +46,20 @@
 	deadline time.Duration
 	floor    uint64    // the longest history spoken of when the call arrived
 	decided  *position // that Decide saw
-	wrote    *position // that the order's entry leads to
+	wrote    *position // that the command's entry leads to
 	ran      bool
 	answered bool // by the core
 	replied  func()
 }
 
 const (
-	clientTimeout  = time.Second // a client asks elsewhere after this silence
+	clientTimeout  = time.Second // a client asks elsewhere after this long without a result
 	commandTimeout = 800 * time.Millisecond
 	requestTries   = 12
 	callDelay      = 3 * time.Millisecond
 )
 
-// client makes calls one after the other, each request until it has a clear answer or is given up.
+// client makes calls one after the other, each request until it has a definite result or is given up.
 type client struct {
 	cluster *cluster
 	number  int
@@ -131,7 +131,7 @@
 	return command
 }
 
-// payloadMost bounds an order's size; it grows over a run, so the state does too.
+// maxPayloadBytes bounds a command's size; it grows over a run, so the state does too.
 func (c *cluster) maxPayloadBytes() int {
 	return 20 + int(c.now/(100*time.Millisecond))
 }
@@ -168,7 +168,7 @@
 	return members[c.random.IntN(len(members))]
 }
 
-// believers are the machines that hold themselves for primary.
+// selfDeclaredPrimaries are the machines that hold themselves for primary.
 func (c *cluster) selfDeclaredPrimaries() []*host {
 	return slices.DeleteFunc(c.currentHosts(), func(h *host) bool { return h.process == nil || !h.process.primary })
 }
@@ -184,7 +184,7 @@
 	return hosts
 }
 
-// next goes on after an answer or a silence.
+// next goes on after a result, or without one.
 func (k *client) next(made *call, left int) {
 	c := k.cluster
 	if made.definite {
@@ -203,7 +203,7 @@
 	c.after(c.between(wait/2, wait), func() { k.try(made.request, left-1) })
 }
 
-// learn keeps what a clear answer told.
+// learn keeps what a definite result told.
 func (k *client) learn(made *call) {
 	if made.request.operation == readOperation {
 		k.known = made.seen
@@ -217,7 +217,7 @@
 	c := k.client.cluster
 	p := target.process
 	if p == nil || target.cutClients > 0 {
-		if p == nil && c.chance(0.7) { // a dead port refuses
+		if p == nil && c.chance(0.7) { // a dead port refuses the connection
 			k.replied()
 		}
 		return
@@ -241,7 +241,7 @@
 	p.step(core.Command{Token: token, Deadline: k.deadline, Decide: func() ([]byte, error) { return k.decide(p) }})
 }
 
-// decide is the order's look at the state.
+// decide is the command's look at the state.
 func (k *call) decide(p *process) ([]byte, error) {
 	p.cluster.monitor.decides(p, k)
 	k.ran = true
--- a/coord/replication/core/simulation/cluster_test.go
+++ b/coord/replication/core/simulation/cluster_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// lostHost tells whether a machine counts as lost: while it is in trouble, and some time after.
+// lostHost tells whether a machine counts as lost: while it is faulty, and some time after.
 func (c *cluster) lostHost(h *host) bool {
 	return h == nil || h.process == nil || h.activeFaults > 0 || c.now < h.lostUntil
 }
--- a/coord/replication/core/simulation/disk_test.go
+++ b/coord/replication/core/simulation/disk_test.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// leave keeps a job that failed: its writes may be found after a restart.
+// leaveBehind keeps a job that failed: its writes may be found after a restart.
 func (d *disk) leaveBehind(job core.Effect) {
 	if _, ok := job.(core.SaveRegister); !ok {
 		d.closed = true
@@ -178,7 +178,7 @@
 	}
 }
 
-// applyDoubtful lets a job have taken effect after all, as far as the files before it allow.
+// applyUncertain lets a job have taken effect after all, as far as the files before it allow.
 func (d *disk) applyUncertain(job core.Effect) {
 	if entry, ok := job.(core.AppendEntry); ok {
 		if d.snapshot == nil || !entry.Entry.Follows(d.position()) {
--- a/coord/replication/core/simulation/faults_test.go
+++ b/coord/replication/core/simulation/faults_test.go
@@ -13,7 +13,7 @@
 	maxServedDelay     = 60 * time.Millisecond // a member that is slower than this need not serve
 	injectionDelay     = 15 * time.Millisecond // from a step of the protocol to the fault
 	startWait          = 300 * time.Millisecond
-	calmBeforeDiskLoss = 8 * time.Second // beyond the tolerance: after so long without trouble disks may be lost again
+	calmBeforeDiskLoss = 8 * time.Second // beyond the tolerance: after so long without a fault disks may be lost again
 )
 
 // schedulePlan lets the faults of a plan come.
@@ -45,7 +45,7 @@
 	}
 }
 
-// strike lets a fault come as soon as it may.
+// inject lets a fault come as soon as it may.
 func (c *cluster) inject(f fault, tries int) {
 	if c.now > c.settings.Horizon {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-// hurt marks a machine as in trouble; the function ends it.
+// markFaulty marks a machine as faulty; the function ends it.
 func (c *cluster) markFaulty(h *host) (heal func()) {
 	h.activeFaults++
 	return func() {
@@ -230,12 +230,12 @@
 	})
 }
 
-// trouble is a fault that begins, lasts and ends on one machine.
+// runHostFault is a fault that begins, lasts and ends on one machine.
 func (c *cluster) runHostFault(f fault, h *host) {
 	heal := c.markFaulty(h)
 	end := c.startHostFault(f, h)
 	unchecked := 0
-	if f.Kind == lossyFault || f.Kind == slowFault && slowBy(f) > maxServedDelay { // the pages know no such trouble: service is not demanded meanwhile
+	if f.Kind == lossyFault || f.Kind == slowFault && slowBy(f) > maxServedDelay { // the pages know no such fault: service is not demanded meanwhile
 		unchecked = 1
 	}
 	c.liveness.unchecked += unchecked
@@ -252,7 +252,7 @@
 	return time.Duration(f.Amount/3%limit) * time.Millisecond
 }
 
-// disturb begins a trouble and gives what ends it.
+// startHostFault begins a fault and gives what ends it.
 func (c *cluster) startHostFault(f fault, h *host) (end func()) {
 	d := h.disk
 	switch f.Kind {
@@ -335,7 +335,7 @@
 	c.liveness.recordFault()
 }
 
-// newcomer puts up an empty machine.
+// addEmptyHost puts up an empty machine.
 func (c *cluster) addEmptyHost(zone, address string) *host {
 	h := c.addHost(zone, address)
 	h.disk = c.newDisk()
--- a/coord/replication/core/simulation/linearizability_model_test.go
+++ b/coord/replication/core/simulation/linearizability_model_test.go
@@ -47,7 +47,7 @@
 
 var readAll = request{operation: readOperation}
 
-// TestKeyModel_Registers shows which histories of orders the check accepts, and which not.
+// TestKeyModel_Registers shows which histories of commands the check accepts, and which not.
 func TestKeyModel_Registers(t *testing.T) {
 	taken := historyCall{1, writeOn(0, 1), core.Committed, observed{version: 1, last: 1}, 1, 2}
 	afterIt := observed{version: 1, last: 1}
--- a/coord/replication/core/simulation/linearizability_test.go
+++ b/coord/replication/core/simulation/linearizability_test.go
@@ -18,7 +18,7 @@
 	indeterminate bool // it took effect, and the client was not told
 }
 
-// modelState is a key. taken is the orders that were taken, the newest first.
+// modelState is a key. taken is the commands that were taken, the newest first.
 type modelState struct {
 	observed
 	taken *takenCommand
@@ -102,7 +102,7 @@
 	}
 }
 
-// keyHistory are the calls that touch a key. A call whose client has no clear answer has no end; if it never took effect, which nobody can have seen then, it is left out.
+// keyHistory are the calls that touch a key. A call whose client has no definite result has no end; if it never took effect, which nobody can have seen then, it is left out.
 func (c *cluster) keyHistory(key int, inHistory map[callID]bool) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for _, made := range c.calls {
--- a/coord/replication/core/simulation/liveness_test.go
+++ b/coord/replication/core/simulation/liveness_test.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	serveWithin   = 2 * time.Second        // after the last trouble orders are acknowledged again
+	serveWithin   = 2 * time.Second        // after the last fault commands are acknowledged again
 	serveMargin   = 100 * time.Millisecond // on top of it
 	longestGap    = 1500 * time.Millisecond
 	livenessCheck = 100 * time.Millisecond
 )
 
-// liveness watches whether orders are acknowledged in calm times.
+// liveness watches whether commands are acknowledged in calm times.
 type liveness struct {
 	cluster      *cluster
 	lastFaultAt  time.Duration // when a fault began or ended
-	lastDefinite time.Duration // when a client had its last clear answer to an order
-	recovered    bool          // since the last trouble
+	lastDefinite time.Duration // when a client had its last definite result to a command
+	recovered    bool          // since the last fault
 	recoveries   []time.Duration
-	longest      time.Duration // gap between clear answers in calm times
+	longest      time.Duration // gap between definite results in calm times
 	wasComplete  bool
 	unchecked    int // running faults during which service is not demanded
 	repairsSeen  int
 	committed    int
-	lastServed   time.Duration // when the core last gave a clear answer to an order
+	lastServed   time.Duration // when the core last gave a definite result to a command
 }
 
 func newLiveness(c *cluster) *liveness { return &liveness{cluster: c} }
 
-// noteTrouble says that a fault began or ended.
+// recordFault says that a fault began or ended.
 func (l *liveness) recordFault() {
 	l.lastFaultAt = l.cluster.now
 	l.recovered = false
 	l.wasComplete = false
 }
 
-// noteServed notes a clear answer to an order, whether it reaches the client or not.
+// recordServed notes a definite result to a command, whether it reaches the client or not.
 func (l *liveness) recordServed(outcome core.Outcome) {
 	if outcome == core.Committed {
 		l.committed++
@@ -47,7 +47,7 @@
 	}
 }
 
-// noteClear notes that a client had a clear answer.
+// recordDefinite notes that a client had a definite result.
 func (l *liveness) recordDefinite(k *call) {
 	if k.outcome != core.Committed {
 		return
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// checkServes checks the end of a run, after a long calm, whatever came before: orders are acknowledged.
+// checkServes checks the end of a run, after a long calm, whatever came before: commands are acknowledged.
 func (l *liveness) checkServes() {
 	c := l.cluster
 	if c.now-l.lastServed > longestGap {
@@ -141,7 +141,7 @@
 	}
 }
 
-// checkCaughtUp checks the end of a run, after a long calm: all know the newest view, and its copies hold what the primary holds.
+// checkCaughtUp checks the end of a run, after a long calm: all know the newest view, and its replicas hold what the primary holds.
 func (l *liveness) checkCaughtUp() {
 	c := l.cluster
 	p := c.monitor.writers[c.monitor.newest]
--- a/coord/replication/core/simulation/machine_test.go
+++ b/coord/replication/core/simulation/machine_test.go
@@ -65,11 +65,11 @@
 	registerCount      = 2
 	flagCount          = 2
 	keyCount           = registerCount + flagCount
-	rememberedCommands = 96 // orders that an exact repeat is recognised among, a register
+	rememberedCommands = 96 // commands that an exact repeat is recognised among, a register
 	rememberedPayloads = 24 // so that the snapshot grows, but not for ever
 )
 
-// keyState is one register or flag. A flag keeps no orders.
+// keyState is one register or flag. A flag keeps no commands.
 type keyState struct {
 	version uint64
 	last    callID // that changed it
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// refusal is the clear "no" to an order that builds on another version.
+// versionConflict is the clear "no" to a command that builds on another version.
 type versionConflict struct{ now observed }
 
 func (r versionConflict) Error() string { return fmt.Sprintf("version %d is current", r.now.version) }
--- a/coord/replication/core/simulation/monitor_test.go
+++ b/coord/replication/core/simulation/monitor_test.go
@@ -12,7 +12,7 @@
 	cluster   *cluster
 	blind     bool // only the clients' history counts
 	violation string
-	reported  []*position // the history that clear answers spoke of, by index
+	reported  []*position // the history that definite results spoke of, by index
 	writers   map[core.Epoch]*process
 	views     map[core.Epoch]core.View
 	votes     map[voteKey]vote
@@ -20,7 +20,7 @@
 	offers    map[core.StateTag]*process
 	chosen    map[core.Epoch]core.View
 	newest    core.Epoch // of a primary
-	grown     bool       // a view had as many copies and witnesses as the losses need
+	grown     bool       // a view had as many replicas and witnesses as the losses need
 }
 
 // voteKey is a witness and the epoch it votes for.
@@ -56,10 +56,10 @@
 	}
 }
 
-// spokenIndex is the length of the history that clear answers spoke of.
+// reportedIndex is the length of the history that definite results spoke of.
 func (m *monitor) reportedIndex() uint64 { return uint64(len(m.reported) - 1) }
 
-// speak checks that a clear answer speaks of the one history, and notes it.
+// speak checks that a definite result speaks of the one history, and notes it.
 func (m *monitor) speak(at *position, who *process, what string) {
 	if at.index <= m.reportedIndex() {
 		if m.reported[at.index] != at {
@@ -79,7 +79,7 @@
 	m.reported = append(m.reported, added...)
 }
 
-// decides checks that an order begins in time, and once.
+// decides checks that a command begins in time, and once.
 func (m *monitor) decides(p *process, k *call) {
 	switch {
 	case k.ran:
@@ -136,7 +136,7 @@
 	}
 }
 
-// decidedOnly checks a refusal or an empty acknowledgement.
+// decidedOnly checks a rejection or a "no change".
 func (m *monitor) decidedOnly(p *process, k *call, outcome core.Outcome) {
 	if k.decided == nil {
 		m.fail("%s answers call %d with %v, and never decided", p.host, k.id, outcome)
@@ -156,12 +156,12 @@
 	}
 }
 
-// orderOf is the order that wrote an entry, 0 if it was a flag's.
+// commandOf is the command that wrote an entry, 0 if it was a flag's.
 func (m *monitor) commandOf(at *position) commandID {
 	return m.cluster.calls[at.call-1].request.command
 }
 
-// freshEnough checks that a clear answer speaks of nothing older than was spoken of when the call arrived.
+// freshEnough checks that a definite result speaks of nothing older than was spoken of when the call arrived.
 func (m *monitor) freshEnough(p *process, k *call, at *position) {
 	if at.index < k.floor {
 		m.fail("%s answers call %d of entry %d, and entry %d was spoken of before the call", p.host, k.id, at.index, k.floor)
@@ -245,7 +245,7 @@
 	return slices.EqualFunc(a, b, func(x, y core.Member) bool { return x.ID == y.ID })
 }
 
-// witnessSaid checks what a witness says against all that it said before.
+// checkWitnessReply checks what a witness says against all that it said before.
 func (m *monitor) checkWitnessReply(p *process, message core.Message) {
 	id := p.host.disk.id
 	switch reply := message.(type) {
--- a/coord/replication/core/simulation/process_test.go
+++ b/coord/replication/core/simulation/process_test.go
@@ -26,7 +26,7 @@
 	next  func()     // after the step
 }
 
-// process is one life of a core on a machine.
+// process is one incarnation of a core on a machine.
 type process struct {
 	cluster     *cluster
 	host        *host
@@ -54,14 +54,14 @@
 	leaving    func()                   // what follows once it has left
 }
 
-// start begins a new life on a machine.
+// start begins a new incarnation on a machine.
 func (h *host) start() {
 	if h.process == nil && !h.gone {
 		h.startWith(h.cluster.seedsFor(h))
 	}
 }
 
-// startWith begins a life with a list of seeds. A disk of the first start keeps the list of its first life.
+// startWith begins an incarnation with a list of seeds. A disk of the first start keeps the list of its first incarnation.
 func (h *host) startWith(seeds []string) {
 	c := h.cluster
 	store := newKeyStore(c.history)
@@ -102,7 +102,7 @@
 	p.armTick()
 }
 
-// firstSeeds are the seeds of the first life of a disk of the first start.
+// firstSeeds are the seeds of the first incarnation of a disk of the first start.
 func (d *disk) firstSeeds() []string {
 	if !d.first {
 		return nil
@@ -129,7 +129,7 @@
 	return addresses[:min(3, len(addresses))]
 }
 
-// stop ends a life; with the power goes what the disk had not synced.
+// stop ends an incarnation; with the power goes what the disk had not synced.
 func (h *host) stop(powerLost bool) {
 	p := h.process
 	if p == nil {
@@ -284,7 +284,7 @@
 	}
 }
 
-// noteSent keeps what the monitors need of a message.
+// recordSent keeps what the monitors need of a message.
 func (p *process) recordSent(message core.Message) {
 	monitor := p.cluster.monitor
 	switch m := message.(type) {
@@ -324,7 +324,7 @@
 	}
 }
 
-// noteReceived notes which witnesses have confirmed the view, and in which round.
+// recordReceived notes which witnesses have confirmed the view, and in which round.
 func (p *process) recordReceived(message core.Message) {
 	m, ok := message.(core.ConfirmReply)
 	if !ok || m.Rejection != core.Granted || m.To != p.host.disk.id || !p.primary {
--- a/coord/replication/core/simulation/proposals_test.go
+++ b/coord/replication/core/simulation/proposals_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// offered checks that no two lives of a member offer state under one ballot.
+// offered checks that no two incarnations of a member offer state under one ballot.
 func (m *monitor) offered(p *process, tag core.StateTag) {
 	other, ok := m.offers[tag]
 	if ok && other != p {
@@ -53,7 +53,7 @@
 	}
 }
 
-// noteAccepted counts the witnesses that have accepted a proposal, and checks that one view is chosen for an epoch.
+// recordAccepted counts the witnesses that have accepted a proposal, and checks that one view is chosen for an epoch.
 func (m *monitor) recordAccepted(d *disk, register core.Register) {
 	if register.Accepted == nil {
 		return
--- a/coord/replication/core/simulation/schedule_test.go
+++ b/coord/replication/core/simulation/schedule_test.go
@@ -69,7 +69,7 @@
 // startFirst is a machine's first start: all get the same seeds.
 func (h *host) startFirst() { h.startWith(h.cluster.seeds) }
 
-// settleDown lets all troubles end, and checks what must hold then.
+// settleDown lets all faults end, and checks what must hold then.
 func (c *cluster) settleDown() {
 	for range 60 {
 		if c.monitor.violation != "" || len(c.lostSlots()) == 0 {
--- a/coord/replication/core/state.go
+++ b/coord/replication/core/state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// heldState is the replicated state as this member holds it.
+// replicatedState is the replicated state as this member holds it.
 //
 // Invariant: the state is a prefix of the history. Every entry taken follows the position before it, by index and by digest.
 type replicatedState struct {
@@ -13,7 +13,7 @@
 	position Position // of the last entry on disk
 	applied  Position // of the last entry that the state machine has
 	tail     []Entry  // on disk and not applied: from applied (excluded) to position
-	// joined is the view whose appends are taken; zero: none. It lives in memory only, so a restarted copy is sealed until it is given the state again.
+	// joined is the view whose appends are taken; zero: none, the member is sealed. It is in memory only, so a restarted replica is sealed until the state is transferred to it again.
 	joined        StateTag
 	logBroken     bool // the log takes no entries before a snapshot is saved
 	logBytes      int  // of entries since the last snapshot saved
@@ -21,7 +21,7 @@
 	cachedBytes   int
 }
 
-// loadState takes over what the disk held.
+// loadState restores what the disk held.
 func (c *Core) loadState(stored Stored) error {
 	if c.config.Relay {
 		return nil
@@ -50,14 +50,14 @@
 	return nil
 }
 
-// add notes an entry that is on disk now.
+// add records an entry that is on disk now.
 func (s *replicatedState) add(entry Entry, recentLimit int) {
 	s.position = entry.Position()
 	s.tail = append(s.tail, entry)
 	s.cacheEntry(entry, recentLimit)
 }
 
-// remember keeps an entry for members that are nearly up to date.
+// cacheEntry keeps an entry for members that miss only a few.
 func (s *replicatedState) cacheEntry(entry Entry, limit int) {
 	s.cachedEntries = append(s.cachedEntries, entry)
 	s.cachedBytes += len(entry.Data)
@@ -69,7 +69,7 @@
 	s.cachedEntries = slices.Clone(s.cachedEntries[first:])
 }
 
-// since gives the entries after a position, if they are remembered.
+// entriesSince gives the entries after a position, if they are cached.
 func (s *replicatedState) entriesSince(position Position) ([]Entry, bool) {
 	if position == s.position {
 		return nil, true
@@ -96,7 +96,7 @@
 	return Snapshot{Tag: c.state.tag, Position: c.state.applied, Data: c.config.StateMachine.Snapshot()}
 }
 
-// trim puts a snapshot in place of a log that has grown.
+// compactLog replaces the log by a snapshot once it has LogBytes of entries.
 func (c *Core) compactLog() {
 	if c.state.logBytes < c.limits.LogBytes || c.state.logBroken {
 		return
--- a/coord/replication/core/status.go
+++ b/coord/replication/core/status.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// View is the newest view known to be chosen, nil before the first.
+// View is a copy of the newest view known to be chosen, nil before the first.
 func (c *Core) View() *View { return c.register.View.Clone() }
 
-// Active tells whether this member is primary, and of which epoch.
+// PrimaryEpoch is the epoch in which this member is primary; false if it is not.
 func (c *Core) PrimaryEpoch() (Epoch, bool) { return c.primaryEpoch, c.isPrimary }
 
-// Primary is the member that was last heard to be primary, if it was heard lately.
+// Primary is the member that was last in contact as primary, this one included; false if that is longer ago than PrimaryTimeout. now is on the clock of Step.
 func (c *Core) Primary(now time.Duration) (Member, bool) {
 	if c.isPrimary {
 		return c.self, true
@@ -21,11 +21,11 @@
 	return Member{}, false
 }
 
-// State is what a member tells operators of itself.
+// State is what a member reports to operators of itself.
 type State struct {
 	Self                Member
 	Relay               bool
-	FailuresTolerated   int // by the view: copies left and a majority of witnesses
+	FailuresTolerated   int // under the view: a replica and a majority of the witnesses are left
 	MaxFailures         int
 	View                *View
 	IsPrimary           bool
@@ -33,11 +33,11 @@
 	DiskStalled         bool
 	Leaving             bool
 	Position            Position
-	SincePrimaryContact time.Duration // since the primary was heard
+	SincePrimaryContact time.Duration // since the last contact with the primary; of no meaning on the primary itself
 	Members             []Member
 }
 
-// State tells what this member knows.
+// State is the member's report at a time on the clock of Step.
 func (c *Core) State(now time.Duration) State {
 	return State{
 		Self:                c.self,
@@ -58,13 +58,13 @@
 // KnownEpoch is the epoch of the newest view known to be chosen, 0 before the first.
 func (c *Core) KnownEpoch() Epoch { return c.knownEpoch() }
 
-// PrimaryContact says when a primary was last in contact, on the clock of Step. The zero contact is "none yet".
+// PrimaryContact is the last contact with a primary, on the clock of Step. A zero Primary means that there was none yet.
 type PrimaryContact struct {
 	Primary Member
 	At      time.Duration
 }
 
-// LastPrimaryContact is the member last heard to be primary, and when.
+// LastPrimaryContact is the last contact with a primary.
 func (c *Core) LastPrimaryContact() PrimaryContact {
 	return PrimaryContact{Primary: c.lastPrimary, At: c.lastPrimaryContact}
 }
--- a/coord/replication/core/takeover.go
+++ b/coord/replication/core/takeover.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// mayLead tells whether this member may propose the view after a known one.
+// mayLead reports whether this member may propose the view after a known one.
 //
-// Invariant: only a copy whose state covers the view may propose. The state must have been given under the view's proposal and be no shorter than its base, or under a later proposal for the same epoch: then nobody ever wrote in the view, and that state holds all that was acknowledged before, too, though it may be shorter than the base.
+// Invariant: only a replica whose state covers the view may propose. The state must have been given under the view's proposal and be no shorter than its base, or under a later proposal for the same epoch: then no entry was committed in the view, and that state holds all that was committed before, too, though it may be shorter than the base.
 func (c *Core) mayLead(view *View) bool {
 	roles := rolesOf(view, c.self.ID)
 	tag := c.state.tag
@@ -23,7 +23,7 @@
 // considerViewChange starts a view change if one is due.
 func (c *Core) considerViewChange() {
 	if !c.hadContactSince(c.isolatedSince) && c.isolatedSince != longAgo {
-		return // its ballots would only stand in the way of those who hear each other
+		return // its ballots would only delay members that are in contact with each other
 	}
 	if c.change != nil || c.config.Relay || c.disk.stalled || c.disk.changesState() || c.now < c.retryAfter {
 		return
@@ -46,12 +46,12 @@
 	}
 }
 
-// takeOverDue tells whether a member that is not the primary should take over now.
+// isTakeOverDue reports whether a member that is not the primary should take over now.
 func (c *Core) isTakeOverDue(view *View) bool {
 	silence := c.now - c.lastPrimaryContact
 	rank := indexOf(view.Backups, c.self.ID)
 	due := c.timing.PrimaryTimeout + time.Duration(max(rank, 0))*c.timing.RankDelay
-	if c.leaving != nil { // only if nobody else does
+	if c.leaving != nil { // only if no other backup does
 		return silence > due+time.Duration(len(view.Backups)+1)*c.timing.RankDelay
 	}
 	if rank < 0 { // the view's own primary, that was restarted or stepped down
@@ -66,7 +66,7 @@
 	return rank == 0 || c.now-c.lastPromiseAt > c.timing.RankDelay
 }
 
-// stepPause is the pause between two tries, spread by the member's id so that two candidates don't meet again and again.
+// viewChangeBackoff is the pause between two attempts, spread by the member's id so that two candidates don't collide again and again.
 func (c *Core) viewChangeBackoff() time.Duration {
 	return c.timing.ViewChangeBackoff + time.Duration(c.self.ID%8)*c.timing.ViewChangeBackoff/6
 }
--- a/coord/replication/core/transfer.go
+++ b/coord/replication/core/transfer.go
@@ -7,48 +7,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The giving of state to the copies to be: a stream of bytes in parts, one part at a time to each of them. A member that holds the history up to a place that is remembered here gets only the entries after it.
+// State is transferred to the future replicas as a stream of bytes in chunks, one chunk at a time to each of them. A member that holds the history up to a position that is cached here gets only the entries after it.
 
 // stateStream is a state as it is sent.
 type stateStream struct {
-	since  Position // zero: the whole state
+	since  Position // zero: the complete state
 	data   []byte
 	digest Digest
 }
 
-// transfer is the giving of a stream to one member.
+// transfer is a stream on its way to one member.
 type transfer struct {
 	member      Member
 	stream      *stateStream
 	received    int64
-	chunkBytes  int           // bytes of the next part
-	answered    bool          // the member has answered for this stream
-	probing     bool          // a message without data asks how much arrived
+	chunkBytes  int           // size of the next chunk
+	answered    bool          // the member has replied for this stream
+	probing     bool          // a chunk without data asks how much arrived
 	chunkSentAt time.Duration // when data was sent last
 	sentAt      time.Duration // when anything was
 	progressAt  time.Duration
 }
 
-// The first part is small: it shows whether the member lives, and how much it holds of the stream from an earlier try. The later ones grow while they are answered at once, and shrink where the link is slow.
+// The first chunk is small: it shows whether the member is alive, and how much it holds of the stream from an earlier attempt. The later ones grow while they are acknowledged at once, and shrink where the link is slow.
 const (
 	firstChunkBytes  = 16 << 10
 	secondChunkBytes = 64 << 10
 )
 
-// slowLinkBytes are the bytes a second below which a member that lives is given up.
+// minTransferBytesPerSecond is the throughput below which a transfer to a responsive member is given up.
 const minTransferBytesPerSecond = 64 << 10
 
 func (t *transfer) size() int64 { return int64(len(t.stream.data)) }
 
-// whole tells whether the member has the whole stream, so that only its disk is waited for.
+// isComplete reports whether the member has the complete stream, so that only its disk is awaited.
 func (t *transfer) isComplete() bool {
 	return t.answered && t.received == t.size()
 }
 
-// fewEntries are so few bytes of entries that the size of the whole state is not looked at.
+// smallEntriesBytes is a size of entries up to which the complete state is not encoded to compare.
 const smallEntriesBytes = 4 << 10
 
-// streamFor gives the shorter stream for a member that holds a position: the entries since then, if they are remembered, or the whole state.
+// streamFor gives the shorter stream for a member that holds a position: the entries since then, if they are cached, or the complete state.
 func (c *Core) streamFor(held Position) *stateStream {
 	entries, remembered := c.state.entriesSince(held)
 	if !remembered || held == (Position{}) {
@@ -68,7 +68,7 @@
 	return c.streamSince(Position{}, func() []byte { return encodeState(c.snapshot(), c.state.tail) })
 }
 
-// streamSince makes a stream once for a change.
+// streamSince makes a stream, once in a view change.
 func (c *Core) streamSince(since Position, encode func() []byte) *stateStream {
 	for _, stream := range c.change.streams {
 		if stream.since == since {
@@ -107,7 +107,7 @@
 	c.propose()
 }
 
-// awaitLateAnswers tells whether to wait: with too few copies to be had, other members' promises may be under way still.
+// awaitLateReplies reports whether to wait: with too few future replicas, the promises of other members may still arrive.
 func (c *Core) awaitLateReplies() bool {
 	change := c.change
 	if 1+len(change.ready) >= c.minReplicas(&change.base) {
@@ -135,7 +135,7 @@
 	return transfer{member: member, stream: stream, chunkBytes: min(firstChunkBytes, c.limits.SnapshotChunkBytes), progressAt: c.now}
 }
 
-// sendPart sends what comes after the part received last.
+// sendChunk sends the chunk after what the member has received.
 func (c *Core) sendChunk(t *transfer) {
 	end := min(t.size(), t.received+int64(t.chunkBytes))
 	t.chunkSentAt = c.now
@@ -143,7 +143,7 @@
 	c.sendData(t, t.stream.data[t.received:end])
 }
 
-// probe asks how much of the stream arrived. A part that is on its way still is not sent again: on a slow link it would only wait behind itself.
+// probe asks how much of the stream arrived. A chunk that is still on its way is not sent again: on a slow link it would only queue behind itself.
 func (c *Core) probe(t *transfer) {
 	t.probing = true
 	c.sendData(t, nil)
@@ -167,8 +167,8 @@
 	c.send(part)
 }
 
-// onSnapshotPartReply goes on with the transfer that is answered.
-func (c *Core) onSnapshotPartReply(m SnapshotChunkReply) {
+// onSnapshotChunkReply continues the transfer that the reply belongs to.
+func (c *Core) onSnapshotChunkReply(m SnapshotChunkReply) {
 	c.learn(m.View)
 	change := c.change
 	if change == nil || change.phase != transferring || m.Tag != change.tag() {
@@ -195,7 +195,7 @@
 	}
 }
 
-// partReceived goes on after what was received. An answer without progress to a question how much arrived means that a part was lost.
+// chunkReceived continues after what was received. A reply to a probe without progress means that a chunk was lost.
 func (c *Core) chunkReceived(t *transfer, received int64) {
 	progress := received > t.received || !t.answered
 	if received > t.size() || !progress && !t.probing {
@@ -212,7 +212,7 @@
 	}
 }
 
-// adapt chooses the bytes of the next part.
+// adapt chooses the size of the next chunk.
 func (t *transfer) adapt(quick bool, limit int) {
 	if quick {
 		t.chunkBytes = max(2*t.chunkBytes, secondChunkBytes)
@@ -222,7 +222,7 @@
 	t.chunkBytes = min(t.chunkBytes, limit)
 }
 
-// patience is how long a transfer may go on without progress.
+// transferTimeout is how long a transfer may go on without progress.
 func (c *Core) transferTimeout(t *transfer) time.Duration {
 	switch {
 	case t.isComplete():
@@ -233,7 +233,7 @@
 	return c.timing.ReplyTimeout
 }
 
-// endTransfer notes how a transfer ended.
+// endTransfer ends a transfer; a member that did not complete it is not offered another for its own sake for RejectionBackoff.
 func (c *Core) endTransfer(i int, complete bool) {
 	change := c.change
 	member := change.transfers[i].member
@@ -246,7 +246,7 @@
 	c.continueTransfers()
 }
 
-// tickTransfers asks after parts that were not answered and gives up on members that make no progress.
+// tickTransfers probes transfers without reply and gives up those without progress.
 func (c *Core) tickTransfers() {
 	change := c.change
 	for i := 0; i < len(change.transfers); i++ {
--- a/coord/replication/core/transfer_test.go
+++ b/coord/replication/core/transfer_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTransfer_ChunksLost_Completes takes a large state to a new copy, through lost parts.
+// TestTransfer_ChunksLost_Completes takes a large state to a new replica, through lost parts.
 func TestTransfer_ChunksLost_Completes(t *testing.T) {
 	net := newNetwork(t, 1, "a", "b", "c")
 	net.limits.SnapshotChunkBytes = 1000
@@ -37,7 +37,7 @@
 	net.holds(large + ";second;")
 }
 
-// TestTransfer_ReplicaUpToDate_SendsNoSnapshot makes a new view with copies that are up to date: no snapshot goes over the wire.
+// TestTransfer_ReplicaUpToDate_SendsNoSnapshot makes a new view with replicas that are up to date: no snapshot goes over the wire.
 func TestTransfer_ReplicaUpToDate_SendsNoSnapshot(t *testing.T) {
 	net := startedNetwork(t, 1, "a", "b", "c")
 	primary := net.commit(strings.Repeat("x", 100_000))
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestTransfer_ManyEntries_SendsShorterStream: many entries may be longer than the whole state.
+// TestTransfer_ManyEntries_SendsShorterStream: many entries may be longer than the complete state.
 func TestTransfer_ManyEntries_SendsShorterStream(t *testing.T) {
 	net := startedNetwork(t, 1, "a", "b", "c")
 	primary := net.commit("first")
--- a/coord/replication/core/types.go
+++ b/coord/replication/core/types.go
@@ -1,6 +1,3 @@
-// Package core is the deterministic core of a replicated state: a primary writes to its backups, and a register at the witnesses, decided by prepare and accept, says who they are.
-//
-// The core is a pure state machine. Step takes one event and gives the effects that the driver has to carry out. There is no goroutine, lock, clock, random number, socket or file in it, so every run can be repeated exactly and explored exhaustively.
 package core
 
 import (
@@ -11,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberID names a disk, not an address: a machine whose disk was lost or replaced is another member. Zero is nobody.
+// MemberID names a disk, not an address: a machine whose disk was lost or replaced is another member. Zero is no member.
 type MemberID uint64
 
 // Epoch counts views. The first view has epoch 1; epoch 0 stands for "no view yet".
 type Epoch uint64
 
-// Ballot orders the proposals for one epoch: a round in the high bits, the proposer in the low ones.
+// Ballot commands the proposals for one epoch: a round in the high bits, the proposer in the low ones.
 type Ballot uint64
 
 // Index counts the entries of the history from 1.
@@ -28,7 +25,7 @@
 // It is a 64 bit xxhash. It guards against mistakes and damage, not against forgery: all members are trusted, and two histories that differ agree by chance once in 2^64.
 type Digest uint64
 
-// Token names an order, a read or a disk job. The driver chooses the tokens of orders and reads, the core those of disk jobs; the two spaces are apart.
+// Token identifies a command, a read or a disk job. The driver chooses the tokens of commands and reads, each once in a process; the core chooses those of disk jobs. The two spaces are separate.
 type Token uint64
 
 // Member is one process with a disk (or without one: a relay).
@@ -38,13 +35,13 @@
 	Zone    string   `json:"Zone"`
 }
 
-// Position is a place in the history: the last entry held, and the digest of all up to it. The zero position is the empty history.
+// Position is an offset in the history: the index of the last entry, and the digest of all entries up to it. The zero position is the empty history.
 type Position struct {
 	Index  Index  `json:"Index"`
 	Digest Digest `json:"Digest"`
 }
 
-// View says who holds the state and who witnesses the next view.
+// View says who holds the state and who are the witnesses that choose the next view. A View is never changed once it is made; it may be shared.
 type View struct {
 	Epoch     Epoch    `json:"Epoch"`
 	Ballot    Ballot   `json:"Ballot"` // under which the replicas were given the state
@@ -54,17 +51,17 @@
 	Base      Position `json:"Base"`    // of the state that the replicas held when the view was proposed
 }
 
-// Copies are the primary and its backups.
+// Replicas are the primary and its backups.
 func (v *View) Replicas() []Member {
 	return append([]Member{v.Primary}, v.Backups...)
 }
 
-// Tag is the tag of the state that the view's copies were given.
+// Tag is the tag of the state that the view's replicas were given.
 func (v *View) Tag() StateTag {
 	return StateTag{Epoch: v.Epoch, Ballot: v.Ballot}
 }
 
-// Clone is a copy that shares nothing.
+// Clone is a replica that shares nothing.
 func (v *View) Clone() *View {
 	if v == nil {
 		return nil
@@ -75,7 +72,9 @@
 	return &other
 }
 
-// Register is what a witness keeps on disk: the newest view known to be chosen, and its promise and acceptance for the epoch after it.
+// Register is what a witness keeps on disk: the newest view known to be chosen, and its promise and acceptance for the epoch after it. The zero register has promised and accepted nothing.
+//
+// The JSON keys are those under which stores keep it.
 type Register struct {
 	View           *View  `json:"View"`
 	Promised       Ballot `json:"Promised"`
@@ -83,7 +82,7 @@
 	Accepted       *View  `json:"Accepted"`
 }
 
-// Clone is a copy that shares nothing.
+// Clone is a replica that shares nothing.
 func (r Register) Clone() Register {
 	r.View = r.View.Clone()
 	r.Accepted = r.Accepted.Clone()
@@ -96,7 +95,7 @@
 	Ballot Ballot
 }
 
-// Covers tells whether state with this tag is at least as new as state with the other.
+// Covers reports whether state with this tag is at least as new as state with the other.
 func (t StateTag) Covers(other StateTag) bool {
 	if t.Epoch != other.Epoch {
 		return t.Epoch > other.Epoch
@@ -104,7 +103,7 @@
 	return t.Ballot >= other.Ballot
 }
 
-// Snapshot is the whole state at a position. Tag and position are saved with the data as one record, so an older snapshot never passes for a newer one.
+// Snapshot is the complete state at a position. Tag and position are saved with the data as one record, so an older snapshot never passes for a newer one.
 type Snapshot struct {
 	Tag      StateTag
 	Position Position
@@ -138,31 +137,31 @@
 	return Position{Index: e.Index, Digest: Digest(digest.Sum64())}
 }
 
-// Follows tells whether the entry is the next one after a position.
+// Follows reports whether the entry is the next one after a position, by index and by digest.
 func (e Entry) Follows(position Position) bool {
 	return e.Index == position.Index+1 && e.Previous == position.Digest
 }
 
-// Stored is what the disk held when the process started.
+// Stored is what the disk held when the process started. The zero value is an empty disk.
 type Stored struct {
 	Register Register
 	Snapshot *Snapshot // nil: no state
 	Entries  []Entry   // after the snapshot
-	// TailIsOpen says that entries can be appended. If not, a snapshot must be saved first.
+	// Appendable says that entries can be appended. If not, a snapshot must be saved first.
 	Appendable bool
 }
 
-// Refusal is why a member did not do what a message asked for.
+// Rejection is why a member did not do what a message asked for. The values are sent between processes; they never change.
 type Rejection uint8
 
-// The reasons of refusal.
+// The reasons of rejection.
 const (
-	Granted         Rejection = iota // not refused
+	Granted         Rejection = iota // not rejected
 	WrongDisk                        // the message was meant for another disk at this address
 	NoDisk                           // this member has no disk
-	NewerView                        // a newer view is known here; it comes with the answer
+	NewerView                        // a newer view is known here; it comes with the reply
 	UnknownView                      // the view meant is not known here
-	NotJoined                        // this member was not given the state for this view in this life, or is sealed
+	NotJoined                        // this member was not given the state for this view in this incarnation, or is sealed
 	MissingEntries                   // entries are missing before the one sent
 	DuplicateEntry                   // an older entry that is held already; nothing was done
 	DivergedHistory                  // the history held differs from the one meant
@@ -180,7 +179,7 @@
 	"not a witness", "unavailable", "busy", "disk failed", "not primary", "no replacement",
 }
 
-// String is the reason in words.
+// String is the reason in words, for logs.
 func (r Rejection) String() string {
 	if int(r) < len(rejectionNames) {
 		return rejectionNames[r]
@@ -188,16 +187,16 @@
 	return "rejection " + strconv.Itoa(int(r))
 }
 
-// Outcome is how an order or a read ended.
+// Outcome is how a command or a read ended. The zero Outcome is none.
 type Outcome uint8
 
-// The outcomes. All but Unclear and Deposed are clear answers: they hold at some moment between the call and the answer.
+// The outcomes. All but Unclear and Deposed are definite results: they hold at some moment between the call and the answer.
 const (
-	Committed     Outcome = iota + 1 // the entry is synced on all copies
+	Committed     Outcome = iota + 1 // the entry is synced on all replicas
 	NoChange                         // Decide found nothing to do
 	Rejected                         // Decide gave an error, which comes with the answer
 	Current                          // the state of this member is current: the driver may read it before the next Step
-	Indeterminate                    // may have been done or not, or may be done by nobody now
+	Indeterminate                    // may have taken effect or not, or may take effect later
 	Deposed                          // this member is not the primary, and nothing was begun
 )
 
@@ -211,12 +210,12 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Clear tells whether the answer holds for sure.
+// IsDefinite reports whether the result holds for certain: after Indeterminate the command may have taken effect or may do so later, after Deposed it has not begun here.
 func (o Outcome) IsDefinite() bool {
 	return o >= Committed && o <= Current
 }
 
-// Role is what a member is in a view; roles may be added.
+// Role is a set of the roles that a member has in a view. The zero Role is none.
 type Role uint8
 
 // The roles.
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// A view change, run by the member that wants to be the primary of the next view: seal, prepare at the witnesses, give the state to the copies to be, accept at a majority of the witnesses, install at a majority of the new witnesses if they moved.
+// A view change is run by the member that is to be the primary of the next view: seal, prepare at the witnesses, transfer the state to the future replicas, accept at a majority of the witnesses, install at a majority of the new witnesses if they changed.
 
 type phase uint8
 
 const (
-	repairing    phase = iota + 1 // saves its own state in place of a broken log
+	repairing    phase = iota + 1 // saves its own state as a snapshot in place of a broken log
 	preparing                     // asks the witnesses for their promise
-	transferring                  // gives the state to the copies to be
+	transferring                  // transfers the state to the future replicas
 	accepting                     // asks the witnesses to accept its proposal
 	finishing                     // asks them to accept a proposal that was begun before
 	installing                    // tells new witnesses of the chosen view
 )
 
-// viewChange is a change under way. Replies are matched by epoch and ballot.
+// viewChange is a view change in progress. Replies are matched by epoch and ballot.
 type viewChange struct {
-	base       View // the view to be followed
+	base       View // the view before
 	ballot     Ballot
 	startedAt  time.Duration
 	wasPrimary bool
@@ -31,16 +31,16 @@
 
 	ballotSynced    bool       // the ballot is on the disk of this member
 	granted         []MemberID // witnesses that granted the phase's question
-	rejected        []MemberID // witnesses that refused it
-	earlierProposal *View      // an earlier proposal
+	rejected        []MemberID // witnesses that rejected it
+	earlierProposal *View      // accepted by a witness under the highest ballot found
 	earlierBallot   Ballot
 
 	streams              []*stateStream
 	transfers            []transfer // under way
-	offered              []Member   // all that were offered the state
-	ready                []Member   // that have it
+	offered              []Member   // all that the state was offered to
+	ready                []Member   // that have it on disk
 	waitedForLateReplies bool
-	lateRepliesUntil     time.Duration // while others may still answer
+	lateRepliesUntil     time.Duration // while late replies are awaited
 
 	proposal View
 }
@@ -51,7 +51,7 @@
 	return StateTag{Epoch: v.epoch(), Ballot: v.ballot}
 }
 
-// enter begins a phase.
+// enterPhase begins a phase.
 func (c *Core) enterPhase(p phase) {
 	change := c.change
 	change.phase = p
@@ -61,7 +61,7 @@
 	c.sendPhaseRequests()
 }
 
-// askWitnesses sends the phase's question to those that did not answer yet.
+// sendPhaseRequests sends the phase's request to the witnesses that did not reply yet.
 func (c *Core) sendPhaseRequests() {
 	change := c.change
 	change.sentAt = c.now
@@ -83,12 +83,12 @@
 	}
 }
 
-// startViewChange begins the change from a view to the next one.
+// startViewChange starts the change from a view to the next one.
 func (c *Core) startViewChange(base *View) {
 	c.change = &viewChange{base: *base.Clone(), startedAt: c.now, wasPrimary: c.isPrimary, phase: repairing}
 	c.viewChangeDue = false
 	c.confirm.abandonRound()
-	// Invariant: a copy that proposes takes no append of the old view any more. So what is acknowledged after this moment is held here already.
+	// Invariant: a replica that proposes takes no append of the old view any more. So what is acknowledged after this moment is held here already.
 	c.state.joined = StateTag{}
 	if c.state.logBroken {
 		c.change.deadline = c.now + c.timing.SnapshotTimeout
@@ -98,7 +98,7 @@
 	c.prepare()
 }
 
-// repairDone goes on once the own state is on disk, whole.
+// repairDone continues once the own state is on disk as a snapshot.
 func (c *Core) repairDone(err error) {
 	if err == nil {
 		c.state.logBroken = false
@@ -116,7 +116,7 @@
 	c.prepare()
 }
 
-// failViewChange gives up. A primary that could not make the view it needed stops.
+// failViewChange ends a view change without a view. A primary that needed it steps down.
 func (c *Core) failViewChange(reason string) {
 	change := c.change
 	c.change = nil
@@ -129,7 +129,7 @@
 	c.retryAfter += c.timing.HeartbeatInterval // not again at once
 }
 
-// witnessesSilent gives up for want of answers. A primary asks its backups to take over: its way out may work though it hears nobody. A member that heard nobody at all tries no more until it hears somebody.
+// witnessesTimedOut ends a view change for want of replies. A primary asks its backups to take over: its messages may arrive though it receives none. A member that received nothing at all attempts no other until it does.
 func (c *Core) witnessesTimedOut() {
 	change := c.change
 	view := c.register.View
@@ -143,7 +143,7 @@
 	}
 }
 
-// tickViewChange repeats what was not answered and gives up in the end.
+// tickViewChange repeats requests without reply, and gives up after the phase's time-out.
 func (c *Core) tickViewChange() {
 	change := c.change
 	if change == nil {
--- a/coord/replication/core/votes.go
+++ b/coord/replication/core/votes.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// quorum is how many witnesses must grant: all to prepare the first view (see firstBase), else a majority.
+// quorum is how many witnesses must grant: all to prepare the first view (see bootstrapBase), else a majority.
 func (v *viewChange) quorum() int {
 	if v.base.Epoch == 0 && v.phase == preparing {
 		return len(v.base.Witnesses)
@@ -12,7 +12,7 @@
 	return majority(len(v.electorate()))
 }
 
-// electorate are the witnesses that the phase asks.
+// electorate is the witnesses that vote in the phase.
 func (v *viewChange) electorate() []Member {
 	if v.phase == installing {
 		return v.proposal.Witnesses
@@ -20,15 +20,15 @@
 	return v.base.Witnesses
 }
 
-// grant counts a witness once.
+// recordGrant counts the vote of a witness, once however often its reply arrives.
 func (v *viewChange) recordGrant(id MemberID) {
 	if indexOf(v.electorate(), id) >= 0 && !slices.Contains(v.granted, id) {
 		v.granted = append(v.granted, id)
 	}
 }
 
-// refuse counts a refusal and tells whether the quorum is out of reach.
-func (v *viewChange) recordRejection(from Member) (hopeless bool) {
+// recordRejection counts a rejection and reports whether the quorum is out of reach. Another disk at a witness's address rejects in its place.
+func (v *viewChange) recordRejection(from Member) (outOfReach bool) {
 	i := slices.IndexFunc(v.electorate(), func(m Member) bool { return m.ID == from.ID || m.Address == from.Address })
 	if i >= 0 && !slices.Contains(v.rejected, v.electorate()[i].ID) {
 		v.rejected = append(v.rejected, v.electorate()[i].ID)
@@ -36,7 +36,7 @@
 	return len(v.electorate())-len(v.rejected) < v.quorum()
 }
 
-// onPrepareReply counts a promise. An answer beyond the quorum's still tells of a member that lives.
+// onPrepareReply counts a promise. One that comes after the quorum still shows a member that is alive and may become a replica.
 func (c *Core) onPrepareReply(m PrepareReply) {
 	if m.From.ID != c.self.ID {
 		c.recordStatus(m.From, m.Status)
@@ -65,7 +65,7 @@
 	c.considerPrepared()
 }
 
-// witnessRefused ends a change whose quorum is out of reach.
+// witnessRejected handles a rejection, and ends the view change if its quorum is out of reach.
 func (c *Core) witnessRejected(from Member, reason Rejection, promised Ballot) {
 	if reason == HigherPromise {
 		c.lastRound = max(c.lastRound, ballotRound(promised))
@@ -103,9 +103,9 @@
 	c.proposalChosen()
 }
 
-// onInstallReply counts the new witnesses that have the view on disk.
+// onInstallReply counts a new witness that has the view on disk.
 //
-// Invariant: a moved set of witnesses counts only once a majority of it stores the view, so that whoever asks a majority of it hears of the view.
+// Invariant: a moved set of witnesses counts only once a majority of it stores the view, so that whoever asks a majority of it learns the view.
 func (c *Core) onInstallReply(m InstallReply) {
 	c.learn(m.View)
 	change := c.change
--- a/coord/replication/core/wake.go
+++ b/coord/replication/core/wake.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// NextWake is when the core must be ticked next at the latest, on the clock of Step. It changes with every Step. While anything is under way it is Timing.Tick after the last tick, else as late as the heartbeats allow.
+// NextWake is when the core must be ticked next at the latest, on the clock of Step. It changes with every Step. While anything is pending it is Timing.TickInterval after the last tick, else as late as the heartbeats allow.
 func (c *Core) NextWake(lastTick time.Duration) time.Duration {
 	next := lastTick + c.timing.TickInterval
 	if c.hasPendingWork() {
@@ -14,7 +14,7 @@
 	return max(next, c.lastPrimaryContact+c.primarySilenceLimit())
 }
 
-// busy tells whether anything is under way that waits for time to pass.
+// hasPendingWork reports whether anything is pending that waits for time to pass.
 func (c *Core) hasPendingWork() bool {
 	if c.register.View == nil || len(c.peers) == 0 || c.change != nil || c.yielding != nil || c.viewChangeDue {
 		return true
@@ -32,7 +32,7 @@
 	return c.confirm.running || c.confirm.required || len(c.confirm.queued) > 0
 }
 
-// quietAfter is how long the primary may be silent before this member does anything about it.
+// primarySilenceLimit is how long there may be no contact with the primary before this member acts on it.
 func (c *Core) primarySilenceLimit() time.Duration {
 	roles := rolesOf(c.register.View, c.self.ID)
 	switch {
--- a/coord/replication/core/witnesses.go
+++ b/coord/replication/core/witnesses.go
@@ -6,7 +6,7 @@
 
 func (c *Core) targetWitnesses() int { return 2*max(c.config.MaxFailures, 1) + 1 }
 
-// learners are the fit members, this one too, that are no witnesses.
+// learners are the writable members, this one included, that are no witnesses.
 func (c *Core) learners(view *View) []Member {
 	members := c.writableMembers()
 	if c.leaving == nil && !c.disk.stalled {
@@ -25,7 +25,7 @@
 	return members
 }
 
-// grown gives the witnesses with learners added while there are fewer than wanted, nil if nothing is to be added. An odd number stays odd: one more would bear no more losses.
+// withMoreWitnesses gives the witnesses with learners added while there are fewer than the target, nil if there is nothing to add. An odd number stays odd: one more would tolerate no more failures.
 func (c *Core) withMoreWitnesses(view *View) []Member {
 	added := 1 + len(view.Witnesses)%2
 	free := c.learners(view)
@@ -43,7 +43,7 @@
 	return witnesses
 }
 
-// spread gives the witnesses with one moved out of an area that holds too many, nil if all is well or nobody is elsewhere.
+// withSpreadWitnesses gives the witnesses with one replaced out of a failure domain that holds too many, nil if there is none or no learner in another domain.
 func (c *Core) withSpreadWitnesses(view *View) []Member {
 	free := c.learners(view)
 	if c.config.MaxDomainFailures == 0 || len(free) == 0 {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// wantedWitnesses gives the witnesses one step nearer to what is wanted, nil if all is well or nothing is to be had: more of them, one replaced that is wiped, leaving or lost, or one moved.
+// nextWitnesses gives the witnesses one step nearer to the target, nil if they are at it or no learner is available: more of them, one replaced that was wiped, leaves or failed, or one moved to another domain.
 func (c *Core) nextWitnesses(view *View) []Member {
 	if witnesses := c.withMoreWitnesses(view); witnesses != nil {
 		return witnesses
--- a/coord/replication/core/write.go
+++ b/coord/replication/core/write.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// write is the order under way. Orders run one at a time, so each one is decided on the state that all earlier ones left.
+// pendingWrite is the command whose entry is being written. Commands run one at a time, so each one is decided on the state that all earlier ones left.
 type pendingWrite struct {
 	command      Command
 	entry        Entry
-	resultSent   bool // unclear, at its deadline; the write itself goes on
-	synced       bool // of this member
+	resultSent   bool // Indeterminate, at its deadline; the write itself goes on
+	synced       bool // on this member's disk
 	ackedBackups []MemberID
 	startedAt    time.Duration
 	sentAt       time.Duration
-	rejected     bool // by a backup: a new view is needed
-	carried      bool // it goes into the next view with the state
+	rejected     bool // by a backup: a view change is needed
+	carried      bool // the entry goes into the next view with the state
 }
 
 func (c *Core) sendAppends() {
@@ -28,7 +28,7 @@
 	}
 }
 
-// ownAppendDone notes that an entry of this primary's own is on its disk, or not.
+// ownAppendDone handles the end of this primary's own append.
 func (c *Core) ownAppendDone(job diskJob, err error) {
 	if err != nil {
 		c.state.logBroken = true
@@ -46,7 +46,7 @@
 	}
 }
 
-// onAppendReply counts a backup, or makes a new view without one that can't take the entry. One view is chosen for an epoch and only its primary appends, so the epoch names the ballot too.
+// onAppendReply counts the acknowledgement of a backup, or changes the view if one can't take the entry. One view is chosen for an epoch and only its primary appends, so the epoch names the ballot too.
 func (c *Core) onAppendReply(m AppendReply) {
 	c.learn(m.View)
 	w := c.write
@@ -69,9 +69,9 @@
 	c.considerCommit()
 }
 
-// considerCommit ends the order once all copies have its entry on disk.
+// considerCommit commits once all replicas have the entry on disk.
 //
-// Invariant: an acknowledged entry is synced on every copy of its view. No view is made with fewer copies than fewestCopies, so with losses to bear the primary never acknowledges alone.
+// Invariant: an acknowledged entry is synced on every replica of its view. No view is made with fewer replicas than minReplicas, so with failures to tolerate the primary never acknowledges what only its own disk holds.
 func (c *Core) considerCommit() {
 	w := c.write
 	if w == nil || w.carried || !w.synced {
@@ -93,14 +93,14 @@
 	c.compactLog()
 }
 
-// commitCarried ends the order whose entry went into the new view with the state.
+// commitCarried commits the entry that went into the new view with the state.
 func (c *Core) commitCarried() {
 	if c.write != nil {
 		c.commit()
 	}
 }
 
-// tickWrite makes a new view without a backup that does not answer in time.
+// tickWrite repeats appends that were not acknowledged, and changes the view if a backup does not reply in time.
 func (c *Core) tickWrite() {
 	w := c.write
 	if w == nil || w.carried {
@@ -121,23 +121,23 @@
 	}
 }
 
-// writePatience is the wait for the backups: the answer's, and what that many bytes take on a link.
+// backupTimeout is the wait for the backups: ReplyTimeout, and the transmission of the entry.
 func (c *Core) backupTimeout() time.Duration {
 	return c.timing.ReplyTimeout + c.transmissionTime()
 }
 
-// writeBytesTime is what the bytes of the entry take to all backups over one link. An entry is not sent again before: it would only wait behind itself.
+// transmissionTime is what the bytes of the entry take to all backups over one link. An entry is not sent again before: it would only queue behind itself.
 func (c *Core) transmissionTime() time.Duration {
 	bytes := len(c.write.entry.Data) * len(c.register.View.Backups)
 	return time.Duration(bytes) * time.Second / linkBytesPerSecond
 }
 
-// linkBytes are the bytes a second that a message may count on: a link of 100 Mbit/s less a third.
+// linkBytesPerSecond is the throughput that a message may count on: a link of 100 Mbit/s less a third.
 const linkBytesPerSecond = 8 << 20
 
-// backupMissing makes a new view, into which the entry goes.
+// replaceMissingBackup starts a view change that carries the entry into the next view.
 func (c *Core) replaceMissingBackup() {
-	if !c.write.synced { // its own disk comes first: what it writes must be known before the state is given
+	if !c.write.synced { // the state is given to others only once it is known what the own disk holds
 		return
 	}
 	if c.change == nil && c.isPrimary {
