--- a/coord/replication/core/core_test.go
+++ b/coord/replication/core/core_test.go
@@ -31,7 +31,7 @@
 		view := primary.core.View()
 		require.Len(t, view.Replicas(), net.losses+1)
 		require.Len(t, view.Witnesses, 2*net.losses+1)
-		require.Greater(t, len(primary.core.countPerDomain(view.Replicas())), 1, "the loss of a zone leaves a copy")
+		require.Greater(t, len(primary.core.countPerDomain(view.Replicas())), 1, "the loss of a zone leaves a replica")
 		for zone, n := range primary.core.countPerDomain(view.Witnesses) {
 			require.LessOrEqual(t, n, net.losses, "the loss of zone %s leaves a majority", zone)
 		}
@@ -54,7 +54,7 @@
 
 // TestTakeOver_AtEachStepOfWrite_KeepsAcknowledgedEntries loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
 func TestTakeOver_AtEachStepOfWrite_KeepsAcknowledgedEntries(t *testing.T) {
-	for _, step := range []string{"before append", "append lost", "answer lost", "after answer"} {
+	for _, step := range []string{"before append", "append lost", "reply lost", "after result"} {
 		t.Run(step, func(t *testing.T) {
 			net := startedNetwork(t, 1, "a", "b", "c")
 			primary := net.commit("first")
@@ -63,10 +63,10 @@
 			case "append lost":
 				net.drop = func(_ *node, m Message) bool { _, is := m.(Append); return is }
 				token = primary.proposeText("second")
-			case "answer lost":
+			case "reply lost":
 				net.drop = func(_ *node, m Message) bool { _, is := m.(AppendReply); return is }
 				token = primary.proposeText("second")
-			case "after answer":
+			case "after result":
 				net.commit("second")
 			}
 			net.run(20 * time.Millisecond)
@@ -75,7 +75,7 @@
 			net.drop = nil
 			net.run(6 * time.Second)
 			want := "first;"
-			if step == "answer lost" || step == "after answer" {
+			if step == "reply lost" || step == "after result" {
 				want += "second;"
 			}
 			successor := net.holds(want)
@@ -127,7 +127,7 @@
 					primary.thaw()
 				}
 				var tokens []Token
-				tokens = append(tokens, primary.propose(func() ([]byte, error) { return nil, fmt.Errorf("refused") }))
+				tokens = append(tokens, primary.propose(func() ([]byte, error) { return nil, fmt.Errorf("rejected") }))
 				tokens = append(tokens, primary.propose(func() ([]byte, error) { return nil, nil }))
 				tokens = append(tokens, primary.read())
 				if frozen && after > time.Second {
@@ -215,7 +215,7 @@
 	backup.stop()
 	backup.start()
 	replies = nil
-	require.Equal(t, NotJoined, ask(next), "the same disk, but another life")
+	require.Equal(t, NotJoined, ask(next), "the same disk, but another incarnation")
 }
 
 // TestWitness_DiskWiped_IsReplaced within the time after which another loss may come.
--- a/coord/replication/core/explore_call_test.go
+++ b/coord/replication/core/explore_call_test.go
@@ -10,7 +10,7 @@
 	kind        callKind
 	token       Token
 	node        int
-	floor       string // the longest state that a definite result spoke of before this call began
+	floor       string // the longest state that a definite result reported before this call began
 	decided     string // what Decide saw
 	ran         bool   // Decide ran
 	done        bool
--- a/coord/replication/core/explore_monitor_test.go
+++ b/coord/replication/core/explore_monitor_test.go
@@ -9,7 +9,7 @@
 // monitors watch the invariants over a run.
 type monitors struct {
 	failed            string
-	reported          string // the longest state that a definite result spoke of
+	reported          string // the longest state that a definite result reported
 	acknowledged      string // the longest state that a command was acknowledged with
 	acknowledgedEpoch Epoch
 	notExecuted       []string // commands answered as surely not begun
@@ -41,11 +41,11 @@
 
 // acceptanceRecord collects the witnesses that accepted a view under a ballot: those that said so, and those that have it on disk.
 type acceptanceRecord struct {
-	epoch  Epoch
-	ballot Ballot
-	value  StateTag
-	said   []MemberID
-	onDisk []MemberID
+	epoch    Epoch
+	ballot   Ballot
+	value    StateTag
+	reported []MemberID
+	onDisk   []MemberID
 }
 
 func (w *monitors) copied() monitors {
@@ -69,7 +69,7 @@
 	node := m.nodes[i]
 	for _, writer := range w.writers {
 		if writer.epoch == epoch && (writer.node != i || writer.incarnation != node.incarnation) {
-			w.fail("two primaries of epoch %d: m%d in life %d and m%d in life %d", epoch, writer.node, writer.incarnation, i, node.incarnation)
+			w.fail("two primaries of epoch %d: m%d in incarnation %d and m%d in incarnation %d", epoch, writer.node, writer.incarnation, i, node.incarnation)
 		}
 	}
 	w.writers = append(w.writers, writerRecord{epoch, i, node.incarnation})
@@ -149,8 +149,8 @@
 		return
 	}
 	record := w.acceptance(accepted, reply.Ballot)
-	record.said = withID(record.said, reply.From.ID)
-	if len(record.said) >= majority(3) {
+	record.reported = withID(record.reported, reply.From.ID)
+	if len(record.reported) >= majority(3) {
 		w.learned(*accepted)
 	}
 }
@@ -200,20 +200,20 @@
 	w.learned(view)
 }
 
-// clear checks a definite result: it speaks of a state that has all that earlier definite results spoke of, and a majority was asked after the call.
+// clear checks a definite result: it reports a state that has all that earlier definite results reported, and a majority was asked after the call.
 func (w *monitors) clear(m *model, call *callState, reported string) {
 	if !strings.HasPrefix(reported, call.floor) {
-		w.fail("%v speaks of %q, and before the call %q was spoken of", call.outcome, reported, call.floor)
+		w.fail("%v reports %q, and before the call %q was reported", call.outcome, reported, call.floor)
 	}
 	if !strings.HasPrefix(reported, w.reported) && !strings.HasPrefix(w.reported, reported) {
-		w.fail("%v speaks of %q, and %q was spoken of", call.outcome, reported, w.reported)
+		w.fail("%v reports %q, and %q was reported", call.outcome, reported, w.reported)
 	}
 	if len(reported) > len(w.reported) {
 		w.reported = reported
 	}
 	for _, name := range w.notExecuted {
 		if strings.Contains(reported, name+";") {
-			w.fail("%v speaks of %q, and %s was said never to begin", call.outcome, reported, name)
+			w.fail("%v reports %q, and %s was reported as never started", call.outcome, reported, name)
 		}
 	}
 	if call.outcome == Committed {
@@ -292,7 +292,7 @@
 		content := node.core.diskContent(node.machine)
 		other, found := held[tag]
 		if found && !strings.HasPrefix(content, other) && !strings.HasPrefix(other, content) {
-			w.fail("m%d holds %q in view %v, and another copy %q", i, content, tag, other)
+			w.fail("m%d holds %q in view %v, and another replica %q", i, content, tag, other)
 		}
 		held[tag] = content
 	}
--- a/coord/replication/core/network_test.go
+++ b/coord/replication/core/network_test.go
@@ -106,7 +106,7 @@
 
 // requireOnePrimary requires that one member, in one incarnation, writes in a view.
 func (net *network) requireOnePrimary(node *node, epoch Epoch) {
-	writer := fmt.Sprint(node.disk.id, " in life ", node.incarnation)
+	writer := fmt.Sprint(node.disk.id, " in incarnation ", node.incarnation)
 	if net.writers[epoch] == "" {
 		net.writers[epoch] = writer
 	}
@@ -190,7 +190,7 @@
 		}
 		node.network.run(time.Millisecond)
 	}
-	require.Fail(node.network.t, "no answer")
+	require.Fail(node.network.t, "no result")
 	return 0
 }
 
--- a/coord/replication/core/simulation/faults_test.go
+++ b/coord/replication/core/simulation/faults_test.go
@@ -201,7 +201,7 @@
 		h.activeFaults--
 		h.lostUntil = max(h.lostUntil, c.now+c.settings.SyncTime)
 		c.liveness.recordFault()
-		c.trace("%s: a trouble is over", h)
+		c.trace("%s: a fault is over", h)
 	}
 }
 
--- a/coord/replication/core/simulation/liveness_test.go
+++ b/coord/replication/core/simulation/liveness_test.go
@@ -76,10 +76,10 @@
 	}
 	calm := c.now - l.lastFaultAt
 	if calm > serveWithin+serveMargin && !l.recovered {
-		c.monitor.fail("no order was acknowledged for %v after the last trouble", calm)
+		c.monitor.fail("no command was acknowledged for %v after the last fault", calm)
 	}
 	if calm > serveWithin+longestGap && c.now-l.lastDefinite > longestGap {
-		c.monitor.fail("no order was acknowledged for %v in a calm time", c.now-l.lastDefinite)
+		c.monitor.fail("no command was acknowledged for %v in a calm time", c.now-l.lastDefinite)
 	}
 	complete := len(c.lostSlots()) == 0
 	if complete && !l.wasComplete && calm > 0 {
@@ -102,9 +102,9 @@
 	l.repairsSeen++
 	view := p.core.View()
 	copies, witnesses := l.upOf(view.Replicas()), l.upOf(view.Witnesses)
-	c.trace("nobody is lost: epoch %d, %d of %d copies and %d of %d witnesses are up", view.Epoch, copies, len(view.Replicas()), witnesses, len(view.Witnesses))
+	c.trace("nobody is lost: epoch %d, %d of %d replicas and %d of %d witnesses are up", view.Epoch, copies, len(view.Replicas()), witnesses, len(view.Witnesses))
 	if copies < c.settings.Losses+1 {
-		c.monitor.fail("nobody is lost any more, and epoch %d has %d copies up of %d wanted", view.Epoch, copies, c.settings.Losses+1)
+		c.monitor.fail("nobody is lost any more, and epoch %d has %d replicas up of %d wanted", view.Epoch, copies, c.settings.Losses+1)
 	}
 	if witnesses < 2*c.settings.Losses+1 || witnesses < len(view.Witnesses) {
 		c.monitor.fail("nobody is lost any more, and epoch %d has %d witnesses up of %d, %d are wanted", view.Epoch, witnesses, len(view.Witnesses), 2*c.settings.Losses+1)
@@ -137,7 +137,7 @@
 func (l *liveness) checkServes() {
 	c := l.cluster
 	if c.now-l.lastServed > longestGap {
-		c.monitor.fail("no order was acknowledged for %v at the end, when all troubles are over", c.now-l.lastServed)
+		c.monitor.fail("no command was acknowledged for %v at the end, when all faults are over", c.now-l.lastServed)
 	}
 }
 
@@ -161,14 +161,14 @@
 	for _, member := range view.Replicas() {
 		h := c.hostOf(member.ID)
 		if h == nil || h.process == nil {
-			c.monitor.fail("copy %s is not up at the end", member.Address)
+			c.monitor.fail("replica %s is not up at the end", member.Address)
 			continue
 		}
 		if h.process.store.tip != p.store.tip {
-			c.monitor.fail("copy %s holds %d entries at the end, the primary %d", h, h.process.store.tip.index, p.store.tip.index)
+			c.monitor.fail("replica %s holds %d entries at the end, the primary %d", h, h.process.store.tip.index, p.store.tip.index)
 		}
 		if h.process.core.State(h.process.clock()).Position != p.core.State(p.clock()).Position {
-			c.monitor.fail("copy %s is at another position than the primary", h)
+			c.monitor.fail("replica %s is at another position than the primary", h)
 		}
 		if uint64(p.core.State(p.clock()).Position.Index) != p.store.tip.index {
 			c.monitor.fail("the core counts %d entries, the state machine %d", p.core.State(p.clock()).Position.Index, p.store.tip.index)
--- a/coord/replication/core/simulation/monitor_test.go
+++ b/coord/replication/core/simulation/monitor_test.go
@@ -12,7 +12,7 @@
 	cluster   *cluster
 	blind     bool // only the clients' history counts
 	violation string
-	reported  []*position // the history that definite results spoke of, by index
+	reported  []*position // the history that definite results reported, by index
 	writers   map[core.Epoch]*process
 	views     map[core.Epoch]core.View
 	votes     map[voteKey]vote
@@ -56,14 +56,14 @@
 	}
 }
 
-// reportedIndex is the length of the history that definite results spoke of.
+// reportedIndex is the length of the history that definite results reported.
 func (m *monitor) reportedIndex() uint64 { return uint64(len(m.reported) - 1) }
 
-// speak checks that a definite result speaks of the one history, and notes it.
+// speak checks that a definite result reports the one history, and notes it.
 func (m *monitor) speak(at *position, who *process, what string) {
 	if at.index <= m.reportedIndex() {
 		if m.reported[at.index] != at {
-			m.fail("%s of %s speaks of entry %d by call %d, where another answer spoke of call %d's", what, who.host, at.index, at.call, m.reported[at.index].call)
+			m.fail("%s of %s reports entry %d by call %d, where another result reported call %d's", what, who.host, at.index, at.call, m.reported[at.index].call)
 		}
 		return
 	}
@@ -72,7 +72,7 @@
 		added = append(added, p)
 	}
 	if last := added[len(added)-1]; last.parent != m.reported[m.reportedIndex()] {
-		m.fail("%s of %s speaks of a history without entry %d, which an answer spoke of", what, who.host, m.reportedIndex())
+		m.fail("%s of %s reports a history without entry %d, which a result reported", what, who.host, m.reportedIndex())
 		return
 	}
 	slices.Reverse(added)
@@ -102,7 +102,7 @@
 		return
 	}
 	if answer.Outcome != core.Committed && p.clock() > k.deadline {
-		m.fail("%s answers call %d clearly after its deadline", p.host, k.id)
+		m.fail("%s gives call %d a definite result after its deadline", p.host, k.id)
 	}
 	m.cluster.liveness.recordServed(answer.Outcome)
 	switch answer.Outcome {
@@ -131,7 +131,7 @@
 			continue
 		}
 		if !d.tip.includes(k.wrote) {
-			m.fail("%s acknowledges call %d, whose entry %d is not on the disk of copy %s", p.host, k.id, k.wrote.index, member.Address)
+			m.fail("%s acknowledges call %d, whose entry %d is not on the disk of replica %s", p.host, k.id, k.wrote.index, member.Address)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	}
 	for at := k.decided; at.index > 0; at = at.parent {
 		if m.commandOf(at) == k.request.command {
-			m.fail("%s refuses call %d, a repeat of order %d, which was taken", p.host, k.id, k.request.command)
+			m.fail("%s rejects call %d, a repeat of command %d, which was taken", p.host, k.id, k.request.command)
 			return
 		}
 	}
@@ -161,10 +161,10 @@
 	return m.cluster.calls[at.call-1].request.command
 }
 
-// freshEnough checks that a definite result speaks of nothing older than was spoken of when the call arrived.
+// freshEnough checks that a definite result reports nothing older than was reported when the call arrived.
 func (m *monitor) freshEnough(p *process, k *call, at *position) {
 	if at.index < k.floor {
-		m.fail("%s answers call %d of entry %d, and entry %d was spoken of before the call", p.host, k.id, at.index, k.floor)
+		m.fail("%s answers call %d of entry %d, and entry %d was reported before the call", p.host, k.id, at.index, k.floor)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 }
 
-// becamePrimary checks that one member writes in a view, and holds all that was spoken of.
+// becamePrimary checks that one member writes in a view, and holds all that was reported.
 func (m *monitor) becamePrimary(p *process, epoch core.Epoch) {
 	if other, ok := m.writers[epoch]; ok && other != p {
 		m.fail("%s and %s are both primary of epoch %d", other.host, p.host, epoch)
@@ -197,7 +197,7 @@
 	}
 	m.newest = epoch
 	if last := m.reported[m.reportedIndex()]; !p.host.disk.tip.includes(last) {
-		m.fail("%s leads epoch %d and holds %d entries without entry %d, which an answer spoke of", p.host, epoch, p.host.disk.tip.index, last.index)
+		m.fail("%s leads epoch %d and holds %d entries without entry %d, which a result reported", p.host, epoch, p.host.disk.tip.index, last.index)
 	}
 }
 
--- a/coord/replication/core/simulation/proposals_test.go
+++ b/coord/replication/core/simulation/proposals_test.go
@@ -30,7 +30,7 @@
 func (m *monitor) offered(p *process, tag core.StateTag) {
 	other, ok := m.offers[tag]
 	if ok && other != p {
-		m.fail("%s offers state under a ballot for epoch %d that an earlier life offered under", p.host, tag.Epoch)
+		m.fail("%s offers state under a ballot for epoch %d that an earlier incarnation offered under", p.host, tag.Epoch)
 	}
 	m.offers[tag] = p
 }
--- a/coord/replication/core/simulation/schedule_test.go
+++ b/coord/replication/core/simulation/schedule_test.go
@@ -17,7 +17,7 @@
 	schedules = flag.Int("schedules", 1000, "number of schedules of each profile")
 	firstSeed = flag.Uint64("seed", 1, "the first seed")
 	showAll   = flag.Bool("messages", false, "messages stand in the trace, too")
-	traceFile = flag.String("trace", "", "file for the whole trace of the first failing schedule")
+	traceFile = flag.String("trace", "", "file for the complete trace of the first failing schedule")
 )
 
 // schedule is one run: a cluster, what befalls it, and what its clients do follow from the seed.
--- a/coord/replication/core/simulation/summary_test.go
+++ b/coord/replication/core/simulation/summary_test.go
@@ -66,7 +66,7 @@
 	for kind, count := range s.faults {
 		faults = append(faults, fmt.Sprintf("%v %d", faultKind(kind), count))
 	}
-	return fmt.Sprintf("%d schedules, %d failed; %d calls, %d with a clear answer, %d entries committed, %d views, %d times whole again; served again after a trouble: median %v, 99 in 100 %v, longest %v; longest calm gap %v; faults: %s",
+	return fmt.Sprintf("%d schedules, %d failed; %d calls, %d with a definite result, %d entries committed, %d views, %d times complete again; served again after a fault: median %v, 99 in 100 %v, longest %v; longest calm gap %v; faults: %s",
 		s.runs, len(s.failed), s.calls, s.definite, s.commits, s.epochs, s.repairs, s.part(0.5), s.part(0.99), s.part(1), s.longest, strings.Join(faults, ", "))
 }
 
--- a/coord/replication/core/transfer_test.go
+++ b/coord/replication/core/transfer_test.go
@@ -99,7 +99,7 @@
 	}
 	c.state.tail = nil
 	c.state.applied = c.state.position
-	require.Zero(t, c.streamFor(held).since, "the whole state is a few bytes")
+	require.Zero(t, c.streamFor(held).since, "the complete state is a few bytes")
 	require.Equal(t, held, c.streamSince(held, nil).since)
 	last := c.state.cachedEntries[len(c.state.cachedEntries)-1]
 	require.NotZero(t, c.streamFor(Position{Index: last.Index - 1, Digest: last.Previous}).since, "one entry is not worth a look")
