--- a/coord/replication/core/clone_test.go
+++ b/coord/replication/core/clone_test.go
@@ -189,7 +189,7 @@
 		header := *(*[]byte)(at) // the length counts elements, whatever their size
 		h.number(uint64(len(header)))
 		first := unsafe.Pointer(unsafe.SliceData(header))
-		for i := range len(header) {
+		for i := range header {
 			inner(h, unsafe.Add(first, uintptr(i)*size))
 		}
 	}
--- a/coord/replication/core/core_test.go
+++ b/coord/replication/core/core_test.go
@@ -120,7 +120,7 @@
 				if frozen {
 					primary.freeze()
 				} else {
-					net.isolate(primary, true)
+					net.isolate(primary)
 				}
 				net.run(after)
 				if frozen {
@@ -159,7 +159,7 @@
 	primary.disk.stalled = false
 	primary.disk.stallReported = false
 	primary.freeze()
-	net.isolate(backup, true)
+	net.isolate(backup)
 	net.run(3 * time.Second)
 	net.heal()
 	primary.thaw()
@@ -169,13 +169,9 @@
 	require.False(t, begun)
 }
 
-// TestAppend_NotNextEntry_RejectedWithReason gives a backup entries that are not the next.
-func TestAppend_NotNextEntry_RejectedWithReason(t *testing.T) {
-	net := startedNetwork(t, 1, "a", "b", "c")
-	net.commit("first")
-	primary := net.commit("second")
-	view := primary.core.View()
-	backup := net.node(view.Backups[0])
+// askAppend gives a backup an entry of the primary and returns its rejection; the reply goes no further.
+func askAppend(t *testing.T, net *network, primary, backup *node, entry Entry) Rejection {
+	t.Helper()
 	var replies []AppendReply
 	net.drop = func(_ *node, m Message) bool {
 		reply, is := m.(AppendReply)
@@ -184,13 +180,20 @@
 		}
 		return is
 	}
-	ask := func(entry Entry) Rejection {
-		replies = nil
-		backup.step(Received{Append{Envelope: Envelope{From: primary.member(), To: backup.disk.id, ToAddress: backup.address}, Entry: entry}})
-		net.run(10 * time.Millisecond)
-		require.Len(t, replies, 1)
-		return replies[0].Rejection
-	}
+	backup.step(Received{Append{Envelope: Envelope{From: primary.member(), To: backup.disk.id, ToAddress: backup.address}, Entry: entry}})
+	net.run(10 * time.Millisecond)
+	require.Len(t, replies, 1)
+	return replies[0].Rejection
+}
+
+// TestAppend_NotNextEntry_RejectedWithReason gives a backup entries that are not the next.
+func TestAppend_NotNextEntry_RejectedWithReason(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	net.commit("first")
+	primary := net.commit("second")
+	view := primary.core.View()
+	backup := net.node(view.Backups[0])
+	ask := func(entry Entry) Rejection { return askAppend(t, net, primary, backup, entry) }
 	entries := backup.disk.entries
 	last := entries[len(entries)-1]
 	before := entries[len(entries)-2]
@@ -214,7 +217,6 @@
 	require.Equal(t, Granted, ask(next))
 	backup.stop()
 	backup.start()
-	replies = nil
 	require.Equal(t, NotJoined, ask(next), "the same disk, but another incarnation")
 }
 
--- a/coord/replication/core/explore_cases_test.go
+++ b/coord/replication/core/explore_cases_test.go
@@ -59,9 +59,9 @@
 	return explore(rules, s.left)
 }
 
-// all allows one of each disturbance, and one fault.
-func all(deviations, steps int) budgets {
-	return budgets{Deviations: deviations, Faults: 1, Lost: 1, Repeated: 1, Late: 1, Early: 1, Time: steps}
+// all allows one of each disturbance, one fault, and five steps of time.
+func all(deviations int) budgets {
+	return budgets{Deviations: deviations, Faults: 1, Lost: 1, Repeated: 1, Late: 1, Early: 1, Time: 5}
 }
 
 // searchesInCI are one deviation of any kind for all faults and calls, a lost message with each fault, a repeated or late one with some, and a slow disk with a repeated message.
@@ -70,7 +70,7 @@
 	seconds := map[faultKind]callKind{crashFault: writeCall, wipeFault: readCall, cutFault: checkCall, muteFault: readCall, freezeFault: checkCall}
 	for _, fault := range []faultKind{crashFault, wipeFault, cutFault, muteFault, freezeFault} {
 		for _, call := range []callKind{writeCall, checkCall, readCall} {
-			cases = append(cases, searchCase{fault: fault, second: call, left: all(1, 5)})
+			cases = append(cases, searchCase{fault: fault, second: call, left: all(1)})
 		}
 		cases = append(cases, searchCase{fault: fault, second: seconds[fault], left: budgets{Deviations: 2, Faults: 1, Lost: 1, Time: 4}})
 	}
@@ -82,7 +82,7 @@
 		searchCase{fault: freezeFault, second: checkCall, left: late},
 		searchCase{fault: muteFault, second: readCall, left: late},
 		searchCase{fault: powerFault, second: writeCall, left: budgets{Deviations: 1, Faults: 1, Time: 4}},
-		searchCase{fault: wipeFault, second: writeCall, start: true, left: all(1, 5)},
+		searchCase{fault: wipeFault, second: writeCall, start: true, left: all(1)},
 		searchCase{fault: crashFault, second: writeCall, start: true, left: budgets{Deviations: 1, Faults: 1, Time: 5}},
 		namedSearches["crash, no call, slow disk, repeat"],
 		namedSearches["crash, two reads, late"])
@@ -93,7 +93,7 @@
 	var cases []searchCase
 	for _, fault := range []faultKind{crashFault, wipeFault, cutFault, muteFault, freezeFault, powerFault} {
 		for _, second := range []callKind{writeCall, checkCall, readCall} {
-			left := all(deviations, 5)
+			left := all(deviations)
 			if fault == powerFault {
 				left.Time = 4 // three members start in any order: there are far more states
 				left.Early = 0
@@ -137,14 +137,14 @@
 var namedSearches = map[string]searchCase{
 	"crash, no call, slow disk, repeat": {fault: crashFault, idle: true, left: budgets{Deviations: 3, Faults: 1, Repeated: 1, SlowDisk: 1, Time: 3}},
 	"crash, two reads, late":            {fault: crashFault, reads: true, second: readCall, left: budgets{Deviations: 2, Faults: 1, Late: 1, Time: 1}},
-	"crash, write":                      {fault: crashFault, second: writeCall, left: all(1, 5)},
-	"cut, read":                         {fault: cutFault, second: readCall, left: all(1, 5)},
-	"mute, write, deep":                 {fault: muteFault, second: writeCall, left: all(2, 5)},
-	"freeze, check":                     {fault: freezeFault, second: checkCall, left: all(1, 5)},
-	"freeze, read":                      {fault: freezeFault, second: readCall, left: all(1, 5)},
+	"crash, write":                      {fault: crashFault, second: writeCall, left: all(1)},
+	"cut, read":                         {fault: cutFault, second: readCall, left: all(1)},
+	"mute, write, deep":                 {fault: muteFault, second: writeCall, left: all(2)},
+	"freeze, check":                     {fault: freezeFault, second: checkCall, left: all(1)},
+	"freeze, read":                      {fault: freezeFault, second: readCall, left: all(1)},
 	"freeze, write, deep":               {fault: freezeFault, second: writeCall, left: budgets{Deviations: 3, Faults: 1, Lost: 1, Late: 1, Time: 4}},
 	"crash, read, lost":                 {fault: crashFault, second: readCall, left: budgets{Deviations: 2, Faults: 1, Lost: 1, Time: 4}},
-	"lost disk, write, deep":            {fault: wipeFault, second: writeCall, left: all(2, 5)},
+	"lost disk, write, deep":            {fault: wipeFault, second: writeCall, left: all(2)},
 }
 
 // TestExplore_NamedSearch runs the one search that a flag names; mutants are run against it.
--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -60,7 +60,7 @@
 	net := startedNetwork(t, 1, "a", "b", "c")
 	primary := net.commit("first")
 	receiver := net.node(primary.core.View().Backups[0])
-	net.isolate(receiver, true)
+	net.isolate(receiver)
 	stream := encodeState(primary.core.snapshot(), nil)
 	held := receiver.core.state.position
 	snapshot := receiver.disk.snapshot
--- a/coord/replication/core/leave_test.go
+++ b/coord/replication/core/leave_test.go
@@ -81,7 +81,7 @@
 	require.NotNil(t, added.left)
 	require.True(t, added.left.Complete)
 	isolated := net.add("e")
-	net.isolate(isolated, true)
+	net.isolate(isolated)
 	isolated.start()
 	isolated.step(Leave{Deadline: time.Second})
 	net.run(2 * time.Second)
--- a/coord/replication/core/network_test.go
+++ b/coord/replication/core/network_test.go
@@ -151,13 +151,11 @@
 	return net.freeAt[link] - net.now
 }
 
-// isolate cuts a member off from all others, both ways or only what it sends.
-func (net *network) isolate(node *node, bothWays bool) {
+// isolate cuts a member off from all others, both ways.
+func (net *network) isolate(node *node) {
 	for _, other := range net.nodes {
 		net.cut[[2]string{node.address, other.address}] = true
-		if bothWays {
-			net.cut[[2]string{other.address, node.address}] = true
-		}
+		net.cut[[2]string{other.address, node.address}] = true
 	}
 }
 
--- a/coord/replication/core/receive_state.go
+++ b/coord/replication/core/receive_state.go
@@ -45,7 +45,7 @@
 		c.send(reply)
 		return
 	}
-	c.seal(m)
+	c.seal()
 	reply.Received = c.receiveChunk(m)
 	c.send(reply)
 	if reply.Received == m.Size {
@@ -88,7 +88,7 @@
 }
 
 // seal keeps this member from serving as primary and from taking appends of the old view.
-func (c *Core) seal(m SnapshotChunk) {
+func (c *Core) seal() {
 	c.state.joined = StateTag{}
 	c.lastPrimaryContact = c.now
 	if c.change != nil {
--- a/coord/replication/core/register.go
+++ b/coord/replication/core/register.go
@@ -33,19 +33,18 @@
 	return nil
 }
 
-// learn takes a chosen view; it reports whether it was new.
+// learn takes a chosen view, if it is newer than the known one.
 //
 // Invariant: views are a chain. A view given here was chosen at a majority of the witnesses of the one before it.
-func (c *Core) learn(view *View) bool {
+func (c *Core) learn(view *View) {
 	if view == nil || view.Epoch <= c.knownEpoch() {
-		return false
+		return
 	}
 	c.adopt(view)
 	if c.change != nil {
 		c.failViewChange("a newer view is known")
 	}
 	c.stopBeingPrimary(SawNewerView)
-	return true
 }
 
 // adopt makes a newer view the known one.
--- a/coord/replication/core/simulation/clients_test.go
+++ b/coord/replication/core/simulation/clients_test.go
@@ -257,7 +257,7 @@
 	case r.operation == writeOperation && slices.Contains(key.taken, r.command):
 		return nil, nil
 	case r.operation == writeOperation && key.version != r.base:
-		return nil, versionConflict{key.observe()}
+		return nil, versionError{key.observe()}
 	}
 	data := entry.encode()
 	k.wrote = p.cluster.history.after(k.decided, data)
--- a/coord/replication/core/simulation/cluster_test.go
+++ b/coord/replication/core/simulation/cluster_test.go
@@ -41,15 +41,16 @@
 
 type eventQueue []scheduled
 
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+func (q *eventQueue) Len() int { return len(*q) }
+func (q *eventQueue) Less(i, j int) bool {
+	first, second := (*q)[i], (*q)[j]
+	if first.at != second.at {
+		return first.at < second.at
 	}
-	return q[i].sequence < q[j].sequence
+	return first.sequence < second.sequence
 }
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Swap(i, j int) { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
+func (q *eventQueue) Push(x any)    { *q = append(*q, x.(scheduled)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/coord/replication/core/simulation/faults_test.go
+++ b/coord/replication/core/simulation/faults_test.go
@@ -110,7 +110,7 @@
 		return false
 	}
 	if c.profile == beyond {
-		return !losesDisk(f.Kind) || c.mayLoseDisk(s)
+		return !losesDisk(f.Kind) || c.mayLoseDisk()
 	}
 	lost := c.lostSlots()
 	after := len(lost) // members lost while the fault lasts
@@ -141,7 +141,7 @@
 }
 
 // mayLoseDisk counts the disks that were lost since the last long calm. None may be lost before the group has grown to bear it.
-func (c *cluster) mayLoseDisk(s *slot) bool {
+func (c *cluster) mayLoseDisk() bool {
 	if c.now-c.liveness.lastFaultAt > calmBeforeDiskLoss && len(c.lostSlots()) == 0 {
 		c.disksLost = 0
 	}
@@ -165,20 +165,36 @@
 		c.runHostFault(f, h)
 	case pairFault:
 		c.cutPair(h, f)
+	case replaceFault, takeOverFault, planFault, restartFault, growFault, shrinkFault, oldDiskFault:
+		c.beginChange(f, s)
+	default:
+		c.beginGroupFault(f, s)
+	}
+}
+
+// beginChange starts a fault that replaces, restarts, adds or removes a member.
+func (c *cluster) beginChange(f fault, s *slot) {
+	switch f.Kind {
 	case replaceFault:
 		c.replace(s, c.newAddress(), f.For)
 	case takeOverFault:
-		c.replace(s, h.address, f.For)
+		c.replace(s, s.host.address, f.For)
 	case planFault:
 		c.replacePlanned(s, f.For)
 	case restartFault:
-		c.restartPlanned(h)
+		c.restartPlanned(s.host)
 	case growFault:
 		c.grow(s.zone)
 	case shrinkFault:
 		c.shrink(s, f.Amount%2 == 0)
 	case oldDiskFault:
 		c.returnOldDisk(s, f.For)
+	}
+}
+
+// beginGroupFault starts a fault of several members, or of the way to the clients.
+func (c *cluster) beginGroupFault(f fault, s *slot) {
+	switch f.Kind {
 	case powerAllFault:
 		c.powerAll(f)
 	case killAllFault:
--- a/coord/replication/core/simulation/machine_test.go
+++ b/coord/replication/core/simulation/machine_test.go
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// versionConflict is the clear "no" to a command that builds on another version.
-type versionConflict struct{ now observed }
+// versionError is the clear "no" to a command that builds on another version.
+type versionError struct{ now observed }
 
-func (r versionConflict) Error() string { return fmt.Sprintf("version %d is current", r.now.version) }
+func (r versionError) Error() string { return fmt.Sprintf("version %d is current", r.now.version) }
--- a/coord/replication/core/transfer.go
+++ b/coord/replication/core/transfer.go
@@ -249,7 +249,7 @@
 // tickTransfers probes transfers without reply and gives up those without progress.
 func (c *Core) tickTransfers() {
 	change := c.change
-	for i := 0; i < len(change.transfers); i++ {
+	for i := range change.transfers {
 		t := &change.transfers[i]
 		if c.now-t.progressAt >= c.transferTimeout(t) {
 			if p := c.peer(t.member.ID); p != nil {
--- a/internal/mutation/conditions.go
+++ b/internal/mutation/conditions.go
@@ -51,34 +51,38 @@
 			start, end := files.Position(operand.Pos()).Offset, files.Position(operand.End()).Offset
 			found = append(found, Condition{file, function.Name.Name, string(data[start:end]), string(data), start, end, neutral})
 		}
-		ast.Inspect(function.Body, func(node ast.Node) bool {
-			switch node := node.(type) {
-			case *ast.IfStmt:
-				addSingle(node.Cond, add)
-			case *ast.ForStmt:
-				if node.Cond != nil {
-					addSingle(node.Cond, add)
-				}
-			case *ast.SwitchStmt:
-				if node.Tag == nil {
-					for _, clause := range node.Body.List {
-						for _, expression := range clause.(*ast.CaseClause).List {
-							addSingle(expression, add)
-						}
-					}
-				}
-			case *ast.BinaryExpr:
-				if node.Op == token.LAND || node.Op == token.LOR {
-					operands(node, add)
-					return false
-				}
-			}
-			return true
-		})
+		ast.Inspect(function.Body, func(node ast.Node) bool { return addConditions(node, add) })
 	}
 	return found, nil
 }
 
+// addConditions adds those that stand at a node, and reports whether to look below it.
+func addConditions(node ast.Node, add func(ast.Expr, string)) bool {
+	switch node := node.(type) {
+	case *ast.IfStmt:
+		addSingle(node.Cond, add)
+	case *ast.ForStmt:
+		if node.Cond != nil {
+			addSingle(node.Cond, add)
+		}
+	case *ast.SwitchStmt:
+		if node.Tag != nil {
+			break
+		}
+		for _, clause := range node.Body.List {
+			for _, expression := range clause.(*ast.CaseClause).List {
+				addSingle(expression, add)
+			}
+		}
+	case *ast.BinaryExpr:
+		if node.Op == token.LAND || node.Op == token.LOR {
+			operands(node, add)
+			return false
+		}
+	}
+	return true
+}
+
 // addSingle adds a condition that is one operand; those of several are added as the walk comes to them.
 func addSingle(condition ast.Expr, add func(ast.Expr, string)) {
 	if binary, ok := condition.(*ast.BinaryExpr); ok && (binary.Op == token.LAND || binary.Op == token.LOR) {
