--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -72,3 +73,63 @@
 	require.Equal(t, Granted, reply.Rejection, "the same stream with the position that it leads to")
 	require.True(t, reply.Complete)
 }
+
+// TestViewChange_TooFewReplicas_IsNotProposed: with a failure to tolerate, a primary whose state no other member takes commits nothing by itself.
+func TestViewChange_TooFewReplicas_IsNotProposed(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	net.node(primary.core.View().Backups[0]).stop()
+	net.drop = func(_ *node, m Message) bool { return isReply[SnapshotChunk](m) }
+	require.False(t, primary.outcome(primary.proposeText("second")).IsDefinite())
+	for _, node := range net.nodes {
+		if view := node.core.View(); node.up {
+			require.Len(t, view.Replicas(), 2)
+		}
+	}
+}
+
+// rejectionOf gives a member a request and the rejection of its reply, which goes no further.
+func rejectionOf(t *testing.T, net *network, to *node, request Message, rejection func(Message) (Rejection, bool)) Rejection {
+	t.Helper()
+	var found []Rejection
+	net.drop = func(from *node, m Message) bool {
+		if reason, is := rejection(m); is && from == to {
+			found = append(found, reason)
+		}
+		return from == to
+	}
+	to.step(Received{request})
+	net.run(10 * time.Millisecond)
+	require.Len(t, found, 1)
+	return found[0]
+}
+
+func TestPrepare_MemberIsNoWitness_IsRejected(t *testing.T) {
+	net, outsider := startedWithOutsider(t)
+	primary := net.primary()
+	prepare := Prepare{Envelope: replyFrom(primary.member(), outsider), Base: *outsider.core.View(), Ballot: ballotOf(1<<20, primary.disk.id)}
+	reply := func(m Message) (Rejection, bool) { reply, is := m.(PrepareReply); return reply.Rejection, is }
+	require.Equal(t, NotWitness, rejectionOf(t, net, outsider, prepare, reply))
+	require.Zero(t, outsider.core.register.Promised)
+}
+
+// TestConfirm_Witness_RepliesByWhatItAccepted asks a witness for views older than, other than, and as the one that it knows, and for that one after it accepted the next.
+func TestConfirm_Witness_RepliesByWhatItAccepted(t *testing.T) {
+	net, _ := startedWithOutsider(t)
+	primary := net.primary()
+	view := primary.core.View()
+	witness := net.node(view.Witnesses[slices.IndexFunc(view.Witnesses, func(m Member) bool { return m.ID != primary.disk.id })])
+	ask := func(epoch Epoch, ballot Ballot) Rejection {
+		confirm := Confirm{Envelope: replyFrom(primary.member(), witness), Epoch: epoch, Ballot: ballot, Round: 1}
+		return rejectionOf(t, net, witness, confirm, func(m Message) (Rejection, bool) { reply, is := m.(ConfirmReply); return reply.Rejection, is })
+	}
+	require.Equal(t, Granted, ask(view.Epoch, view.Ballot))
+	require.Equal(t, NewerView, ask(view.Epoch-1, view.Ballot))
+	require.Equal(t, UnknownView, ask(view.Epoch+1, view.Ballot))
+	require.Equal(t, UnknownView, ask(view.Epoch, view.Ballot+1))
+	next := &View{Epoch: view.Epoch + 1, Ballot: ballotOf(1<<20, primary.disk.id), Primary: primary.member()}
+	accept := Accept{Envelope: replyFrom(primary.member(), witness), Base: *view, Ballot: next.Ballot, Proposal: *next}
+	accepted := func(m Message) (Rejection, bool) { reply, is := m.(AcceptReply); return reply.Rejection, is }
+	require.Equal(t, Granted, rejectionOf(t, net, witness, accept, accepted))
+	require.Equal(t, HigherPromise, ask(view.Epoch, view.Ballot))
+}
