--- a/internal/emulator/plots.go
+++ b/internal/emulator/plots.go
@@ -39,13 +39,19 @@
 	return savePlot(outcomes, filepath.Join(dir, "outcomes"))
 }
 
+// newPlot makes an empty plot with its legend at the top.
+func newPlot(title, x, y string) *plot.Plot {
+	empty := plot.New()
+	empty.Title.Text = title
+	empty.X.Label.Text = x
+	empty.Y.Label.Text = y
+	empty.Legend.Top = true
+	return empty
+}
+
 // latencyPlot draws a line for each kind of request.
 func (r *report) latencyPlot(experiment *Experiment) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = experiment.Name + ": latency"
-	drawn.X.Label.Text = "percent of what was served"
-	drawn.Y.Label.Text = "ms"
-	drawn.Legend.Top = true
+	drawn := newPlot(experiment.Name+": latency", "percent of what was served", "ms")
 	drawn.Legend.Left = true
 	var lines []any // name and points in turn
 	for _, kind := range experiment.Kinds {
@@ -60,11 +66,7 @@
 
 // outcomesPlot draws a line for each outcome.
 func (r *report) outcomesPlot(experiment *Experiment) (*plot.Plot, error) {
-	drawn := plot.New()
-	drawn.Title.Text = experiment.Name + ": outcomes by second of sending"
-	drawn.X.Label.Text = "s"
-	drawn.Y.Label.Text = "requests"
-	drawn.Legend.Top = true
+	drawn := newPlot(experiment.Name+": outcomes by second of sending", "s", "requests")
 	counts, seconds := r.outcomesBySecond()
 	var lines []any // name and points in turn
 	for _, outcome := range []string{Served, Rejected, Failed} {
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -121,7 +121,7 @@
 	}
 	err := await(f.ctx, f.readyTimeout(), "a change was not in force", func() bool {
 		_, page, err := f.roles()
-		return err == nil && page.Updates.Acked == page.Updates.Number
+		return err == nil && page.Updates.Number > 0 && page.Updates.Acked == page.Updates.Number
 	})
 	return time.Since(start), err
 }
--- a/internal/simtest/operator_set.go
+++ b/internal/simtest/operator_set.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"sort"
 	"strings"
 	"sync"
@@ -120,21 +121,30 @@
 	}
 }
 
-// send sends a change once. A rejection names the version that is current: it must be none that is known to be past.
+// send sends a change once. A rejection must name the version that is current: none that is known to be past.
 func (o *operatorSet) send(node string, change sentOrder) int {
 	floor := o.newestKnown()
 	status, text := o.sim.Send(node, change.order())
 	o.count(status)
-	var current int
-	if at := strings.Index(text, "version "); status == 412 && at >= 0 {
-		_, _ = fmt.Sscanf(text[at:], "version %d is current", &current)
-		if current < floor {
-			o.sim.AddViolation(RuleConfig, "%s rejected a change because version %d is current, %d was known", node, current, floor)
-		}
+	if status != http.StatusPreconditionFailed {
+		return status
+	}
+	current, err := currentVersion(text)
+	if err != nil {
+		o.sim.AddViolation(RuleConfig, "%s rejected a change without the current version: %s", node, text)
+	} else if current < floor {
+		o.sim.AddViolation(RuleConfig, "%s rejected a change because version %d is current, %d was known", node, current, floor)
 	}
 	return status
 }
 
+// currentVersion reads the version that a rejection names.
+func currentVersion(answer string) (current int, err error) {
+	_, text, _ := strings.Cut(answer, "version ")
+	_, err = fmt.Sscanf(text, "%d is current", &current)
+	return current, err
+}
+
 // press reads at one node many times a second, and sends it changes that must be rejected, without waiting for
 // the answers. It writes nothing: a primary that can't write notices sooner that it is cut off.
 func (o *operatorSet) press(node string, d time.Duration) {
