--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -133,3 +133,73 @@
 	require.Equal(t, Granted, rejectionOf(t, net, witness, accept, accepted))
 	require.Equal(t, HigherPromise, ask(view.Epoch, view.Ballot))
 }
+
+// chunk is a part of a stream for a receiver, from an offset on.
+func chunk(proposer, receiver *node, target Position, stream, whole []byte, offset int) SnapshotChunk {
+	base := receiver.core.View()
+	return SnapshotChunk{
+		Envelope:     replyFrom(proposer.member(), receiver),
+		Tag:          StateTag{Epoch: base.Epoch + 1, Ballot: ballotOf(1<<20, proposer.disk.id)},
+		Base:         base,
+		Position:     target,
+		Size:         int64(len(whole)),
+		StreamDigest: Digest(xxhash.Sum64(whole)),
+		Offset:       int64(offset),
+		Data:         stream,
+	}
+}
+
+// TestTransfer_ChunkRepeatedOrTooLong_IsNotAdded gives the chunks of a state out of their order, twice, and past the end.
+func TestTransfer_ChunkRepeatedOrTooLong_IsNotAdded(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	receiver := net.node(primary.core.View().Backups[0])
+	net.isolate(receiver)
+	stream := encodeState(primary.core.snapshot(), nil)
+	target := receiver.core.state.position
+	half := len(stream) / 2
+	var last SnapshotChunkReply
+	net.drop = func(from *node, m Message) bool {
+		if reply, is := m.(SnapshotChunkReply); is && from == receiver {
+			last = reply
+		}
+		return from == receiver
+	}
+	give := func(data []byte, offset int) int64 {
+		receiver.step(Received{chunk(primary, receiver, target, data, stream, offset)})
+		return last.Received
+	}
+	require.Zero(t, give(stream[half:], half), "the start is missing")
+	require.EqualValues(t, half, give(stream[:half], 0))
+	require.EqualValues(t, half, give(stream[:half], 0), "a repeated chunk")
+	require.EqualValues(t, half, give(append(stream[half:len(stream):len(stream)], 0), half), "a chunk past the end")
+	give(stream[half:], half)
+	net.run(100 * time.Millisecond)
+	require.Equal(t, Granted, last.Rejection)
+	require.True(t, last.Complete)
+	require.Equal(t, "first;", receiver.machine.content)
+}
+
+// TestTransfer_DataAltered_IsRejected: the position alone does not cover the data of the snapshot.
+func TestTransfer_DataAltered_IsRejected(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	receiver := net.node(primary.core.View().Backups[0])
+	net.isolate(receiver)
+	snapshot := primary.core.snapshot()
+	stream := encodeState(snapshot, nil)
+	snapshot.Data = []byte("other;")
+	altered := encodeState(snapshot, nil)
+	var last SnapshotChunkReply
+	net.drop = func(from *node, m Message) bool {
+		if reply, is := m.(SnapshotChunkReply); is && from == receiver {
+			last = reply
+		}
+		return from == receiver
+	}
+	given := chunk(primary, receiver, receiver.core.state.position, altered, stream, 0)
+	receiver.step(Received{given})
+	net.run(100 * time.Millisecond)
+	require.Equal(t, DiskFailed, last.Rejection)
+	require.Equal(t, "first;", receiver.machine.content)
+}
