--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -37,22 +37,24 @@
 	return checkRoutes(parsed.RouteTable, pools)
 }
 
-// place is where a route begins: no two routes have the same.
-type place string
+// routeKey is the hostname and path prefix that a route matches; no two routes have the same.
+type routeKey string
 
-func placeOf(route *configpb.Route) place { return place(route.Hostname + "\x00" + route.PathPrefix) }
+func routeKeyOf(route *configpb.Route) routeKey {
+	return routeKey(route.Hostname + "\x00" + route.PathPrefix)
+}
 
 func checkRoutes(routes []*configpb.Route, pools map[string]bool) error {
-	names := map[place]string{}
+	names := map[routeKey]string{} // of the routes seen so far
 	for _, route := range routes {
 		if route.TimeoutMs <= 0 {
 			return invalid("route %q: timeout_ms is 0", route.Name)
 		}
-		at := placeOf(route)
-		if other, taken := names[at]; taken {
+		key := routeKeyOf(route)
+		if other, taken := names[key]; taken {
 			return invalid("routes %q and %q have the same place", other, route.Name)
 		}
-		names[at] = route.Name
+		names[key] = route.Name
 		if err := checkBackends(route, pools); err != nil {
 			return err
 		}
--- a/internal/controller/updates.go
+++ b/internal/controller/updates.go
@@ -77,8 +77,8 @@
 // wantsListLease tells whether this process should hold the list lease. One that has just become primary waits for a
 // lease's span: its grantors may be others than those that granted the lease of the primary before it.
 func (c *Controller) wantsListLease() bool {
-	inOffice := time.Duration(time.Now().UnixNano() - c.primarySince.Load())
-	return c.IsActivePrimary() && !c.shuttingDown.Load() && inOffice >= lease.Duration
+	sincePrimary := time.Duration(time.Now().UnixNano() - c.primarySince.Load())
+	return c.IsActivePrimary() && !c.shuttingDown.Load() && sincePrimary >= lease.Duration
 }
 
 // IsActivePrimary tells whether this process is primary and the source of the updates.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -78,7 +78,7 @@
 		{"null for a list", 200, `{"replicas":null}`, ErrInvalidPage},
 		{"empty entry", 200, `{"replicas":[{}]}`, ErrIncompleteEntry},
 		{"null for an entry", 200, `{"replicas":[null]}`, ErrIncompleteEntry},
-		{"endless", 200, `{"replicas":[` + entry + `],"next_token":"again"}`, ErrEndless},
+		{"endless", 200, `{"replicas":[` + entry + `],"next_token":"again"}`, ErrTooManyPages},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			replicas, _, err := read(t, func(string) (int, string) { return x.status, x.body })
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -11,8 +11,8 @@
 	ErrInvalidPage = errors.New("platform: page can't be read")
 	// ErrIncompleteEntry says that an entry has no id, address or service.
 	ErrIncompleteEntry = errors.New("platform: entry without id, address or service")
-	// ErrEndless says that a listing has over maxPages pages.
-	ErrEndless = errors.New("platform: the list has no end")
+	// ErrTooManyPages says that a listing has over maxPages pages: its tokens may lead round in a circle.
+	ErrTooManyPages = errors.New("platform: the list has too many pages")
 )
 
 // StatusError says that the platform answered with another status than 200.
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -78,7 +78,7 @@
 		}
 		token = *page.Next
 	}
-	return nil, ErrEndless
+	return nil, ErrTooManyPages
 }
 
 // fetch gets the page with a token, the first one if it is empty.
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -233,12 +233,12 @@
 	return false
 }
 
-// copyWithout copies a set and leaves one member out.
-func copyWithout(set map[string]bool, left string) map[string]bool {
+// copyWithout copies a set and leaves one member out. The copy is never nil.
+func copyWithout(set map[string]bool, excluded string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for member := range set {
 		out[member] = true
 	}
-	delete(out, left)
+	delete(out, excluded)
 	return out
 }
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -39,8 +39,8 @@
 	changes []committedChange // by rising base
 }
 
-// Outcome tells what is known of a change with this base and digest while revision current is in force.
-func (h *History) Outcome(base int64, digest string, current int64) Outcome {
+// outcome is what is known of a change with this base and digest while revision current is in force.
+func (h *History) outcome(base int64, digest string, current int64) Outcome {
 	at := sort.Search(len(h.changes), func(i int) bool { return h.changes[i].base >= base })
 	if at < len(h.changes) && h.changes[at].base == base {
 		if h.changes[at].digest == digest {
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -43,5 +43,5 @@
 
 // Outcome tells whether a change of the configuration was committed before. Only views with a history know.
 func (v *View) Outcome(e ConfigEvent) Outcome {
-	return v.History.Outcome(e.BaseRevision(), e.identity(), v.Config.Revision)
+	return v.History.outcome(e.BaseRevision(), e.identity(), v.Config.Revision)
 }
