--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -94,7 +94,7 @@
 	}
 	windows, err := calendar.Read(file, known)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "configcheck: left out:", err)
+		fmt.Fprintln(os.Stderr, "configcheck: calendar ignored:", err)
 		return nil
 	}
 	return calendar.OpenAt(windows, time.Now())
--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -132,5 +132,5 @@
 	_, err = FetchView("x:1", time.Minute, func(string, time.Duration) (net.Conn, error) { return nil, http.ErrServerClosed })
 	require.ErrorIs(t, err, ErrFleetUnreachable)
 	require.ErrorIs(t, err, http.ErrServerClosed)
-	require.ErrorContains(t, err, "could not be asked")
+	require.ErrorContains(t, err, "the fleet's view cannot be fetched")
 }
--- a/internal/configcheck/fetch.go
+++ b/internal/configcheck/fetch.go
@@ -15,8 +15,8 @@
 // maxAnswerBytes bounds one answer held in memory.
 const maxAnswerBytes = 32 << 20
 
-// ErrFleetUnreachable says that the fleet's view could not be had; the error around it says why.
-var ErrFleetUnreachable = errors.New("the fleet could not be asked")
+// ErrFleetUnreachable says that the fleet's view could not be fetched; the error around it says why.
+var ErrFleetUnreachable = errors.New("the fleet's view cannot be fetched")
 
 // FetchView gets a controller's view of the fleet from its state page, a host and a port. dial may be nil for the real
 // network. It fails with ErrFleetUnreachable, or with an error of [state.DecodeView] if the answer is no view.
--- a/internal/controller/load_sums.go
+++ b/internal/controller/load_sums.go
@@ -21,7 +21,8 @@
 	wait.Every(c.ctx, loadInterval, func() bool {
 		loads := c.loadSums.Total(time.Now())
 		if !c.IsActivePrimary() {
-			if published = false; len(loads) > 0 {
+			published = false
+			if len(loads) > 0 {
 				c.follower.Send(c.loadMessage(loads))
 			}
 			return true
--- a/internal/controller/replica_list.go
+++ b/internal/controller/replica_list.go
@@ -43,7 +43,7 @@
 	for c.ctx.Err() == nil {
 		pause := leaseRetryInterval
 		if c.IsActivePrimary() && (c.listLease.Held() || c.listLease.Renew()) {
-			c.readList(false)
+			c.readList(c.listLease.Held)
 			pause = discovery.ListInterval
 		}
 		if !wait.Sleep(c.ctx, pause) {
@@ -52,10 +52,11 @@
 	}
 }
 
-// readList reads the list and publishes its changes if the lease for it is held; the first time of an epoch needs none.
-func (c *Controller) readList(first bool) {
+// readList reads the list and publishes its changes. It publishes nothing if, by then, another epoch began here or the
+// condition no longer holds: a reading that took long must not undo a newer one.
+func (c *Controller) readList(holds func() bool) {
 	source := c.source.Load()
-	allowed := func() bool { return source != nil && c.source.Load() == source && (first || c.listLease.Held()) }
+	allowed := func() bool { return source != nil && c.source.Load() == source && holds() }
 	if !allowed() {
 		return
 	}
--- a/internal/controller/updates.go
+++ b/internal/controller/updates.go
@@ -19,9 +19,9 @@
 		c.log.Warn("updates not published: a newer epoch is known", "epoch", epoch)
 		return
 	}
-	// Once without the lease: that one decides who reads again and again, and is granted only later. The reading ends
-	// with the context.
-	go c.readList(true)
+	// The first reading does without the lease, which is not granted before a lease's span has passed
+	// (wantsListLease): followers of a new primary would wait so long for a list. It ends with the context.
+	go c.readList(func() bool { return true })
 }
 
 // firstSnapshot is the state that a source begins with: configuration and evacuations from the replicated state, the
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"testing"
@@ -66,23 +67,27 @@
 
 func TestReader_UnusableAnswer_IsNoList(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		status int
-		body   string
-		want   error
+		name     string
+		status   int
+		body     string
+		want     error
+		wantText string
 	}{
-		{"too many calls", 429, "{}", &StatusError{Status: 429}},
-		{"broken", 500, "", &StatusError{Status: 500}},
-		{"no JSON", 200, "nonsense", ErrInvalidPage},
-		{"no list", 200, "{}", ErrInvalidPage},
-		{"null for a list", 200, `{"replicas":null}`, ErrInvalidPage},
-		{"empty entry", 200, `{"replicas":[{}]}`, ErrIncompleteEntry},
-		{"null for an entry", 200, `{"replicas":[null]}`, ErrIncompleteEntry},
-		{"endless", 200, `{"replicas":[` + entry + `],"next_token":"again"}`, ErrTooManyPages},
+		{"too many calls", 429, "{}", &StatusError{Status: 429}, "platform answered 429"},
+		{"broken", 500, "", &StatusError{Status: 500}, "platform answered 500"},
+		{"no JSON", 200, "nonsense", ErrInvalidPage, "platform: page can't be read: invalid character 'o' in literal null (expecting 'u')"},
+		{"no list", 200, "{}", ErrInvalidPage, "platform: page can't be read: no replicas key"},
+		{"null for a list", 200, `{"replicas":null}`, ErrInvalidPage, "platform: page can't be read: no replicas key"},
+		{"empty entry", 200, `{"replicas":[{}]}`, ErrIncompleteEntry, `platform: entry without id, address or service: entry 0 of its page, id ""`},
+		{"null for an entry", 200, `{"replicas":[null]}`, ErrIncompleteEntry, "platform: entry without id, address or service: entry 0 of its page is null"},
+		{"endless", 200, `{"replicas":[` + entry + `],"next_token":"again"}`, ErrTooManyPages, "platform: the list has too many pages"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			replicas, _, err := read(t, func(string) (int, string) { return x.status, x.body })
-			require.Equal(t, x.want, err)
+			if !errors.Is(err, x.want) {
+				require.Equal(t, x.want, err)
+			}
+			require.EqualError(t, err, x.wantText)
 			require.Nil(t, replicas)
 		})
 	}
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -109,12 +109,18 @@
 // parsePage reads a page and checks that each of its entries is complete.
 func parsePage(body []byte) (*page, error) {
 	parsed := &page{}
-	if err := json.Unmarshal(body, parsed); err != nil || parsed.Replicas == nil {
-		return nil, ErrInvalidPage
+	if err := json.Unmarshal(body, parsed); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalidPage, err)
 	}
-	for _, replica := range *parsed.Replicas {
-		if replica == nil || replica.ID == "" || replica.Address == "" || replica.Pool == "" {
-			return nil, ErrIncompleteEntry
+	if parsed.Replicas == nil {
+		return nil, fmt.Errorf("%w: no replicas key", ErrInvalidPage)
+	}
+	for i, replica := range *parsed.Replicas {
+		if replica == nil {
+			return nil, fmt.Errorf("%w: entry %d of its page is null", ErrIncompleteEntry, i)
+		}
+		if replica.ID == "" || replica.Address == "" || replica.Pool == "" {
+			return nil, fmt.Errorf("%w: entry %d of its page, id %q", ErrIncompleteEntry, i, replica.ID)
 		}
 	}
 	return parsed, nil
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,7 +14,7 @@
 // maxPort is the highest port number.
 const maxPort = 65535
 
-// check rejects settings with which a program can't run, and sets defaults.
+// check rejects settings with which a program can't run.
 func (s *Settings) check(roles Roles) error {
 	checks := []func() error{
 		s.checkMachine,
@@ -63,7 +63,7 @@
 		return invalid("ip", "is not an address: "+strconv.Quote(s.IP))
 	}
 	if !validPortRange(s.Ports) {
-		return invalid("internal_port_range", "needs two ports at least four apart")
+		return invalid("internal_port_range", fmt.Sprintf("must be the first and the last of at least %d ports", RouterStatePortOffset+1))
 	}
 	if len(s.Seeds) == 0 {
 		return invalid("seed_nodes", "is missing")
@@ -134,8 +134,8 @@
 	if key := firstInvalid(s.Bounds); key != "" {
 		return invalid("bounds."+key, "must be a number of 0 or more")
 	}
-	if key := s.LongWork.check(); key != "" {
-		return invalid("long_work."+key, "is out of bounds")
+	if key, want := s.LongWork.firstInvalid(); key != "" {
+		return invalid("long_work."+key, "must be "+want)
 	}
 	if s.Bounds.ContactMs == 0 {
 		return invalid("bounds.contact_ms", "is missing")
--- a/internal/settings/long_work.go
+++ b/internal/settings/long_work.go
@@ -1,5 +1,7 @@
 package settings
 
+import "fmt"
+
 // LongWork are the options of long work between nodes (package coord/handoff, docs/long-work.md). A number that is 0
 // takes its default.
 type LongWork struct {
@@ -29,16 +31,20 @@
 // AcceptedJobsLimit bounds the jobs of other nodes that run here at once; no setting may allow more.
 const AcceptedJobsLimit = 256
 
-// check sets defaults and names the first key that is out of bounds; empty if none is.
-func (l *LongWork) check() (key string) {
+// firstInvalid gives the first key whose value is out of bounds, and what it must be; both are empty if none is.
+func (l *LongWork) firstInvalid() (key, want string) {
 	switch {
 	case !validNumber(l.PatientTargets):
-		return "patient"
+		return "patient", "a number of 0 or more"
 	case !validNumber(l.HeavyTargets):
-		return "heavy"
+		return "heavy", "a number of 0 or more"
 	case l.MaxAcceptedJobs < 0 || l.MaxAcceptedJobs > AcceptedJobsLimit:
-		return "takes"
+		return "takes", fmt.Sprintf("between 0 and %d", AcceptedJobsLimit)
 	}
+	return "", ""
+}
+
+func (l *LongWork) setDefaults() {
 	if l.PatientTargets == 0 {
 		l.PatientTargets = defaultPatientTargets
 	}
@@ -48,5 +54,4 @@
 	if l.MaxAcceptedJobs == 0 {
 		l.MaxAcceptedJobs = defaultMaxAcceptedJobs
 	}
-	return ""
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -176,5 +176,6 @@
 	if err := parsed.check(roles); err != nil {
 		return nil, err
 	}
+	parsed.LongWork.setDefaults()
 	return parsed, nil
 }
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -22,6 +22,6 @@
 
 // Errors of a stored history that no version writes.
 var (
-	ErrHistoryTruncated = errors.New("history of changes is cut short")
+	ErrHistoryTruncated = errors.New("history of changes is truncated")
 	ErrHistoryUnordered = errors.New("history of changes is out of order")
 )
--- a/internal/state/view_json.go
+++ b/internal/state/view_json.go
@@ -45,7 +45,7 @@
 func DecodeView(encoded []byte) (*View, error) {
 	var stored viewJSON
 	if err := json.Unmarshal(encoded, &stored); err != nil {
-		return nil, fmt.Errorf("checkpoint: %w", err)
+		return nil, fmt.Errorf("view: %w", err)
 	}
 	view := EmptyView()
 	if stored.Config != nil {
