--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -148,17 +148,29 @@
 func (s *Server) commit(c *call, event state.Event) {
 	request := &ChangeRequest{Event: event, Deadline: c.deadline, CallerGone: c.request.Context().Done()}
 	if err := s.control.Commit(s.ctx, request); err != nil {
-		s.logRejected(event, err)
+		s.logFailed(event, err)
 		s.replyError(c, err)
 		return
 	}
 	httpreply.JSON(c.writer, http.StatusOK, map[string]bool{"ok": true})
 }
 
-func (s *Server) logRejected(event state.Event, err error) {
-	base := int64(0)
-	if change, ok := event.(state.ConfigEvent); ok {
-		base = change.BaseRevision()
+// logFailed logs a change that was answered with an error. What is unavailable has a line of its own: it may have been
+// made ([ControlState]).
+func (s *Server) logFailed(event state.Event, err error) {
+	kind := errkind.KindOf(err)
+	log := s.log.With("kind", string(event.Kind()), "status", kind.Status())
+	switch event := event.(type) {
+	case state.ConfigEvent:
+		log = log.With("base", event.BaseRevision())
+	case state.EvacuateZone:
+		log = log.With("zone", event.Zone)
+	case state.ReadmitZone:
+		log = log.With("zone", event.Zone)
 	}
-	s.log.Info("config change rejected", "kind", string(event.Kind()), "base", base, "error", err.Error())
+	if kind == errkind.Unavailable {
+		log.Info("config change not acknowledged", "error", err.Error())
+		return
+	}
+	log.Info("config change rejected", "error", err.Error())
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -1,6 +1,7 @@
 package adminapi
 
 import (
+	"bytes"
 	"context"
 	"log/slog"
 	"net/http"
@@ -122,6 +123,43 @@
 	require.Equal(t, 404, ask(&fakeControl{here: true}, "GET", "/v1/config", "", "").Code, "before the first configuration")
 }
 
+func TestServer_FailedChange_LogSaysWhichAndWhetherItWasDecided(t *testing.T) {
+	for _, x := range []struct {
+		name           string
+		method, target string
+		fail           errkind.Kind
+		want           string
+	}{
+		{
+			"conflict", "PATCH", "/v1/config", errkind.VersionConflict,
+			`level=INFO msg="config change rejected" part=adminapi kind=patch status=412 base=7 error=x`,
+		},
+		{
+			"no decision", "PUT", "/v1/config", errkind.Unavailable,
+			`level=INFO msg="config change not acknowledged" part=adminapi kind=put status=503 base=7 error=x`,
+		},
+		{
+			"evacuation", "POST", "/v1/evacuation/north", errkind.Unavailable,
+			`level=INFO msg="config change not acknowledged" part=adminapi kind=evacuate status=503 zone=north error=x`,
+		},
+		{
+			"end of an evacuation", "DELETE", "/v1/evacuation/north", errkind.NotPrimary,
+			`level=INFO msg="config change rejected" part=adminapi kind=return status=307 zone=north error=x`,
+		},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			var lines bytes.Buffer
+			log := slog.New(slog.NewTextHandler(&lines, nil))
+			control := &fakeControl{here: true, fail: errkind.New(x.fail, "x")}
+			request := httptest.NewRequest(x.method, x.target, strings.NewReader("{}"))
+			request.Header.Set("If-Match", "7")
+			New(t.Context(), log, control).ServeHTTP(httptest.NewRecorder(), request)
+			_, got, _ := strings.Cut(strings.TrimSpace(lines.String()), " ") // without the time
+			require.Equal(t, x.want, got)
+		})
+	}
+}
+
 func TestServer_DeposedDuringACall_PointsToTheNewPrimaryOrSaysNothing(t *testing.T) {
 	for _, x := range []struct {
 		name         string
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -62,10 +62,10 @@
 	r.loaded = fileStamp(r.options.file)
 	env, err := r.options.load()
 	if err != nil {
-		r.log.Error("invalid settings not applied", "error", err.Error())
+		r.log.Error("invalid settings not applied", "file", r.options.file, "error", err.Error())
 		return
 	}
-	r.log.Info("settings reloaded")
+	r.log.Info("settings reloaded", "file", r.options.file)
 	r.daemon.Reload(env)
 }
 
