--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -96,7 +96,7 @@
 }
 
 // send sends a request until it is served, fails or is out of attempts.
-func (t *traffic) send(kind *Kind, number, prefix, router int) Result {
+func (t *traffic) send(ctx context.Context, kind *Kind, number, prefix, router int) Result {
 	request := t.newRequest(kind, number, prefix)
 	result := Result{
 		AtMs:    milliseconds(request.sentAt.Sub(t.start)),
@@ -106,14 +106,14 @@
 	for result.Attempts < maxClientAttempts {
 		result.Attempts++
 		next := t.routers[(router+result.Attempts-1)%len(t.routers)]
-		attempt := request.sendAttempt(next, result.Attempts)
+		attempt := request.sendAttempt(ctx, next, result.Attempts)
 		result.Outcome = outcomeOf(attempt.status)
 		result.Why = attempt.why
 		if result.Outcome == Served {
 			result.Why = ""
 			break
 		}
-		if !request.mayRetry(attempt) || !wait.Sleep(t.ctx, attempt.wait) {
+		if !request.mayRetry(attempt) || !wait.Sleep(ctx, attempt.wait) {
 			break
 		}
 	}
@@ -158,12 +158,12 @@
 }
 
 // sendAttempt sends the request once, with an id of its own.
-func (r *clientRequest) sendAttempt(router string, number int) attemptResult {
+func (r *clientRequest) sendAttempt(ctx context.Context, router string, number int) attemptResult {
 	rules := r.traffic.rules
 	id := fmt.Sprintf("%s.%d", r.name, number)
 	path := "/" + r.kind.Name + "/" + r.name
 	rules.recordSent(id, !r.kind.isIdempotent(), http.MethodPost+" "+path+" "+r.body)
-	ctx, cancel := context.WithDeadline(r.traffic.ctx, r.deadline)
+	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	// The body can't be read a second time, so that the transport repeats nothing.
 	body := io.NopCloser(strings.NewReader(r.body))
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -22,8 +22,8 @@
 	streams map[string]chan replicamodel.Token // by request
 }
 
-// newEngine starts an engine for a service; it is slower by a factor than the
-// service says.
+// newEngine makes an engine for a service; it is slower by a factor than the
+// service says. Its owner calls run.
 func newEngine(ctx context.Context, service *Service, slower float64) *engine {
 	spec := service.Engine
 	model := replicamodel.New(replicamodel.Spec{
@@ -35,17 +35,16 @@
 		ChunkTokens:            spec.ChunkTokens,
 		MemoryTokens:           spec.MemoryTokens,
 	})
-	started := &engine{
+	return &engine{
 		ctx:     ctx,
 		start:   time.Now(),
 		wakeup:  make(chan struct{}, 1),
 		model:   model,
 		streams: map[string]chan replicamodel.Token{},
 	}
-	go started.run()
-	return started
 }
 
+// run makes the steps of the model until the context ends.
 func (e *engine) run() {
 	for {
 		stepEnd, busy := e.nextStep()
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -38,15 +38,20 @@
 	replicas []*state.Replica
 }
 
-func newPlatform(ctx context.Context, spec ListSpec, current func() []*state.Replica) *platform {
+// newPlatform makes a platform that lists the replicas of the moment; run makes it follow their changes.
+func newPlatform(spec ListSpec, current func() []*state.Replica) *platform {
 	p := &platform{spec: spec, current: current}
 	p.record()
-	interval := max(pollInterval, durations.FromMilliseconds(spec.LagMs)/4)
-	go wait.Every(ctx, interval, func() bool {
+	return p
+}
+
+// run follows the changes until the context ends.
+func (p *platform) run(ctx context.Context) {
+	interval := max(pollInterval, durations.FromMilliseconds(p.spec.LagMs)/4)
+	wait.Every(ctx, interval, func() bool {
 		p.record()
 		return true
 	})
-	return p
 }
 
 // record takes a snapshot and drops those that are too old to be listed.
--- a/internal/emulator/platform_test.go
+++ b/internal/emulator/platform_test.go
@@ -38,12 +38,13 @@
 		defer cancel()
 		var n atomic.Int64
 		n.Store(5)
-		p := newPlatform(ctx, ListSpec{LagMs: 400, RatePerS: 3, Page: 2}, func() (out []*state.Replica) {
+		p := newPlatform(ListSpec{LagMs: 400, RatePerS: 3, Page: 2}, func() (out []*state.Replica) {
 			for i := range int(n.Load()) {
 				out = append(out, &state.Replica{ID: fmt.Sprint(i), Zone: []string{"a", "b"}[i%2]})
 			}
 			return
 		})
+		go p.run(ctx)
 		time.Sleep(time.Second)
 		n.Store(6)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -54,6 +54,7 @@
 	name    string
 	address string
 	zone    string
+	running sync.WaitGroup // its servers and engines
 
 	mu          sync.Mutex
 	incarnation int // number of starts
@@ -105,7 +106,7 @@
 	r.connections = 0
 	r.server = r.newServer(r.incarnation)
 	server := r.server
-	go func() { _ = server.Serve(listener) }()
+	r.running.Go(func() { _ = server.Serve(listener) })
 	return nil
 }
 
@@ -131,7 +132,9 @@
 func (r *Replica) resetModel(slower float64) {
 	r.queue = replicamodel.NewQueue(r.service.Slots, r.service.Queue)
 	if r.service.Engine != nil {
-		r.engine = newEngine(r.ctx, r.service, slower)
+		started := newEngine(r.ctx, r.service, slower)
+		r.running.Go(started.run)
+		r.engine = started
 	}
 }
 
@@ -179,6 +182,12 @@
 	}
 }
 
+// close ends the replica once its context has ended, and waits for its servers and engines.
+func (r *Replica) close() {
+	r.stop()
+	r.running.Wait()
+}
+
 // id names the replica's incarnation; the caller holds the lock.
 func (r *Replica) id() string { return fmt.Sprintf("i-%s-%d", r.name, r.incarnation) }
 
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -75,7 +75,7 @@
 		besides.Go(func() { b.changeConfiguration(besideCtx, report) })
 	}
 	besides.Go(func() { printProgress(besideCtx, report, output) })
-	newTraffic(b.ctx, b.experiment, b.rules, b.fronts(), report.add).run()
+	newTraffic(b.experiment, b.rules, b.fronts(), report.add).run(b.ctx)
 	interrupted := b.ctx.Err() != nil
 	stopBeside()
 	besides.Wait()
--- a/internal/emulator/testbed.go
+++ b/internal/emulator/testbed.go
@@ -42,6 +42,7 @@
 	controllers  []*daemon
 	routers      []*daemon
 	servers      []*http.Server
+	background   sync.WaitGroup // of the platform and its server
 	operator     *operator
 }
 
@@ -141,14 +142,15 @@
 }
 
 func (b *testbed) startPlatform(list func() []*state.Replica) error {
-	b.platform = newPlatform(b.ctx, b.experiment.Platform, list)
+	b.platform = newPlatform(b.experiment.Platform, list)
 	listener, err := listen(b.listAddress)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: b.platform, ReadHeaderTimeout: settings.HeaderTimeout}
 	b.servers = append(b.servers, server)
-	go func() { _ = server.Serve(listener) }()
+	b.background.Go(func() { b.platform.run(b.ctx) })
+	b.background.Go(func() { _ = server.Serve(listener) })
 	return nil
 }
 
@@ -278,10 +280,11 @@
 	stopping.Wait()
 	b.cancel()
 	for _, replica := range b.replicas {
-		replica.stop()
+		replica.close()
 	}
 	for _, server := range b.servers {
 		_ = server.Close()
 	}
+	b.background.Wait()
 	_ = os.RemoveAll(b.dir)
 }
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -18,7 +18,6 @@
 
 // traffic sends one experiment's requests.
 type traffic struct {
-	ctx        context.Context
 	experiment *Experiment
 	rules      *ruleChecker
 	routers    []string     // front addresses
@@ -28,9 +27,8 @@
 	results    func(Result)
 }
 
-func newTraffic(ctx context.Context, experiment *Experiment, rules *ruleChecker, routers []string, results func(Result)) *traffic {
+func newTraffic(experiment *Experiment, rules *ruleChecker, routers []string, results func(Result)) *traffic {
 	return &traffic{
-		ctx:        ctx,
 		experiment: experiment,
 		rules:      rules,
 		routers:    routers,
@@ -55,10 +53,10 @@
 }
 
 // run sends all requests and waits for their ends, or for the context's.
-func (t *traffic) run() {
+func (t *traffic) run(ctx context.Context) {
 	var senders, open sync.WaitGroup
 	for i := range t.experiment.Kinds {
-		senders.Go(func() { t.sendKind(i, &open) })
+		senders.Go(func() { t.sendKind(ctx, i, &open) })
 	}
 	senders.Wait()
 	open.Wait()
@@ -67,7 +65,7 @@
 
 // sendKind sends the requests of one kind at random times (a Poisson process). The
 // same seed gives the same requests.
-func (t *traffic) sendKind(index int, open *sync.WaitGroup) {
+func (t *traffic) sendKind(ctx context.Context, index int, open *sync.WaitGroup) {
 	kind := &t.experiment.Kinds[index]
 	random := rand.New(rand.NewPCG(t.experiment.Seed, uint64(index)))
 	prefixes := newPrefixChooser(kind, random)
@@ -76,12 +74,12 @@
 		at = at.Add(durations.FromSeconds(random.ExpFloat64() / kind.PerS))
 		prefix := prefixes.next()
 		router := random.IntN(len(t.routers))
-		if !wait.Sleep(t.ctx, time.Until(at)) {
+		if !wait.Sleep(ctx, time.Until(at)) {
 			return
 		}
 		open.Go(func() {
-			result := t.send(kind, number, prefix, router)
-			if result.Outcome == Served || t.ctx.Err() == nil { // what an interruption cut off is no failure of the fleet
+			result := t.send(ctx, kind, number, prefix, router)
+			if result.Outcome == Served || ctx.Err() == nil { // what an interruption cut off is no failure of the fleet
 				t.results(result)
 			}
 		})
