--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,4 +1,5 @@
-// Command controller keeps the control state and tells the routers.
+// Command controller is one member of the control plane: it replicates the configuration and the evacuations, answers the
+// operator, and pushes updates to the routers.
 package main
 
 import (
@@ -16,7 +17,7 @@
 func main() {
 	daemon.Main(daemon.Program{
 		Name:        "controller",
-		Description: "Keeps configuration and evacuations, reads the platform's list and tells the routers.",
+		Description: "Keeps configuration and evacuations, reads the platform's list and pushes updates to the routers.",
 		Roles:       settings.Roles{Control: true},
 		Build:       build,
 	})
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if c.subcommand == subcommandCell { // it ends with its input; the process that started it hears the signals
+	if c.subcommand == subcommandCell { // it ends with its input; signals are for the process that started it
 		signal.Ignore(syscall.SIGINT)
 		return c.cell(ctx)
 	}
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Command router carries the traffic.
+// Command router serves clients: it routes their requests to model replicas.
 package main
 
 import (
--- a/internal/adminapi/control_state.go
+++ b/internal/adminapi/control_state.go
@@ -7,10 +7,9 @@
 	"shaletrestle/internal/state"
 )
 
-// ControlState is the replicated state as the operator sees it. What a call gives without an error, and what an error
-// says that is not of the kinds below, holds at some moment between the call and its end. Errors carry a kind of
-// package errkind: Unavailable says that nothing is known, so that a change may have been made or not; NotPrimary that
-// another member answers.
+// ControlState is the replicated state as the operator sees it. Its errors carry a kind of package errkind. Unavailable
+// says that nothing is known: a change may have been made or not. NotPrimary says that another member answers. All other
+// results, rejections included, are linearizable: they are true at some moment between the call and its end.
 type ControlState interface {
 	// Primary is the control address to ask, and whether it is this process; empty if none is known to be primary.
 	Primary() (address string, here bool)
@@ -27,7 +26,7 @@
 	CallerGone <-chan struct{} // closed when the caller closes its connection; nil: never
 }
 
-// Expired tells whether nobody waits for the answer any more.
+// Expired reports whether nobody waits for the answer any more.
 func (r *ChangeRequest) Expired(now time.Time) bool {
 	select {
 	case <-r.CallerGone:
--- a/internal/adminapi/primary.go
+++ b/internal/adminapi/primary.go
@@ -29,7 +29,7 @@
 	l.since = time.Time{}
 }
 
-// lasted tells for how long no primary is known; a loss that is new begins now.
+// lasted gives for how long no primary has been known; the first call after clear begins the loss.
 func (l *primaryLoss) lasted(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,8 +62,9 @@
 	}
 }
 
-// mayAwaitTakeover tells whether the primary was lost so lately that a takeover may be under way, and whether the
-// caller can wait for it. A member that is cut off answers at once: another one may know more.
+// mayAwaitTakeover reports whether the primary was lost so recently that a takeover may be under way, and the caller
+// still has the time to wait for it. A member that has been cut off for longer answers at once, so that the caller asks
+// another one, which may know more.
 func (s *Server) mayAwaitTakeover(c *call) bool {
 	now := time.Now()
 	lost := s.primaryLoss.lasted(now)
@@ -84,7 +85,7 @@
 		return
 	}
 	address, here := s.control.Primary()
-	if here || address == "" { // nobody is to be sent round in a circle
+	if here || address == "" { // a redirect to this member would lead back here
 		httpreply.Error(c.writer, errNoPrimary)
 		return
 	}
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -18,7 +18,7 @@
 	"shaletrestle/internal/state"
 )
 
-// fakeControl is a control state that notes what it is asked.
+// fakeControl is a control state that records what it is asked.
 type fakeControl struct {
 	mu          sync.Mutex
 	primary     string
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -20,8 +20,8 @@
 	Summary string    `json:"what"`
 }
 
-// Read gives the windows of a file that name one of the zones, which are the keys of a map with regions that are not
-// empty. Without an error every event of the file has a start and an end.
+// Read gives the windows of a file that name one of the zones; zones gives the region of each, and a zone without one is
+// unknown. A file with an event that has no start or no end is rejected as one, with all its windows.
 func Read(path string, zones map[string]string) ([]Window, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,8 +19,8 @@
 	return &InvalidError{Reason: fmt.Sprintf(format, values...)}
 }
 
-// check sets the typed form of a merged document and holds it against the rules of validity; before is the document
-// that it replaces.
+// check sets the typed form of a merged document and checks the rules of validity; before is the document that it
+// replaces, nil if there is none.
 func (d *Document) check(before *Document) error {
 	if before != nil && d.Revision <= before.Revision {
 		return invalid("%s %d is not above %d", keyRevision, d.Revision, before.Revision)
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -10,8 +10,9 @@
 // DigestBytes is the size of a change's digest. Digests are stored: it stays as it is.
 const DigestBytes = 16
 
-// Digest tells whether two changes mean the same: it goes by the JSON's meaning, not by its spacing or the order of
-// its keys. A body that is no single complete object has the digest of its bytes. The kind is the stored one of the event.
+// Digest identifies a change of the configuration: it is equal for bodies that differ only in the spacing of their JSON
+// or the order of its keys. A body that is no single complete object has the digest of its bytes. The kind is the stored
+// one of the event.
 func Digest(kind string, base int64, body []byte) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(kind + "\x00" + strconv.FormatInt(base, 10) + "\x00"))
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -35,7 +35,7 @@
 
 // Patch makes the configuration that d becomes by a change: body names items to remove and items or keys to upsert.
 // Items are known by their name; removing one that isn't there changes nothing. An [InvalidError] says what is wrong
-// with the change or with the whole that it makes, a revision that is not above that of d included.
+// with the change or with the configuration that it makes, a revision that is not above that of d included.
 func (d *Document) Patch(body []byte) (*Document, error) {
 	object, err := parseObject(body)
 	if err != nil {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -29,7 +29,8 @@
 	return object, nil
 }
 
-// checkUniqueKeys reads one value.
+// checkUniqueKeys reads one JSON value and fails if it is malformed, or if a key stands twice in an object at any depth.
+// encoding/json would silently take the last one of two.
 func checkUniqueKeys(decoder *json.Decoder) error {
 	token, err := decoder.Token()
 	if err != nil {
--- a/internal/configcheck/check.go
+++ b/internal/configcheck/check.go
@@ -8,7 +8,7 @@
 )
 
 // Check checks a complete configuration, as it would be sent, against a view of the fleet (nil: against the rules of
-// validity alone), and notes the maintenance windows that are open now.
+// validity alone). The windows are those that are open now; each becomes a note.
 func Check(body []byte, view *state.View, windows []calendar.Window) *Report {
 	report := &Report{Fleet: view != nil, Findings: []Finding{}}
 	if view == nil {
--- a/internal/configcheck/fetch.go
+++ b/internal/configcheck/fetch.go
@@ -12,7 +12,7 @@
 	"shaletrestle/internal/state"
 )
 
-// maxAnswerBytes bounds one answer held in memory.
+// maxAnswerBytes bounds the answer, which is read into memory.
 const maxAnswerBytes = 32 << 20
 
 // ErrFleetUnreachable says that the fleet's view could not be fetched; the error around it says why.
--- a/internal/configcheck/report.go
+++ b/internal/configcheck/report.go
@@ -7,7 +7,7 @@
 	"sort"
 )
 
-// Severity tells how bad a finding is.
+// Severity is how bad a finding is.
 type Severity string
 
 // The severities. All but severityInfo are problems.
@@ -32,7 +32,7 @@
 	Findings []Finding `json:"findings"`
 }
 
-// HasProblems tells whether there is a finding that is more than a note.
+// HasProblems reports whether there is a finding that is more than a note.
 func (r *Report) HasProblems() bool {
 	for _, finding := range r.Findings {
 		if finding.Severity != severityInfo {
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -78,7 +78,9 @@
 	return state.EncodeEvent(event), nil
 }
 
-// superseded guards the acknowledgement: the state must not hold another change in this one's place.
+// superseded reports that another change was committed on this one's base: two primaries may each have decided on the
+// same state, and of their entries only the first applies ([state.Store.Apply] ignores the other). The other must not
+// be acknowledged.
 func superseded(view *state.View, event state.Event) bool {
 	change, ok := event.(state.ConfigEvent)
 	if !ok {
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestController_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages between a controller and nodes.
+// TestController_RecordedBytes_ReadAndWrittenAsBefore pins the form of the messages between a controller and nodes.
 func TestController_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/messages.txt")
 	c := openRecorded(t, "whole")
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,7 +52,7 @@
 	feed         *distribution.Feed
 	follower     *distribution.Follower              // of the primary, as a relay
 	source       atomic.Pointer[distribution.Source] // nil while this process is not primary; written by member's callbacks
-	primarySince atomic.Int64                        // Unix time in nanoseconds; written with source
+	primarySince atomic.Int64                        // Unix time in nanoseconds, 0 before the first time; written with source
 
 	grantor   *lease.Grantor
 	listLease *lease.Holder // its holder reads the platform's list and lends retries
@@ -133,8 +133,8 @@
 	api := httpServer(c.api)
 	page := httpServer(http.HandlerFunc(c.serveStatePage))
 
-	// What work holds ends at once with the context, or with Close below. The others end with the context too, but may be
-	// in a write to a slow disk or in a last call to another machine: the process ends without waiting for that.
+	// Goroutines of work end at once with the context, or with Close below. The others end with the context too, but may
+	// be in a write to a slow disk or in a last call to another machine: the process ends without waiting for that.
 	var work sync.WaitGroup
 	go rpc.Serve(c.ctx, members, c.handle)
 	work.Go(func() { _ = api.Serve(control) })
@@ -170,18 +170,19 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: settings.HeaderTimeout, IdleTimeout: settings.IdleTimeout}
 }
 
-// Shutdown gives back the list lease and hands this member's roles over, for at most the grace that the settings give.
+// Shutdown releases the list lease and hands this member's roles over, for at most the grace that the settings give.
 // The caller ends the context afterwards.
 func (c *Controller) Shutdown() {
 	c.shuttingDown.Store(true)
-	c.listLease.Renew() // it is not wanted any more: given back
+	c.listLease.Renew() // releases the lease: wantsListLease is false now
 	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - settings.GraceMargin
 	if !c.member.Leave(time.Now().Add(grace)) {
 		c.log.Warn("shut down while still holding leases")
 	}
 }
 
-// handle takes the messages of other processes and gives the reply to those that want one, nil otherwise.
+// handle dispatches a message of another process. The result is the reply; nil if the message wants none, or if its
+// part replies later by itself.
 func (c *Controller) handle(channel *rpc.Channel, message *rpc.Message) *rpc.Message {
 	if c.member.Handle(channel, message) {
 		return nil
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// Reload takes new settings: nothing that a controller holds depends on those that may change while it runs.
+// Reload ignores the new settings: no part of a controller depends on those that may change while it runs.
 func (c *Controller) Reload(*settings.Settings) {}
 
 // View is the newest view of the replication known here; nil if none is.
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -5,7 +5,7 @@
 // view of the replication names as primary also decides on the operator's changes, makes the updates, reads the
 // platform's list, counts the fleet, weighs the routers' reports on replicas and lends retries.
 //
-// What belongs to whom:
+// Who owns which state:
 //
 //   - On disk: the log, the snapshots and the register of the member, written by coord/replication alone. They survive
 //     a restart. A process without a disk joins without a vote.
@@ -13,7 +13,7 @@
 //   - Controller.updates: what followers get, that is the above and replicas, fleet and controllers. Only the feed
 //     writes it. It is in memory; after a restart the primary's snapshot fills it, or if this process is the primary,
 //     the first reading of the list and the first followers.
-//   - In memory only, and begun anew after a restart or a change of the primary: the fleet's members, reports on
+//   - In memory only, and empty after a restart or a change of the primary: the fleet's members, reports on
 //     replicas, sums of load, leases, loans. Each lives in a field of Controller that says who uses it.
 //
 // The way of a change of the configuration through this package: adminapi calls Controller.Commit, which proposes it
--- a/internal/controller/errors.go
+++ b/internal/controller/errors.go
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("whether an order on version %d was taken is no longer known", e.Base)
 }
 
-// kindOf is the table from the errors of the control side to the kinds, and so the HTTP status, of the answers. What
-// is not in it is of the kind that it carries, or our own failure.
+// kindOf is the table from the errors of the control side to the kinds, and so the HTTP status, of the answers. A kind
+// that the error carries already goes first; an error without one that is not in the table is Internal.
 func kindOf(err error) errkind.Kind {
 	if kind := errkind.KindOf(err); kind != errkind.Internal {
 		return kind
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -14,10 +14,11 @@
 // reported within 3.5 s (package failuredetector), so that all know of it within 4 s.
 const fleetPublishInterval = 500 * time.Millisecond
 
-// fleetTimeout is the time after which a router that is not reached any more leaves the fleet size.
+// fleetTimeout is the time after which a router that is not reached any more leaves the fleet size. A restart within it
+// changes nobody's share; a router that its watchers suspect leaves sooner (removeSuspect).
 const fleetTimeout = 30 * time.Second
 
-// fleet holds the routers that share the budgets, as the primary reaches them. It is in memory only: a new primary
+// fleet is the set of routers that share the budgets, as the primary reaches them. It is in memory only: a new primary
 // begins with none and publishes no list before it reaches the first.
 type fleet struct {
 	mu          sync.Mutex
@@ -28,7 +29,7 @@
 
 func newFleet() *fleet { return &fleet{lastContact: map[string]time.Time{}} }
 
-// update notes who is reached now and gives the sorted addresses of those that count.
+// update records who is reached now and gives the sorted addresses of the fleet.
 func (f *fleet) update(reached []rpc.Member, now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,8 +51,9 @@
 	return nodes
 }
 
-// removeSuspect takes a router out, unless that left fewer than the allowed part of the largest fleet of late: one
-// that still runs keeps using its old share.
+// removeSuspect takes a router out and reports whether it did. It does not if the fleet would be smaller than its peak by
+// more than one in [retrybudget.SuspectDivisor]: a suspect that still runs goes on with its old share of the budgets, and
+// the shares leave room for that many.
 func (f *fleet) removeSuspect(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,8 +84,9 @@
 	}
 }
 
-// handleSuspect takes a watcher's report that a router does not answer. The primary takes it out of the fleet if it
-// isn't reached any more; others pass the report on.
+// handleSuspect takes a watcher's report that the router named by Text does not answer, or with OK that it does again.
+// The primary takes a router out of the fleet if it isn't reached any more; others pass the report on. One that answers
+// again needs nothing here: update adds it when it is reached.
 func (c *Controller) handleSuspect(message *rpc.Message) {
 	if !c.IsActivePrimary() {
 		c.follower.Send(message)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestFleetPublishInterval_LostNodeReported_PublishedInTime(t *testing.T) {
-	const reported = 3500 * time.Millisecond // after the loss; a test of failuredetector.Watcher holds it
+	const reported = 3500 * time.Millisecond // after the loss; asserted by a test of failuredetector.Watcher
 	require.LessOrEqual(t, reported+fleetPublishInterval, 4*time.Second)
 }
 
--- a/internal/controller/load_sums.go
+++ b/internal/controller/load_sums.go
@@ -9,7 +9,8 @@
 	"shaletrestle/internal/state"
 )
 
-// loadInterval is how often a relay or the primary passes sums of load on.
+// loadInterval is how often a relay or the primary passes sums of load on (docs/coordination.md, "loadsum"; weighed by
+// scores in docs/placement.md).
 const loadInterval = 110 * time.Millisecond
 
 // shareLoadSums passes on, until the context ends, what waits at the replicas: a relay sends the primary the sum
--- a/internal/controller/member.go
+++ b/internal/controller/member.go
@@ -8,14 +8,15 @@
 	"shaletrestle/internal/settings"
 )
 
-// primaryTimeout is the silence after which nobody is sent to the primary any more: one heartbeat missed, another late.
+// primaryTimeout is the time since the last contact after which calls are no longer redirected to the primary: one
+// heartbeat was missed and the next one is late.
 const primaryTimeout = 400 * time.Millisecond
 
 // currentMember is this process's member of the replicated state machine. It names a primary only if the newest view
-// does and it was heard from a moment ago.
+// does and it was in contact within primaryTimeout.
 type currentMember struct{ *replication.Member }
 
-// Primary is the member that is primary by the newest view known here, if it was heard from within primaryTimeout; if
+// Primary is the member that is primary by the newest view known here, if it was in contact within primaryTimeout; if
 // it is this one, it must be active too.
 func (m currentMember) Primary() (primary rpc.Member, known bool) {
 	primary, inContact := m.Member.Primary()
@@ -30,7 +31,8 @@
 	return primary, m.SincePrimaryContact() < primaryTimeout
 }
 
-// replicationConfig tells which failures the settings want to be tolerated, and connects the member to this controller.
+// replicationConfig derives from the settings which failures the member must tolerate, and connects it to this
+// controller. Domains are regions if the settings want the loss of regions tolerated, else zones.
 func (c *Controller) replicationConfig(store replication.Store) replication.Config {
 	env := c.settings
 	losses, tolerable := env.MaxFailures()
@@ -60,7 +62,7 @@
 }
 
 // primaryToFollow is the address of the process that this one follows as a relay: the primary; empty if it is this one
-// or not known.
+// or not known. It doesn't depend on the parent that failed: relays follow the primary alone.
 func (c *Controller) primaryToFollow(string) string {
 	primary, known := c.member.Primary()
 	if !known || primary.ID == c.member.Self().ID {
--- a/internal/controller/outlier_reports.go
+++ b/internal/controller/outlier_reports.go
@@ -10,14 +10,15 @@
 	"shaletrestle/internal/state"
 )
 
-// reportsLimit bounds the reports on replicas that a relay holds until it passes them on; the oldest give way.
+// reportsLimit bounds the reports on replicas that a relay keeps until it passes them on; the oldest are dropped.
 const reportsLimit = 1024
 
-// outlierReports holds the followers' reports on replicas, on their way to the primary.
+// outlierReports are the followers' reports on replicas that a relay has not passed on yet and, on the primary, the time
+// of the last evaluation.
 type outlierReports struct {
 	mu          sync.Mutex
 	pending     []outlier.Report // guarded by mu
-	evaluatedAt time.Time        // when reports were last weighed here; guarded by mu
+	evaluatedAt time.Time        // of the last evaluation; guarded by mu
 }
 
 func (r *outlierReports) add(reports []outlier.Report) {
@@ -40,7 +41,7 @@
 	return encoded
 }
 
-// evaluationDue tells whether the last evaluation was a heartbeat ago or more, and notes that one is made now.
+// evaluationDue reports whether the last evaluation was a heartbeat ago or more; if so, it records one for now.
 func (r *outlierReports) evaluationDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,8 +52,8 @@
 	return true
 }
 
-// handleReports takes what followers report on replicas: the primary weighs it, others pass it on with their own next
-// acknowledgement.
+// handleReports takes what followers report on replicas: the primary evaluates it, others pass it on with their own next
+// acknowledgement. Reports that can't be read are dropped: they are hints, and followers send more.
 func (c *Controller) handleReports(encoded []byte) {
 	var reports []outlier.Report
 	if len(encoded) == 0 || json.Unmarshal(encoded, &reports) != nil {
--- a/internal/controller/replica_list.go
+++ b/internal/controller/replica_list.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// leaseRetryInterval is the pause while the list lease is wanted and not granted yet.
+	// leaseRetryInterval is the pause before a process that does not hold the list lease looks again whether it should.
 	leaseRetryInterval = 50 * time.Millisecond
-	// failuresPerLog is how many failed readings make one line of the log.
+	// failuresPerLog is how many failed readings make one line of the log: about one in 14 s, at [discovery.ListInterval]
+	// each.
 	failuresPerLog = 16
 )
 
@@ -38,7 +39,7 @@
 	}
 }
 
-// readListWhileHeld reads the list at once when the lease comes, then each [discovery.ListInterval] while it is held.
+// readListWhileHeld reads the list as soon as the lease is granted, then each [discovery.ListInterval] while it is held.
 func (c *Controller) readListWhileHeld() {
 	for c.ctx.Err() == nil {
 		pause := leaseRetryInterval
--- a/internal/controller/retry_loans.go
+++ b/internal/controller/retry_loans.go
@@ -17,8 +17,10 @@
 	return fairshare.NewLender(int64(lent), window)
 }
 
-// handleLoan lends retries out of the common part of a service's budget. Only the holder of the list lease lends, of
-// which there is one at a time; other members ask it once.
+// handleLoan answers a request for a loan: Number retries out of the common part of the budget of the service that Text
+// names. Only the holder of the list lease lends, of which there is one at a time; other members forward the request to
+// it. The reply has OK if this loan was decided on, and in Number what was lent, which may be 0. A message that is no
+// call has nobody to lend to: nil.
 func (c *Controller) handleLoan(message *rpc.Message) *rpc.Message {
 	if message.Call == 0 {
 		return nil
@@ -32,7 +34,7 @@
 	}
 	wanted := int64(min(message.Number, retrybudget.LoanRetries))
 	lent := c.lender.Lend(message.Text, wanted, since, time.Now())
-	if !c.listLease.Held() { // this process may have stood still in between
+	if !c.listLease.Held() { // the process may have been suspended in between, past the lease's end
 		return message.Reply(false)
 	}
 	reply := message.Reply(true)
--- a/internal/controller/updates.go
+++ b/internal/controller/updates.go
@@ -19,7 +19,7 @@
 		c.log.Warn("updates not published: a newer epoch is known", "epoch", epoch)
 		return
 	}
-	// The first reading does without the lease, which is not granted before a lease's span has passed
+	// The first reading does without the lease, which is not wanted before a lease's duration has passed
 	// (wantsListLease): followers of a new primary would wait so long for a list. It ends with the context.
 	go c.readList(func() bool { return true })
 }
@@ -38,14 +38,16 @@
 	return view.Encode()
 }
 
-// stepDown ends this process's being the source: it is no longer primary.
+// stepDown ends the source when this process is no longer primary. What it knew of the fleet's reports is dropped: the
+// next primary collects its own.
 func (c *Controller) stepDown() {
 	c.source.Store(nil)
 	c.feed.End()
 	c.aggregator.Reset()
 }
 
-// publishCommitted publishes what the replicated state has taken in.
+// publishCommitted publishes a committed change. Where this process is not the source it does nothing, and nothing is
+// lost: the source publishes it, and a later one begins with a snapshot that contains it.
 func (c *Controller) publishCommitted(_, _ *state.View, event state.Event) {
 	switch event := event.(type) {
 	case nil: // a snapshot was restored; followers get one of their own
@@ -74,12 +76,12 @@
 	}
 }
 
-// wantsListLease tells whether this process should hold the list lease. One that has just become primary waits for a
-// lease's span: its grantors may be others than those that granted the lease of the primary before it.
+// wantsListLease reports whether this process should hold the list lease. One that has just become primary waits for a
+// lease's duration: its grantors may be others than those that granted the lease of the primary before it.
 func (c *Controller) wantsListLease() bool {
 	sincePrimary := time.Duration(time.Now().UnixNano() - c.primarySince.Load())
 	return c.IsActivePrimary() && !c.shuttingDown.Load() && sincePrimary >= lease.Duration
 }
 
-// IsActivePrimary tells whether this process is primary and the source of the updates.
+// IsActivePrimary reports whether this process is primary and the source of the updates.
 func (c *Controller) IsActivePrimary() bool { return c.source.Load() != nil }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -23,7 +23,7 @@
 	return file
 }
 
-// fakeDaemon notes the settings that it gets.
+// fakeDaemon records the settings that it gets.
 type fakeDaemon struct{ reloaded []*settings.Settings }
 
 func (*fakeDaemon) Run() error                      { return nil }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,4 +1,4 @@
-// Package daemon holds what the long-running programs share: the command line, the settings file and its reload, the
+// Package daemon is what the long-running programs share: the command line, the settings file and its reload, the
 // limits on memory, and the way to the end.
 //
 // A program gets SIGTERM or SIGINT: it hands over what it has ([Daemon.Shutdown]), then its context ends. On SIGHUP,
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// run reacts until the program is told to end or the context ends.
+// run reacts until a signal ends the program or the context ends.
 func (r *reloader) run(ctx context.Context) {
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, 4) // room for those that come while a reload or Shutdown runs
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	r.loaded = fileStamp(r.options.file)
 	for {
@@ -59,7 +59,7 @@
 
 // reload gives the daemon the file's settings; invalid ones are not applied.
 func (r *reloader) reload() {
-	r.loaded = fileStamp(r.options.file)
+	r.loaded = fileStamp(r.options.file) // before reading: a change in between is seen at the next check
 	env, err := r.options.load()
 	if err != nil {
 		r.log.Error("invalid settings not applied", "file", r.options.file, "error", err.Error())
@@ -69,7 +69,7 @@
 	r.daemon.Reload(env)
 }
 
-// fileStamp is a text that changes when the file does.
+// fileStamp is a text that changes when the file does; "none" if there is no file.
 func fileStamp(file string) string {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/internal/discovery/differ.go
+++ b/internal/discovery/differ.go
@@ -15,8 +15,9 @@
 func NewDiffer() *Differ { return &Differ{missed: map[string]int{}} }
 
 // Diff gives the event that turns the known replicas into the listed ones, nil if nothing changed. A replica counts as
-// gone at its second complete listing without it; an empty listing changes nothing. initialized tells whether a listing
-// was applied before: the first one is an event in any case.
+// gone at its second complete listing without it; an empty listing of a fleet that has replicas changes nothing, as
+// the platform is more likely at fault than all replicas gone. initialized says whether a listing was applied before: the
+// first one is an event in any case.
 func (d *Differ) Diff(known map[string]*state.Replica, initialized bool, listed []*state.Replica) *state.UpdateReplicas {
 	if len(listed) == 0 && len(known) > 0 {
 		return nil
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -22,13 +22,13 @@
 	pageTimeout = 700 * time.Millisecond
 	// dialTimeout bounds a dial of the platform.
 	dialTimeout = 200 * time.Millisecond
-	// maxAnswerBytes bounds one answer held in memory.
+	// maxAnswerBytes bounds one page, which is read into memory.
 	maxAnswerBytes = 32 << 20
 	// maxPages is the most pages of one listing; more is taken for an endless loop.
 	maxPages = 1000
 )
 
-// Reader calls the platform for its list ("GET /replicas", in pages). It holds one idle connection and may be used by
+// Reader calls the platform for its list ("GET /replicas", in pages). It keeps one idle connection and may be used by
 // many goroutines.
 type Reader struct {
 	url    string
@@ -55,7 +55,7 @@
 	Next     *string           `json:"next_token"`
 }
 
-// isLast tells whether no page follows.
+// isLast reports whether no page follows.
 func (p *page) isLast() bool { return p.Next == nil || *p.Next == "" }
 
 // Read gives the complete list. If any page fails it gives none: the error is that of the call, a [StatusError], or one of
--- a/internal/errkind/compatibility_test.go
+++ b/internal/errkind/compatibility_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKind_Answers_AreTheRecordedOnes holds the statuses and texts that clients and operators are given.
+// TestKind_Answers_AreTheRecordedOnes pins the statuses and texts that clients and operators are given.
 func TestKind_Answers_AreTheRecordedOnes(t *testing.T) {
 	type answer struct {
 		status int
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -11,7 +11,8 @@
 // Kind is one of the closed list of error kinds. It decides the status of an answer.
 type Kind int
 
-// The kinds. Overloaded, Unavailable and NotPrimary promise that nothing was run for the request.
+// The kinds. To a client of a router, Overloaded and Unavailable promise that nothing was run for the request. To the
+// operator, Unavailable promises nothing: a change may have been made or not (adminapi.ControlState).
 const (
 	None             Kind = iota // no error
 	InvalidInput                 // 400: what was sent can't be read or is invalid
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -47,7 +47,7 @@
 	value string
 }
 
-// checkMachine checks what tells of the machine and of its place in the fleet.
+// checkMachine checks what every program needs: the machine, its ports and the seeds.
 func (s *Settings) checkMachine() error {
 	required := []field{
 		{"node_name", s.NodeName},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,7 +15,7 @@
 	NodeName string `yaml:"node_name"`
 	// Role is the operator's name of what the process does. It is not used.
 	Role string `yaml:"role"`
-	// Serves tells who may call the process from outside: "edge" for clients, "control_plane" for the operator. It is
+	// Serves says who may call the process from outside: "edge" for clients, "control_plane" for the operator. It is
 	// not used: the program that is started says it ([Roles]).
 	Serves []string `yaml:"serves"`
 	// IP is the machine's own address, for messages between processes. Required.
@@ -48,7 +48,7 @@
 	Tolerance Tolerance `yaml:"fault_tolerance"`
 	// Bounds are the figures of the rules.
 	Bounds Bounds `yaml:"bounds"`
-	// Cloud tells where the platform's list of replicas is.
+	// Cloud says where the platform's list of replicas is.
 	Cloud CloudAPI `yaml:"cloud_api"`
 	// Calendar is the path of an iCalendar file with maintenance windows; empty for none.
 	Calendar string `yaml:"maintenance_calendar"`
@@ -86,16 +86,16 @@
 type Tolerance struct {
 	// Machines counts machines with QuorumMember.
 	Machines int `yaml:"machine_losses"`
-	// Zones counts whole zones.
+	// Zones counts zones, each with all its machines.
 	Zones int `yaml:"zones"`
-	// Regions counts whole regions.
+	// Regions counts regions, each with all its zones.
 	Regions int `yaml:"region_losses"`
 }
 
-// Bounds are the figures of the rules that the fleet is held to (the rules page), each 0 or more. Those that are not
+// Bounds are the figures of the rules that the fleet must keep (the rules page), each 0 or more. Those that are not
 // used stand here to be checked: a file with a wrong one is rejected.
 type Bounds struct {
-	// ContactMs is the time in milliseconds for which a machine must have been in touch to be held to bounds in time.
+	// ContactMs is the time in milliseconds for which a machine must have had contact before bounds in time apply to it.
 	// Required, above 0.
 	ContactMs float64 `yaml:"contact_ms"`
 	// AckMs is the time in milliseconds within which an operator's change is acknowledged. It is not used.
@@ -141,7 +141,7 @@
 	SeedLagSeconds float64 `yaml:"seed_lag_s"`
 }
 
-// CloudAPI tells where the platform's list of replicas is.
+// CloudAPI says where the platform's list of replicas is.
 type CloudAPI struct {
 	// Address is a host and a port. A program with Roles.Control needs it.
 	Address string `yaml:"address"`
--- a/internal/settings/tolerance.go
+++ b/internal/settings/tolerance.go
@@ -1,9 +1,9 @@
 package settings
 
-// maxFailures bounds the members that may be lost at once; more would need over 17 members.
+// maxFailures bounds the members that may be lost at once: 8 need 17 witnesses.
 const maxFailures = 8
 
-// HasDisk tells whether this machine keeps the control state on its disk.
+// HasDisk reports whether this machine keeps the control state on its disk.
 func (s *Settings) HasDisk() bool { return s.QuorumMember && s.DataDir != "" }
 
 // MaxFailures is the number of control members whose loss at once must be tolerated: the machines that may go, or as
--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestEvent_RecordedBytes_ReadAndWrittenAsBefore holds the form of events on disk and in updates.
+// TestEvent_RecordedBytes_ReadAndWrittenAsBefore pins the form of events on disk and in updates.
 func TestEvent_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/events.txt")
 	for _, x := range recordedEvents() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestStore_RecordedSnapshots_ReadAndWrittenAsBefore applies the events one after the other and holds the form of the
+// TestStore_RecordedSnapshots_ReadAndWrittenAsBefore applies the events one after the other and pins the form of the
 // snapshot after each, with a history and without.
 func TestStore_RecordedSnapshots_ReadAndWrittenAsBefore(t *testing.T) {
 	for _, x := range []struct {
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -1,4 +1,4 @@
-// Package state holds the state of the fleet as every process sees it: the operator's configuration, evacuated
+// Package state is the state of the fleet as every process sees it: the operator's configuration, evacuated
 // zones, the platform's list of replicas, and which nodes and controllers run.
 //
 // An [Event] is one change of it, a [View] the state after some events, a [Store] the newest view of one process.
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -40,11 +40,11 @@
 	BaseRevision() int64
 	// WithoutDigest is the event as followers get it: they keep no history.
 	WithoutDigest() ConfigEvent
-	// identity tells this change from others on the same revision.
+	// identity distinguishes this change from others on the same revision.
 	identity() string
 }
 
-// ConfigChange holds what the two events of the configuration have in common.
+// ConfigChange is what the two events of the configuration have in common.
 type ConfigChange struct {
 	Base   int64           // the revision that the change was built on; 0 before the first configuration
 	Body   json.RawMessage // as the operator sent it
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// UpdateFleet tells which routers share the budgets. [NewUpdateFleet] makes it.
+// UpdateFleet carries which routers share the budgets. [NewUpdateFleet] makes it.
 type UpdateFleet struct {
 	Size        int      // of the fleet after the event
 	Nodes       []string // sorted addresses: all, or with Incremental those that came
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// UpdateControllers tells where the control members are.
+// UpdateControllers carries the addresses of the control members.
 type UpdateControllers struct{ Controllers []Controller }
 
 // Kind is "houses".
@@ -224,7 +224,7 @@
 
 func (UpdateSuspects) applyTo(*View) error { return nil }
 
-// ChangesPlacement tells whether an event may change which replicas get requests. A snapshot (nil) may.
+// ChangesPlacement reports whether an event may change which replicas get requests. A snapshot (nil) may.
 func ChangesPlacement(e Event) bool {
 	switch e.(type) {
 	case nil, UpdateReplicas, EvacuateZone, ReadmitZone:
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -9,14 +9,14 @@
 	"shaletrestle/internal/config"
 )
 
-// historyLimit bounds the changes that a history holds. An operator repeats a change for seconds; so many changes are
-// over an hour at the busiest rate, and take some ten kilobytes of a snapshot.
+// historyLimit bounds the changes in a history. An operator repeats a change for seconds; so many changes are over an
+// hour at the busiest rate, and take some ten kilobytes of a snapshot.
 const historyLimit = 512
 
 // digestBytes is the size of a change's digest in a history.
 const digestBytes = config.DigestBytes
 
-// Outcome tells what is known of a change of the configuration.
+// Outcome is what is known of a change of the configuration.
 type Outcome int
 
 // The outcomes of a change.
@@ -32,7 +32,7 @@
 	digest string
 }
 
-// History holds the newest committed changes of the configuration, one for each revision that was built on. It has no
+// History is the newest committed changes of the configuration, one for each revision that was built on. It has no
 // gap: a change on a revision between the oldest and the newest in it was committed exactly if it is in it. It is
 // never changed after it was made.
 type History struct {
--- a/internal/state/replica.go
+++ b/internal/state/replica.go
@@ -23,7 +23,7 @@
 	Revision int64  `json:"revision"`
 }
 
-// Equal tells whether two entries say the same, as far as followers need to know: that a replica is warming up
+// Equal reports whether two entries say the same, as far as followers need to know: that a replica is warming up
 // counts, how long it still does is left out, as it changes with each reading. No entry equals nil.
 func (r *Replica) Equal(other *Replica) bool {
 	if other == nil {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -6,7 +6,7 @@
 	"go.uber.org/atomic"
 )
 
-// Options tell what a store keeps. The zero value keeps the newest view and takes any snapshot.
+// Options say what a store keeps. The zero value keeps the newest view and takes any snapshot.
 type Options struct {
 	// History makes the store remember the changes of the configuration that were committed, to recognise one that is
 	// sent again. The store of the replicated state needs it; a snapshot without one (of an older version) leaves
@@ -77,8 +77,9 @@
 	return nil
 }
 
-// Apply is Update for an entry of the replicated log. It has no error: all replicas apply the same entries to the same
-// view, so that an entry which changes nothing here changes nothing anywhere.
+// Apply is Update for an entry of the replicated log. It drops the error: all replicas apply the same entries to the same
+// view, so that an entry which changes nothing here changes nothing anywhere. Whoever acknowledges a change asks
+// [View.Outcome] whether it was the one applied.
 func (s *Store) Apply(entry []byte) { _ = s.Update(entry) }
 
 // Snapshot gives the bytes of the newest view, for Restore.
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// Outcome tells whether a change of the configuration was committed before. Only views with a history know.
+// Outcome is what this view knows of a change of the configuration that may have been committed before. The view must
+// have a history.
 func (v *View) Outcome(e ConfigEvent) Outcome {
 	return v.History.outcome(e.BaseRevision(), e.identity(), v.Config.Revision)
 }
