--- a/internal/emulator/addresses.go
+++ b/internal/emulator/addresses.go
@@ -28,7 +28,7 @@
 // The range in which a first port is looked for.
 const (
 	lowestPort = 18000
-	portBlocks = 1500 // of yardPorts ports each
+	portBlocks = 1500 // of portsPerMachine ports each
 )
 
 // addressPool gives out emulated machines: loopback addresses with a few ports
