--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -203,3 +203,46 @@
 	require.Equal(t, DiskFailed, last.Rejection)
 	require.Equal(t, "first;", receiver.machine.content)
 }
+
+// TestTransfer_Tag_DecidesWhatIsTaken gives a backup state under tags that are older than, equal to and newer than what it holds, before and after a restart.
+func TestTransfer_Tag_DecidesWhatIsTaken(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	receiver := net.node(primary.core.View().Backups[0])
+	net.isolate(receiver)
+	stream := encodeState(primary.core.snapshot(), nil)
+	target := receiver.core.state.position
+	var last SnapshotChunkReply
+	net.drop = func(from *node, m Message) bool {
+		if reply, is := m.(SnapshotChunkReply); is && from == receiver {
+			last = reply
+		}
+		return from == receiver
+	}
+	epoch := receiver.core.knownEpoch()
+	give := func(epoch Epoch, round uint64) SnapshotChunkReply {
+		given := chunk(primary, receiver, target, stream, stream, 0)
+		given.Tag = StateTag{Epoch: epoch, Ballot: ballotOf(round, primary.disk.id)}
+		last = SnapshotChunkReply{}
+		receiver.step(Received{given})
+		net.run(10 * time.Millisecond)
+		return last
+	}
+	held := receiver.disk.snapshot
+	require.Equal(t, NewerView, give(0, 50).Rejection, "no proposal")
+	require.Equal(t, NewerView, give(epoch, 50).Rejection, "the known epoch")
+	require.Equal(t, UnknownView, give(epoch+2, 50).Rejection, "an epoch whose base is not known")
+	receiver.core.register.Promised = ballotOf(60, primary.disk.id)
+	require.Equal(t, HigherPromise, give(epoch+1, 50).Rejection, "a ballot below the promise")
+	receiver.core.register.Promised = 0
+	require.Same(t, held, receiver.disk.snapshot, "nothing was taken so far")
+	require.True(t, give(epoch+1, 70).Complete)
+	require.Equal(t, HigherPromise, give(epoch+1, 69).Rejection, "a ballot below the one whose state is held")
+	require.True(t, give(epoch+1, 70).Complete, "the same state again, while it is joined")
+	require.Empty(t, receiver.disk.pending)
+	snapshot := receiver.disk.snapshot
+	receiver.stop()
+	receiver.start()
+	require.Equal(t, DuplicateEntry, give(epoch+1, 70).Rejection, "the same state again, after a restart")
+	require.Same(t, snapshot, receiver.disk.snapshot, "what was appended since may be committed")
+}
