--- a/internal/adminapi/primary.go
+++ b/internal/adminapi/primary.go
@@ -41,7 +41,7 @@
 
 // onPrimary answers a call here if this process is primary, points to the primary if another is, and says so if none
 // is known. While a takeover may be under way it waits a little for its end.
-func (s *Server) onPrimary(c *call, answer func(*call)) {
+func (s *server) onPrimary(c *call, answer func(*call)) {
 	for {
 		address, here := s.control.Primary()
 		if here || address != "" {
@@ -65,7 +65,7 @@
 // mayAwaitTakeover reports whether the primary was lost so recently that a takeover may be under way, and the caller
 // still has the time to wait for it. A member that has been cut off for longer answers at once, so that the caller asks
 // another one, which may know more.
-func (s *Server) mayAwaitTakeover(c *call) bool {
+func (s *server) mayAwaitTakeover(c *call) bool {
 	now := time.Now()
 	lost := s.primaryLoss.lasted(now)
 	callerGone := c.request.Context().Err() != nil
@@ -79,7 +79,7 @@
 }
 
 // replyError answers an error. A member that is no longer primary points to the new one, if it knows it.
-func (s *Server) replyError(c *call, err error) {
+func (s *server) replyError(c *call, err error) {
 	if errkind.KindOf(err) != errkind.NotPrimary {
 		httpreply.Error(c.writer, err)
 		return
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -39,8 +39,8 @@
 	errNoZone          = errkind.New(errkind.InvalidInput, "no zone")
 )
 
-// Server serves the control address. It may be used by many goroutines.
-type Server struct {
+// server answers the calls at the control address.
+type server struct {
 	ctx         context.Context // ends waits for a primary
 	log         *slog.Logger
 	control     ControlState
@@ -54,9 +54,9 @@
 	deadline time.Time
 }
 
-// New makes the operator's handler. The context ends the waits of calls for a primary.
+// New makes the operator's handler, for the control address. The context ends the waits of calls for a primary.
 func New(ctx context.Context, log *slog.Logger, control ControlState) http.Handler {
-	s := &Server{ctx: ctx, log: log.With("part", "adminapi"), control: control}
+	s := &server{ctx: ctx, log: log.With("part", "adminapi"), control: control}
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
 	serve := func(c echo.Context) error {
@@ -68,7 +68,7 @@
 	return router
 }
 
-func (s *Server) dispatch(w http.ResponseWriter, r *http.Request) {
+func (s *server) dispatch(w http.ResponseWriter, r *http.Request) {
 	c := &call{writer: w, request: r, deadline: time.Now().Add(callTimeout)}
 	path := strings.Split(strings.Trim(r.URL.EscapedPath(), "/"), "/")
 	name := r.Method + " " + strings.Join(path[:min(2, len(path))], "/")
@@ -96,7 +96,7 @@
 	}
 }
 
-func (s *Server) readConfig(c *call) {
+func (s *server) readConfig(c *call) {
 	view, err := s.control.Read(s.ctx, c.deadline)
 	switch {
 	case err != nil:
@@ -109,7 +109,7 @@
 	}
 }
 
-func (s *Server) changeConfig(c *call, newEvent func(base int64, body []byte) state.Event) {
+func (s *server) changeConfig(c *call, newEvent func(base int64, body []byte) state.Event) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.writer, c.request.Body, MaxConfigurationBytes))
 	if err != nil {
 		httpreply.Error(c.writer, errBodyIncomplete)
@@ -136,7 +136,7 @@
 	return base, nil
 }
 
-func (s *Server) changeZone(c *call, segment string, newEvent func(zone string) state.Event) {
+func (s *server) changeZone(c *call, segment string, newEvent func(zone string) state.Event) {
 	zone, err := url.PathUnescape(segment)
 	if err != nil || zone == "" {
 		httpreply.Error(c.writer, errNoZone)
@@ -145,7 +145,7 @@
 	s.commit(c, newEvent(zone))
 }
 
-func (s *Server) commit(c *call, event state.Event) {
+func (s *server) commit(c *call, event state.Event) {
 	request := &ChangeRequest{Event: event, Deadline: c.deadline, CallerGone: c.request.Context().Done()}
 	if err := s.control.Commit(s.ctx, request); err != nil {
 		s.logFailed(event, err)
@@ -157,7 +157,7 @@
 
 // logFailed logs a change that was answered with an error. What is unavailable has a line of its own: it may have been
 // made ([ControlState]).
-func (s *Server) logFailed(event state.Event, err error) {
+func (s *server) logFailed(event state.Event, err error) {
 	kind := errkind.KindOf(err)
 	log := s.log.With("kind", string(event.Kind()), "status", kind.Status())
 	switch event := event.(type) {
