--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -110,7 +110,7 @@
 
 func (c *command) demoCommand() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(subcommandDemo)
-	s.Description = "Start a small fleet, send a few hundred requests, print what came of them."
+	s.Description = "Start a small fleet, send a few hundred requests, print the results."
 	c.addResultFlags(s)
 	return s
 }
--- a/internal/controller/replica_list.go
+++ b/internal/controller/replica_list.go
@@ -64,8 +64,8 @@
 	c.list.reads.Inc()
 	listed, err := c.list.reader.Read(c.ctx)
 	if err != nil {
-		if c.list.failures.Inc()%failuresPerLog == 1 {
-			c.list.log.Warn("cannot read replica list", "error", err.Error())
+		if failures := c.list.failures.Inc(); failures%failuresPerLog == 1 {
+			c.list.log.Warn("cannot read replica list", "failures", failures, "error", err.Error())
 		}
 		return
 	}
