--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -246,3 +246,72 @@
 	require.Equal(t, DuplicateEntry, give(epoch+1, 70).Rejection, "the same state again, after a restart")
 	require.Same(t, snapshot, receiver.disk.snapshot, "what was appended since may be committed")
 }
+
+// TestBallot_OtherRegisterSaved_DoesNotCount: only a save that holds the ballot itself lets it be used.
+func TestBallot_OtherRegisterSaved_DoesNotCount(t *testing.T) {
+	net, _ := startedWithOutsider(t)
+	net.primary().stop()
+	node := inPhase(t, net, preparing, isReply[PrepareReply])
+	change := node.core.change
+	change.ballotSynced = false
+	node.core.ballotSaved(change.base.Epoch, change.ballot-1)
+	require.False(t, change.ballotSynced, "a promise before it")
+	node.core.ballotSaved(change.base.Epoch-1, change.ballot+1)
+	require.False(t, change.ballotSynced, "a promise for the epoch before")
+	change.phase = repairing
+	node.core.ballotSaved(change.base.Epoch, change.ballot)
+	require.False(t, change.ballotSynced, "no ballot is chosen yet")
+	change.phase = preparing
+	node.core.ballotSaved(change.base.Epoch, change.ballot)
+	require.True(t, change.ballotSynced)
+}
+
+// TestTransfer_WhileProposing_EndsOwnViewChange: a proposer whose state is replaced may not go on offering it.
+func TestTransfer_WhileProposing_EndsOwnViewChange(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	old := net.commit("first")
+	old.stop()
+	node := inPhase(t, net, transferring, isReply[SnapshotChunkReply])
+	stream := encodeState(node.core.snapshot(), node.core.state.tail)
+	node.step(Received{chunk(old, node, node.core.state.position, stream, stream, 0)})
+	require.Nil(t, node.core.change)
+}
+
+func TestRead_ReplyAfterDeadline_IsIndeterminate(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	var reply Message
+	net.drop = func(_ *node, m Message) bool {
+		if isReply[ConfirmReply](m) {
+			reply = m
+		}
+		return isReply[ConfirmReply](m)
+	}
+	now := net.now - primary.born
+	primary.step(Read{Token: 99, Deadline: now + 3*time.Millisecond})
+	net.run(3 * time.Millisecond)
+	require.NotContains(t, primary.answers, Token(99))
+	for _, effect := range primary.core.Step(now+4*time.Millisecond, Received{reply}) {
+		primary.carryOut(effect)
+	}
+	require.Equal(t, Indeterminate, primary.answers[99].Outcome)
+	require.Equal(t, ErrDeadlineExceeded, primary.answers[99].Err)
+}
+
+// TestCalls_MoreThanMaxPending_AreIndeterminate: what is too much is refused at once, and nothing that waits is.
+func TestCalls_MoreThanMaxPending_AreIndeterminate(t *testing.T) {
+	net := newNetwork(t, 1, "a", "b", "c")
+	net.limits.MaxPending = 2
+	net.startAll()
+	net.run(2 * time.Second)
+	primary := net.commit("first")
+	writes := []Token{primary.proposeText("0"), primary.proposeText("1"), primary.proposeText("2"), primary.proposeText("3")}
+	reads := []Token{primary.read(), primary.read(), primary.read()}
+	for _, token := range []Token{writes[3], reads[2]} {
+		require.Equal(t, ErrTooManyPending, primary.answers[token].Err)
+		require.Equal(t, Indeterminate, primary.answers[token].Outcome)
+	}
+	for _, token := range append(writes[:3], reads[:2]...) {
+		require.True(t, primary.outcome(token).IsDefinite())
+	}
+}
