--- a/internal/simtest/network_test.go
+++ b/internal/simtest/network_test.go
@@ -34,56 +34,59 @@
 	return n, near, far
 }
 
-// TestConn_Read shows for each event what a read gives that waits meanwhile, and when.
+// readCases are events and what a read gives that waits meanwhile, and when.
+var readCases = []struct {
+	name   string
+	event  func(n *Network, near, far net.Conn) // before or during the read at far
+	want   string
+	err    error
+	within time.Duration // from the read's begin
+}{
+	{"data", func(_ *Network, near, _ net.Conn) { _, _ = near.Write([]byte("one")) }, "one", nil, time.Millisecond},
+	{"data after a wait", func(_ *Network, near, _ net.Conn) {
+		time.Sleep(time.Second)
+		_, _ = near.Write([]byte("one"))
+	}, "one", nil, time.Second + time.Millisecond},
+	{"data over a partition", func(n *Network, near, _ net.Conn) {
+		n.Partition(dialler, acceptor)
+		_, _ = near.Write([]byte("one"))
+		time.Sleep(time.Minute)
+		n.Heal()
+	}, "one", nil, time.Minute},
+	{"data for a frozen process", func(n *Network, near, _ net.Conn) {
+		n.Freeze(acceptor)
+		_, _ = near.Write([]byte("one"))
+		time.Sleep(time.Minute)
+		n.Thaw(acceptor)
+	}, "one", nil, time.Minute},
+	{"end", func(_ *Network, near, _ net.Conn) { _ = near.Close() }, "", io.EOF, 0},
+	{"data before the end", func(_ *Network, near, _ net.Conn) {
+		_, _ = near.Write([]byte("one"))
+		_ = near.Close()
+	}, "one", nil, time.Millisecond},
+	{"own end", func(_ *Network, _, far net.Conn) { _ = far.Close() }, "", net.ErrClosed, 0},
+	{"reset", func(n *Network, _, _ net.Conn) { n.ResetAll(dialler) }, "", syscall.ECONNRESET, 0},
+	{"killed peer", func(n *Network, _, _ net.Conn) { n.Kill(dialler) }, "", syscall.ECONNRESET, 0},
+	{
+		"peer without power", func(n *Network, _, _ net.Conn) { n.PowerOff(dialler) }, "", syscall.ETIMEDOUT,
+		upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval,
+	},
+	{"write to a peer without power", func(n *Network, _, far net.Conn) {
+		n.PowerOff(dialler)
+		_, _ = far.Write([]byte("two"))
+	}, "", syscall.ETIMEDOUT, min(upstream.UnacknowledgedTimeout, upstream.KeepAliveIdle+upstream.KeepAliveProbes*upstream.KeepAliveInterval)},
+	{"deadline", func(_ *Network, _, far net.Conn) { _ = far.SetReadDeadline(time.Now().Add(time.Second)) }, "", os.ErrDeadlineExceeded, time.Second},
+	{"data on a forgotten connection", func(n *Network, near, far net.Conn) {
+		_, _ = far.Write([]byte("before"))
+		n.DropIdle(acceptor, time.Second)
+		time.Sleep(2 * time.Second)
+		_, _ = near.Write([]byte("one"))
+	}, "", syscall.ECONNRESET, 2 * time.Second},
+}
+
+// TestConn_Read shows how events end a read.
 func TestConn_Read(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		event  func(n *Network, near, far net.Conn) // before or during the read at far
-		want   string
-		err    error
-		within time.Duration // from the read's begin
-	}{
-		{"data", func(_ *Network, near, _ net.Conn) { _, _ = near.Write([]byte("one")) }, "one", nil, time.Millisecond},
-		{"data after a wait", func(_ *Network, near, _ net.Conn) {
-			time.Sleep(time.Second)
-			_, _ = near.Write([]byte("one"))
-		}, "one", nil, time.Second + time.Millisecond},
-		{"data over a partition", func(n *Network, near, _ net.Conn) {
-			n.Partition(dialler, acceptor)
-			_, _ = near.Write([]byte("one"))
-			time.Sleep(time.Minute)
-			n.Heal()
-		}, "one", nil, time.Minute},
-		{"data for a frozen process", func(n *Network, near, _ net.Conn) {
-			n.Freeze(acceptor)
-			_, _ = near.Write([]byte("one"))
-			time.Sleep(time.Minute)
-			n.Thaw(acceptor)
-		}, "one", nil, time.Minute},
-		{"end", func(_ *Network, near, _ net.Conn) { _ = near.Close() }, "", io.EOF, 0},
-		{"data before the end", func(_ *Network, near, _ net.Conn) {
-			_, _ = near.Write([]byte("one"))
-			_ = near.Close()
-		}, "one", nil, time.Millisecond},
-		{"own end", func(_ *Network, _, far net.Conn) { _ = far.Close() }, "", net.ErrClosed, 0},
-		{"reset", func(n *Network, _, _ net.Conn) { n.ResetAll(dialler) }, "", syscall.ECONNRESET, 0},
-		{"killed peer", func(n *Network, _, _ net.Conn) { n.Kill(dialler) }, "", syscall.ECONNRESET, 0},
-		{
-			"peer without power", func(n *Network, _, _ net.Conn) { n.PowerOff(dialler) }, "", syscall.ETIMEDOUT,
-			upstream.KeepAliveIdle + upstream.KeepAliveProbes*upstream.KeepAliveInterval,
-		},
-		{"write to a peer without power", func(n *Network, _, far net.Conn) {
-			n.PowerOff(dialler)
-			_, _ = far.Write([]byte("two"))
-		}, "", syscall.ETIMEDOUT, min(upstream.UnacknowledgedTimeout, upstream.KeepAliveIdle+upstream.KeepAliveProbes*upstream.KeepAliveInterval)},
-		{"deadline", func(_ *Network, _, far net.Conn) { _ = far.SetReadDeadline(time.Now().Add(time.Second)) }, "", os.ErrDeadlineExceeded, time.Second},
-		{"data on a forgotten connection", func(n *Network, near, far net.Conn) {
-			_, _ = far.Write([]byte("before"))
-			n.DropIdle(acceptor, time.Second)
-			time.Sleep(2 * time.Second)
-			_, _ = near.Write([]byte("one"))
-		}, "", syscall.ECONNRESET, 2 * time.Second},
-	} {
+	for _, c := range readCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, near, far := connected(t)
