--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -49,9 +49,9 @@
 func decideOn(view *state.View, event state.Event) ([]byte, error) {
 	switch event := event.(type) {
 	case state.EvacuateZone:
-		return decideEvacuation(event, view.Evacuated[event.Zone], true)
+		return entryUnless(view.Evacuated[event.Zone], event), nil
 	case state.ReadmitZone:
-		return decideEvacuation(event, view.Evacuated[event.Zone], false)
+		return entryUnless(!view.Evacuated[event.Zone], event), nil
 	case state.ConfigEvent:
 		return decideConfig(view, event)
 	}
@@ -71,11 +71,12 @@
 	return state.EncodeEvent(event), nil
 }
 
-func decideEvacuation(event state.Event, evacuated, wanted bool) ([]byte, error) {
-	if evacuated == wanted {
-		return nil, nil
+// entryUnless gives the entry of an event, nil if it is in force already.
+func entryUnless(inForce bool, event state.Event) []byte {
+	if inForce {
+		return nil
 	}
-	return state.EncodeEvent(event), nil
+	return state.EncodeEvent(event)
 }
 
 // superseded reports that another change was committed on this one's base: two primaries may each have decided on the
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,11 +58,12 @@
 	listLease *lease.Holder // its holder reads the platform's list and lends retries
 	list      *replicaList
 
-	fleet      *fleet
-	reports    outlierReports
-	aggregator *outlier.Aggregator // of the primary; emptied when it steps down
-	loadSums   *loadsum.Sum        // of the own followers
-	lender     *fairshare.Lender
+	fleet       *fleet
+	reports     outlierReports
+	evaluations evaluationPacer
+	aggregator  *outlier.Aggregator // of the primary; emptied when it steps down
+	loadSums    *loadsum.Sum        // of the own followers
+	lender      *fairshare.Lender
 }
 
 // New builds a controller and reads the member's state from its store. The context ends all its work, and must end
--- a/internal/controller/outlier_reports.go
+++ b/internal/controller/outlier_reports.go
@@ -13,12 +13,10 @@
 // reportsLimit bounds the reports on replicas that a relay keeps until it passes them on; the oldest are dropped.
 const reportsLimit = 1024
 
-// outlierReports are the followers' reports on replicas that a relay has not passed on yet and, on the primary, the time
-// of the last evaluation.
+// outlierReports are the followers' reports on replicas that a relay has not passed on yet.
 type outlierReports struct {
-	mu          sync.Mutex
-	pending     []outlier.Report // guarded by mu
-	evaluatedAt time.Time        // of the last evaluation; guarded by mu
+	mu      sync.Mutex
+	pending []outlier.Report // guarded by mu
 }
 
 func (r *outlierReports) add(reports []outlier.Report) {
@@ -41,14 +39,20 @@
 	return encoded
 }
 
-// evaluationDue reports whether the last evaluation was a heartbeat ago or more; if so, it records one for now.
-func (r *outlierReports) evaluationDue(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if now.Sub(r.evaluatedAt) < distribution.HeartbeatInterval {
+// evaluationPacer spaces the primary's evaluations of the reports: each report may ask for one, and so does a timer.
+type evaluationPacer struct {
+	mu   sync.Mutex
+	last time.Time // zero before the first evaluation; guarded by mu
+}
+
+// due reports whether the last evaluation was a heartbeat ago or more; if so, it records one for now.
+func (p *evaluationPacer) due(now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now.Sub(p.last) < distribution.HeartbeatInterval {
 		return false
 	}
-	r.evaluatedAt = now
+	p.last = now
 	return true
 }
 
@@ -78,7 +82,7 @@
 // a heartbeat.
 func (c *Controller) publishSuspects() {
 	now := time.Now()
-	if !c.reports.evaluationDue(now) || !c.IsActivePrimary() {
+	if !c.evaluations.due(now) || !c.IsActivePrimary() {
 		return
 	}
 	size := map[string]int{} // replicas, by service
--- a/internal/controller/outlier_reports_test.go
+++ b/internal/controller/outlier_reports_test.go
@@ -25,10 +25,10 @@
 	require.Nil(t, r.take())
 }
 
-func TestOutlierReports_EvaluationDue_OnceAHeartbeat(t *testing.T) {
-	var r outlierReports
+func TestEvaluationPacer_Due_OnceAHeartbeat(t *testing.T) {
+	var p evaluationPacer
 	start := time.Unix(1000, 0)
-	require.True(t, r.evaluationDue(start))
-	require.False(t, r.evaluationDue(start.Add(distribution.HeartbeatInterval-1)))
-	require.True(t, r.evaluationDue(start.Add(distribution.HeartbeatInterval)))
+	require.True(t, p.due(start))
+	require.False(t, p.due(start.Add(distribution.HeartbeatInterval-1)))
+	require.True(t, p.due(start.Add(distribution.HeartbeatInterval)))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -94,6 +94,21 @@
 	}
 }
 
+func TestParse_OutOfBounds_ErrorSaysTheBounds(t *testing.T) {
+	for _, x := range []struct{ old, new, want string }{
+		{`[7720, 7735]`, `[7720, 7722]`, "settings: internal_port_range must be the first and the last of at least 4 ports"},
+		{`a_later_field: 7`, `long_work: {heavy: -1}`, "settings: long_work.heavy must be a number of 0 or more"},
+		{`a_later_field: 7`, `long_work: {patient: .nan}`, "settings: long_work.patient must be a number of 0 or more"},
+		{`a_later_field: 7`, `long_work: {takes: 257}`, "settings: long_work.takes must be between 0 and 256"},
+	} {
+		t.Run(x.new, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(valid, x.old, x.new, 1)), Roles{Frontend: true, Control: true})
+			require.EqualError(t, err, x.want)
+		})
+	}
+	mustParse(t, strings.Replace(valid, `[7720, 7735]`, `[7720, 7723]`, 1), Roles{Frontend: true, Control: true})
+}
+
 func TestParse_NoYAML_IsInvalid(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(valid, "bounds:", "bounds: [", 1)), Roles{Frontend: true, Control: true})
 	var invalid *InvalidError
--- a/internal/settings/tolerance.go
+++ b/internal/settings/tolerance.go
@@ -19,8 +19,8 @@
 	least := max(tolerance.Machines, tolerance.Zones, tolerance.Regions)
 	for failures = least; failures <= maxFailures; failures++ {
 		witnesses := 2*failures + 1
-		inZones := tolerance.Zones * membersPerPlace(witnesses, len(s.Zones))
-		inRegions := tolerance.Regions * membersPerPlace(witnesses, len(regions))
+		inZones := tolerance.Zones * membersPerDomain(witnesses, len(s.Zones))
+		inRegions := tolerance.Regions * membersPerDomain(witnesses, len(regions))
 		if inZones <= failures && inRegions <= failures {
 			return failures, true
 		}
@@ -28,8 +28,8 @@
 	return least, false
 }
 
-// membersPerPlace is the most members in one place if they are spread evenly.
-func membersPerPlace(members, places int) int {
-	places = max(places, 1)
-	return (members + places - 1) / places
+// membersPerDomain is the most members in one failure domain if they are spread evenly.
+func membersPerDomain(members, domains int) int {
+	domains = max(domains, 1)
+	return (members + domains - 1) / domains
 }
