--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -90,7 +90,8 @@
 	return change.BaseRevision() < view.Config.Revision && view.Outcome(change) == state.OutcomeNotCommitted
 }
 
-// awaitFollowers waits a little until the connected followers have what was pushed up to now.
+// awaitFollowers waits for a bounded time until the connected followers have what was pushed up to now. One that is late
+// does not fail the change: it is committed, and the follower gets it when it can.
 func (c *Controller) awaitFollowers(ctx context.Context, deadline time.Time) {
 	source := c.source.Load()
 	if source == nil {
@@ -104,8 +105,8 @@
 	c.feed.WaitAcked(ctx, number, max(0, min(ackTimeout, left)))
 }
 
-// Read gives the newest view; a majority of the witnesses confirmed in this call that it is. Its errors carry a kind
-// as those of Commit do.
+// Read gives the newest view; a majority of the witnesses confirmed in this call that it is. The deadline alone bounds
+// it, as it does Member.Read. Its errors carry a kind as those of Commit do.
 func (c *Controller) Read(_ context.Context, deadline time.Time) (*state.View, error) {
 	var view *state.View
 	look := func() { view = c.replicated.View() }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -178,7 +178,7 @@
 	c.listLease.Renew() // releases the lease: wantsListLease is false now
 	grace := durations.FromSeconds(c.settings.Bounds.GraceS) - settings.GraceMargin
 	if !c.member.Leave(time.Now().Add(grace)) {
-		c.log.Warn("shut down while still holding leases")
+		c.log.Warn("shut down while still holding leases") // roles in the view, that is; the list lease was released
 	}
 }
 
--- a/internal/controller/replica_list.go
+++ b/internal/controller/replica_list.go
@@ -43,6 +43,7 @@
 func (c *Controller) readListWhileHeld() {
 	for c.ctx.Err() == nil {
 		pause := leaseRetryInterval
+		// Renew asks for the lease now: the holder's own next renewal may be later.
 		if c.IsActivePrimary() && (c.listLease.Held() || c.listLease.Renew()) {
 			c.readList(c.listLease.Held)
 			pause = discovery.ListInterval
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// gcPercent is the growth of the heap, in percent, before the collector runs.
+	// gcPercent is the growth of the heap, in percent, before the collector runs, whatever GOGC says.
 	gcPercent = 100
 	// softMemoryShare is the part of limits.memory_mb that the collector keeps the heap within; a process over the
 	// whole of it is killed.
--- a/internal/discovery/reader.go
+++ b/internal/discovery/reader.go
@@ -22,7 +22,7 @@
 	pageTimeout = 700 * time.Millisecond
 	// dialTimeout bounds a dial of the platform.
 	dialTimeout = 200 * time.Millisecond
-	// maxAnswerBytes bounds one page, which is read into memory.
+	// maxAnswerBytes bounds one page, which is read into memory; a longer one is truncated, and so an invalid page.
 	maxAnswerBytes = 32 << 20
 	// maxPages is the most pages of one listing; more is taken for an endless loop.
 	maxPages = 1000
--- a/internal/settings/addresses.go
+++ b/internal/settings/addresses.go
@@ -20,7 +20,7 @@
 	RouterStatePortOffset = 3
 )
 
-// Limits of own HTTP servers; those of the front may be set by the configuration.
+// Limits of this project's HTTP servers; the configuration may set others for clients.
 const (
 	// HeaderTimeout bounds the reading of a header.
 	HeaderTimeout = 3 * time.Second
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,7 +35,7 @@
 	Seeds []string `yaml:"seed_nodes"`
 	// Bootstrap is true only when the whole fleet starts for the first time, with empty disks.
 	Bootstrap bool `yaml:"bootstrap"`
-	// QuorumMember is true if the machine counts among those that FaultTolerance is about: it has a disk and may vote.
+	// QuorumMember is true if the machine counts among those that Tolerance is about: it has a disk and may vote.
 	QuorumMember bool `yaml:"quorum_member"`
 	// Limits are the resources of the process.
 	Limits Limits `yaml:"limits"`
@@ -112,11 +112,11 @@
 	BudgetRatio float64 `yaml:"retry_budget_ratio"`
 	// BudgetWindowS is the window of the retry budget in seconds.
 	BudgetWindowS float64 `yaml:"retry_window_s"`
-	// BudgetSlack is the number of retries that a service has in each window besides.
+	// BudgetSlack is the number of retries that a service has in each window in addition.
 	BudgetSlack float64 `yaml:"retry_slack"`
 	// ColdOvershoot is the multiple of its warm-up rate that a replica which is warming up may get. It is not used.
 	ColdOvershoot float64 `yaml:"cold_overshoot"`
-	// ColdSlack is the number of requests a second that it may get besides. It is not used.
+	// ColdSlack is the number of requests a second that it may get in addition. It is not used.
 	ColdSlack float64 `yaml:"cold_slack"`
 	// EvacuateMs is the time in milliseconds after which no request reaches an evacuated zone. It is not used.
 	EvacuateMs float64 `yaml:"evacuate_ms"`
@@ -146,7 +146,7 @@
 	// Address is a host and a port. A program with Roles.Control needs it.
 	Address string `yaml:"address"`
 	// RatePerS is the number of calls a second that the list takes from the whole fleet. It is not used: one process
-	// reads it, each 900 ms (package discovery).
+	// reads it, each discovery.ListInterval.
 	RatePerS float64 `yaml:"rate_per_s"`
 	// MaxLagMs is the time in milliseconds by which the list is behind.
 	MaxLagMs float64 `yaml:"max_lag_ms"`
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// UpdateSuspects names the replicas that the experience of the whole fleet makes suspect. It holds for a while only
-// (package coord/outlier) and is no part of the view.
+// UpdateSuspects names the replicas that the experience of the whole fleet makes suspect. It is valid for a bounded
+// time (package coord/outlier) and is no part of the view.
 type UpdateSuspects struct{ Replicas []string } // ids
 
 // Kind is "health".
--- a/internal/state/event_json.go
+++ b/internal/state/event_json.go
@@ -21,7 +21,7 @@
 	Digest      []byte          `json:"digest,omitempty"`
 }
 
-// EncodeEvent gives an event's stored bytes; none if it carries a body that is no JSON, which no view takes either.
+// EncodeEvent gives an event's stored bytes; nil if it carries a body that is no JSON, which [View.Next] rejects too.
 func EncodeEvent(e Event) []byte {
 	encoded, _ := json.Marshal(e.fields())
 	return encoded
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -6,9 +6,9 @@
 
 // View is the state after some events. It is not changed after it was made, so that it may be read by many at once.
 type View struct {
-	Config        *config.Document
-	History       *History // nil in stores without one
-	Evacuated     map[string]bool
+	Config        *config.Document    // never nil; Revision 0 before the first configuration
+	History       *History            // nil in stores without one
+	Evacuated     map[string]bool     // by zone; those that are not in it are in use
 	Replicas      map[string]*Replica // by id
 	ReplicasKnown bool                // the platform's list was read at least once
 	FleetSize     int                 // routers that share the budgets; 0 until that is known
