--- a/coord/outlier/aggregator.go
+++ b/coord/outlier/aggregator.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// isSane reports whether the counts are numbers that a node can have seen; the comparisons are false for NaN.
+// isValid reports whether the counts are numbers that a node can have seen; the comparisons are false for NaN.
 func (r *Report) isValid() bool {
 	return r.Failures >= 0 && r.Successes >= 0 && r.Failures+r.Successes <= maxReportedRequests
 }
--- a/internal/placement/membership.go
+++ b/internal/placement/membership.go
@@ -83,7 +83,7 @@
 	return replica != nil && replica.isOpen()
 }
 
-// OpenCount is the number of replicas of a service that take requests by the list.
+// openCount is the number of replicas of a service that take requests by the list.
 func (p *Placer) openCount(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -82,7 +82,7 @@
 	return r.reported.Waiting > 0 && now.Sub(r.reported.at) < queuedReportLifetime
 }
 
-// add counts a request as sent.
+// addRequest counts a request as sent.
 func (r *replicaState) addRequest(request *Request, matchedTokens int) {
 	r.sent.requests++
 	if request.Chain != nil {
