--- a/internal/configcheck/fleet_findings.go
+++ b/internal/configcheck/fleet_findings.go
@@ -94,7 +94,7 @@
 func capacityOf(service string, view *state.View) serviceCapacity {
 	var capacity serviceCapacity
 	for _, replica := range view.Replicas {
-		if replica.Pool != service || replica.State != "ready" {
+		if replica.Pool != service || replica.State != state.ReplicaReady {
 			continue
 		}
 		capacity.ready++
--- a/internal/placement/membership.go
+++ b/internal/placement/membership.go
@@ -26,7 +26,7 @@
 			p.index.Forget(id) // other weights: its cache is of no use any more
 		}
 		known.listed, known.evacuated = listed, evacuated[listed.Zone]
-		ready[id], services[id] = listed.State == stateReady, listed.Pool
+		ready[id], services[id] = listed.State == state.ReplicaReady, listed.Pool
 		pools[listed.Pool] = append(pools[listed.Pool], known)
 	}
 	for id := range p.replicas {
--- a/internal/placement/replica.go
+++ b/internal/placement/replica.go
@@ -20,9 +20,6 @@
 // were not enough.
 const waitingWeight = 2
 
-// stateReady is the state of listed replicas that take requests.
-const stateReady = "ready"
-
 // replicaState is what this process knows of one replica. It is made when the replica is listed first and dropped
 // with its entry; it is guarded by the Placer's lock.
 type replicaState struct {
@@ -70,7 +67,7 @@
 
 // isOpen reports whether a replica takes requests as far as the list says, whatever its health.
 func (r *replicaState) isOpen() bool {
-	return r.listed.State == stateReady && !r.evacuated && !r.misaddressed
+	return r.listed.State == state.ReplicaReady && !r.evacuated && !r.misaddressed
 }
 
 func (r *replicaState) isWarmingUp(now time.Time) bool {
--- a/internal/state/replica.go
+++ b/internal/state/replica.go
@@ -2,6 +2,9 @@
 
 import "slices"
 
+// ReplicaReady is the State of a replica that takes requests. All other states are the platform's own.
+const ReplicaReady = "ready"
+
 // Replica is one entry of the platform's list. Its keys are those of the list ("Discovery" in the pages) and of
 // stored views.
 type Replica struct {
@@ -11,7 +14,7 @@
 	Zone             string  `json:"zone"`
 	SoftwareRevision string  `json:"revision"`
 	Slots            int     `json:"slots"` // requests that it runs at once
-	State            string  `json:"state"` // "ready" if it takes requests
+	State            string  `json:"state"` // [ReplicaReady] if it takes requests
 	WarmupLeftMs     float64 `json:"warmup_left_ms"`
 	Stage            string  `json:"stage,omitempty"`
 	Models           []Model `json:"models,omitempty"`
