--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -315,3 +315,49 @@
 		require.True(t, primary.outcome(token).IsDefinite())
 	}
 }
+
+// TestAppendReply_RejectedWithEntryOnDisk_IsNoAcknowledgement: a backup that took part in another proposal meanwhile has the entry on disk, but what is proposed there will replace it.
+func TestAppendReply_RejectedWithEntryOnDisk_IsNoAcknowledgement(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	net.drop = func(_ *node, m Message) bool { return isReply[AppendReply](m) || isReply[Prepare](m) }
+	token := primary.proposeText("second")
+	net.run(20 * time.Millisecond)
+	entry := primary.core.write.entry
+	primary.step(Received{AppendReply{
+		Envelope: replyFrom(primary.core.View().Backups[0], primary), Epoch: entry.Epoch, Ballot: entry.Ballot, Index: entry.Index,
+		Rejection: NotJoined, DiskPosition: entry.Position(),
+	}})
+	require.NotContains(t, primary.answers, token)
+	require.NotNil(t, primary.core.change, "the next view is made without it")
+}
+
+// TestAppend_ViewOvertakenBeforeItsSync_IsRejected: while an entry is being written the backup takes no state, and once it learns a newer view it acknowledges the entry no more.
+func TestAppend_ViewOvertakenBeforeItsSync_IsRejected(t *testing.T) {
+	net := startedNetwork(t, 1, "a", "b", "c")
+	primary := net.commit("first")
+	backup := net.node(primary.core.View().Backups[0])
+	view := primary.core.View()
+	held := backup.core.state.position
+	var transfer, write []Rejection
+	net.drop = func(from *node, m Message) bool {
+		switch reply := m.(type) {
+		case SnapshotChunkReply:
+			transfer = append(transfer, reply.Rejection)
+		case AppendReply:
+			write = append(write, reply.Rejection)
+		}
+		return from == backup
+	}
+	next := Entry{Index: held.Index + 1, Epoch: view.Epoch, Ballot: view.Ballot, Previous: held.Digest, Data: []byte("second")}
+	backup.step(Received{Append{Envelope: replyFrom(primary.member(), backup), Entry: next}})
+	stream := encodeState(primary.core.snapshot(), nil)
+	backup.step(Received{chunk(primary, backup, held, stream, stream, 0)})
+	require.Equal(t, []Rejection{Busy}, transfer)
+	newer := view.Clone()
+	newer.Epoch++
+	newer.Ballot++
+	backup.step(Received{Heartbeat{Envelope: replyFrom(primary.member(), backup), View: newer}})
+	net.run(10 * time.Millisecond)
+	require.Equal(t, []Rejection{NotJoined}, write)
+}
