--- a/internal/adminapi/control_state.go
+++ b/internal/adminapi/control_state.go
@@ -15,7 +15,7 @@
 	Primary() (address string, here bool)
 	// Commit makes one change; no error means that it is committed.
 	Commit(ctx context.Context, request *ChangeRequest) error
-	// Read gives the newest view, confirmed by a majority in this call.
+	// Read gives the newest view, confirmed by a majority of the witnesses in this call.
 	Read(ctx context.Context, deadline time.Time) (*state.View, error)
 }
 
