--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -361,3 +361,33 @@
 	net.run(10 * time.Millisecond)
 	require.Equal(t, []Rejection{NotJoined}, write)
 }
+
+func TestMayLead_StateAndRole_Decide(t *testing.T) {
+	self, other := Member{ID: 1, Address: "a"}, Member{ID: 2, Address: "b"}
+	asBackup := View{Epoch: 5, Ballot: 10, Primary: other, Backups: []Member{self}, Base: Position{Index: 7}}
+	asPrimary := View{Epoch: 5, Ballot: 10, Primary: self, Backups: []Member{other}, Base: Position{Index: 7}}
+	asWitness := View{Epoch: 5, Ballot: 10, Primary: other, Witnesses: []Member{self}, Base: Position{Index: 7}}
+	for name, c := range map[string]struct {
+		view  View
+		relay bool
+		tag   StateTag
+		index Index
+		want  bool
+	}{
+		"backup with the view's state":                    {asBackup, false, StateTag{5, 10}, 7, true},
+		"backup with less than the base":                  {asBackup, false, StateTag{5, 10}, 6, false},
+		"backup with state of a later proposal":           {asBackup, false, StateTag{5, 11}, 3, true},
+		"backup with state of a later epoch":              {asBackup, false, StateTag{6, 1}, 3, true},
+		"backup with state of an earlier proposal":        {asBackup, false, StateTag{5, 9}, 9, false},
+		"backup with state of an earlier epoch":           {asBackup, false, StateTag{4, 99}, 9, false},
+		"primary, which has its state under an older tag": {asPrimary, false, StateTag{4, 9}, 7, true},
+		"primary with less than the base":                 {asPrimary, false, StateTag{4, 9}, 6, false},
+		"witness that is no replica":                      {asWitness, false, StateTag{5, 10}, 7, false},
+		"relay":                                           {asBackup, true, StateTag{5, 10}, 7, false},
+	} {
+		member := &Core{self: self, config: Config{Relay: c.relay}}
+		member.state.tag = c.tag
+		member.state.position.Index = c.index
+		require.Equal(t, c.want, member.mayLead(&c.view), name)
+	}
+}
