--- a/coord/replication/core/doc.go
+++ b/coord/replication/core/doc.go
@@ -29,7 +29,7 @@
 //   - At most one member, in one incarnation, is primary of an epoch.
 //   - A committed entry is synced on every replica of its view, and every later view's replicas hold it.
 //   - Every definite Outcome is linearizable; see Outcome.
-//   - It stays safe under any loss, delay and repeat of messages, any pauses of processes and any clocks, as long as no
+//   - It stays safe under any loss, delay and repeat of messages and any pauses of processes, as long as no
 //     more disks are lost at once than Config.MaxFailures. It goes on serving while a majority of the witnesses and
 //     enough replicas are up and reach each other.
 package core
