--- a/coord/replication/core/guards_test.go
+++ b/coord/replication/core/guards_test.go
@@ -135,15 +135,15 @@
 }
 
 // chunk is a part of a stream for a receiver, from an offset on.
-func chunk(proposer, receiver *node, target Position, stream, whole []byte, offset int) SnapshotChunk {
+func chunk(proposer, receiver *node, target Position, stream, complete []byte, offset int) SnapshotChunk {
 	base := receiver.core.View()
 	return SnapshotChunk{
 		Envelope:     replyFrom(proposer.member(), receiver),
 		Tag:          StateTag{Epoch: base.Epoch + 1, Ballot: ballotOf(1<<20, proposer.disk.id)},
 		Base:         base,
 		Position:     target,
-		Size:         int64(len(whole)),
-		StreamDigest: Digest(xxhash.Sum64(whole)),
+		Size:         int64(len(complete)),
+		StreamDigest: Digest(xxhash.Sum64(complete)),
 		Offset:       int64(offset),
 		Data:         stream,
 	}
