--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -217,15 +217,15 @@
 
 // domainCounts counts members by what they are lost with.
 func (c *cluster) domainCounts(members []core.Member) map[string]int {
-	places := map[string]int{}
+	counts := map[string]int{}
 	for _, m := range members {
-		place := m.Zone
+		domain := m.Zone
 		if c.failureDomain != nil {
-			place = c.failureDomain(place)
+			domain = c.failureDomain(domain)
 		}
-		places[place]++
+		counts[domain]++
 	}
-	return places
+	return counts
 }
 
 // requireText requires one confirmed primary that has these entries.
@@ -248,8 +248,8 @@
 		require.GreaterOrEqual(t, i, 0, "witness %d is a disk that is gone", w.ID)
 		require.NoError(t, c.contexts[i].Err(), "witness %s is lost", w.Address)
 	}
-	for place, n := range c.domainCounts(view.Witnesses) {
-		require.LessOrEqual(t, n, c.maxFailures, "too many witnesses in %s", place)
+	for domain, n := range c.domainCounts(view.Witnesses) {
+		require.LessOrEqual(t, n, c.maxFailures, "too many witnesses in failure domain %s", domain)
 	}
 }
 
@@ -297,8 +297,8 @@
 	return answer.(core.AppendReply)
 }
 
-// nextEntry is an entry that follows what a member holds.
+// nextEntry is an entry that follows the state of a member.
 func (c *cluster) nextEntry(i int, view *core.View, data string) core.Entry {
-	held := c.diskPosition(i)
-	return core.Entry{Index: held.Index + 1, Epoch: view.Epoch, Ballot: view.Ballot, Previous: held.Digest, Data: []byte(data)}
+	end := c.diskPosition(i)
+	return core.Entry{Index: end.Index + 1, Epoch: view.Epoch, Ballot: view.Ballot, Previous: end.Digest, Data: []byte(data)}
 }
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -38,7 +38,7 @@
 func (l *Links) SetChannel(address string, channel *rpc.Channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.at(address)
+	known := l.linkTo(address)
 	if known.channel != channel {
 		known.use(channel)
 	}
@@ -48,7 +48,7 @@
 func (l *Links) Send(address string, message core.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to := l.at(address)
+	to := l.linkTo(address)
 	if to.usable() {
 		to.send(message)
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-func (l *Links) at(address string) *link {
+func (l *Links) linkTo(address string) *link {
 	known := l.links[address]
 	if known == nil {
 		known = &link{}
--- a/coord/replication/loss_check_test.go
+++ b/coord/replication/loss_check_test.go
@@ -16,8 +16,8 @@
 	r.mu.Lock()
 	for i, m := range r.cluster.members {
 		if r.running(i) {
-			_, active := m.PrimaryEpoch()
-			r.logf("m%d/%d: active %v, view %s", i, m.self.ID, active, viewText(m.View()))
+			_, isPrimary := m.PrimaryEpoch()
+			r.logf("m%d/%d: primary %v, view %s", i, m.self.ID, isPrimary, viewText(m.View()))
 		}
 	}
 	text := strings.Join(r.events, "\n")
@@ -72,8 +72,8 @@
 			running++
 		}
 	}
-	copies, witnesses := r.cluster.maxFailures+1, 2*r.cluster.maxFailures+1
-	if len(view.Replicas()) < min(copies, running) {
+	replicas, witnesses := r.cluster.maxFailures+1, 2*r.cluster.maxFailures+1
+	if len(view.Replicas()) < min(replicas, running) {
 		r.fail("%d replicas", len(view.Replicas()))
 	}
 	r.requireRunning(view.Replicas(), "replica")
@@ -107,8 +107,8 @@
 	r.lose(true, members[:n]...)
 }
 
-// lostForGood is the number of members that are not to come back.
-func (r *lossRun) lostForGood() int {
+// lostPermanently counts the members that do not come back.
+func (r *lossRun) lostPermanently() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -121,12 +121,12 @@
 }
 
 // finish judges the run once its scenario is over.
-func (r *lossRun) finish(bearable int) {
-	r.locked(func() { r.tolerable = bearable })
+func (r *lossRun) finish(tolerable int) {
+	r.locked(func() { r.tolerable = tolerable })
 	time.Sleep(time.Second)
 	r.locked(func() { r.counting = false })
 	time.Sleep(downTime)
-	r.waitForLosses(r.lostForGood())
+	r.waitForLosses(r.lostPermanently())
 	r.mu.Lock()
 	calm := time.Until(r.lastFault.Add(syncTime))
 	r.mu.Unlock()
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -158,11 +158,11 @@
 
 // TestPrimary_DisconnectedDuringAWrite_StepsDown disconnects a primary whose write waits for the backups, or for its own disk.
 func TestPrimary_DisconnectedDuringAWrite_StepsDown(t *testing.T) {
-	for _, held := range []string{"by the backups", "by the disk"} {
-		t.Run(held, func(t *testing.T) {
+	for _, delayedBy := range []string{"backups", "disk"} {
+		t.Run("delayed by "+delayedBy, func(t *testing.T) {
 			withThreeMembers(t, func(t *testing.T, c *cluster) {
 				primary := c.primary()
-				if held == "by the disk" {
+				if delayedBy == "disk" {
 					defer c.stores[primary].stall()()
 				}
 				c.network.setDrop(func(_ string, m core.Message) bool {
@@ -170,7 +170,7 @@
 					return isAppend
 				})
 				answered := make(chan error, 1)
-				go func() { answered <- c.propose(primary, "held") }()
+				go func() { answered <- c.propose(primary, "delayed") }()
 				time.Sleep(10 * time.Millisecond)
 				c.network.setDisconnected(fmt.Sprint("m", primary), true)
 				time.Sleep(2 * time.Second)
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -80,12 +80,12 @@
 }
 
 func (h *history) check(s *store.Store) error {
-	id, firstStart := s.Identity()
+	id, bootstrap := s.Identity()
 	switch {
 	case s.Damage() != "":
 		return errors.Newf("damage is reported: %s", s.Damage())
-	case id == 0 || !firstStart:
-		return errors.Newf("identity %d, first start %v", id, firstStart)
+	case id == 0 || !bootstrap:
+		return errors.Newf("identity %d, bootstrap %v", id, bootstrap)
 	case h.id != 0 && id != h.id:
 		return errors.New("the identity has changed")
 	}
--- a/coord/replication/store/storetest/node.go
+++ b/coord/replication/store/storetest/node.go
@@ -27,27 +27,27 @@
 }
 
 // set gives a name another value; nil removes it.
-func (f *directory) set(name string, value node) {
-	if len(f.since[name]) == 0 {
-		f.since[name] = []node{f.durable[name]}
+func (d *directory) set(name string, value node) {
+	if len(d.since[name]) == 0 {
+		d.since[name] = []node{d.durable[name]}
 	}
-	if !slices.Contains(f.since[name], value) {
-		f.since[name] = append(f.since[name], value)
+	if !slices.Contains(d.since[name], value) {
+		d.since[name] = append(d.since[name], value)
 	}
 	if value == nil {
-		delete(f.current, name)
+		delete(d.current, name)
 		return
 	}
-	f.current[name] = value
+	d.current[name] = value
 }
 
-func (f *directory) sync() {
-	f.durable = maps.Clone(f.current)
-	clear(f.since)
+func (d *directory) sync() {
+	d.durable = maps.Clone(d.current)
+	clear(d.since)
 }
 
-func (f *directory) names() []string {
-	return slices.Sorted(maps.Keys(f.current))
+func (d *directory) names() []string {
+	return slices.Sorted(maps.Keys(d.current))
 }
 
 // file keeps its content at the last sync, what was done to it since, and its content now.
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -81,28 +81,28 @@
 // Outcomes calls visit with each different disk that a loss of power may leave, until visit gives false. If there are more than limit possibilities, the extremes and limit random ones are visited. It reports whether all were.
 func (d *Disk) Outcomes(limit int, generator *rand.Rand, visit func(*Disk) bool) (complete bool) {
 	known := map[string]bool{}
-	goOn := true
+	wanted := true
 	visitOnce := func(outcome *Disk) {
 		fingerprint := outcome.Fingerprint()
-		if goOn && !known[fingerprint] {
+		if wanted && !known[fingerprint] {
 			known[fingerprint] = true
-			goOn = visit(outcome)
+			wanted = visit(outcome)
 		}
 	}
 	visitOnce(d.AfterPowerLoss(AllLost))
 	visitOnce(d.AfterPowerLoss(AllPresent))
 	var choices odometer
-	for tried := 0; goOn; tried++ {
+	for tried := 0; wanted; tried++ {
 		if tried == limit {
 			break
 		}
 		visitOnce(d.AfterPowerLoss(choices.choose))
 		if !choices.advance() {
-			return goOn
+			return wanted
 		}
 	}
 	for range limit {
-		if !goOn {
+		if !wanted {
 			break
 		}
 		visitOnce(d.AfterPowerLoss(Random(generator)))
@@ -150,12 +150,12 @@
 }
 
 // everyName returns the names that are or may be in the directory.
-func (f *directory) everyName() []string {
-	names := f.names()
-	for name := range f.durable {
+func (d *directory) everyName() []string {
+	names := d.names()
+	for name := range d.durable {
 		names = append(names, name)
 	}
-	for name := range f.since {
+	for name := range d.since {
 		names = append(names, name)
 	}
 	slices.Sort(names)
--- a/internal/mutation/conditions.go
+++ b/internal/mutation/conditions.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// surveyTime ends a run of the survey; a mutant whose tests don't end by then counts as one that hangs.
-const surveyTime = "150s"
+// surveyTimeout ends a run of the survey; a mutant whose tests don't end by then counts as one that hangs.
+const surveyTimeout = "150s"
 
 var surveyed = flag.String("conditions", "", "source files, separated by commas, whose conditions are taken out one by one; takes some seconds for each")
 
@@ -149,7 +149,7 @@
 // firstStage says which stage finds a mutant, and by which test.
 func firstStage(t *testing.T, m Mutation, stages []Stage) string {
 	t.Helper()
-	overlay := write(t, m)
+	overlay := writeOverlay(t, m)
 	dir := t.TempDir()
 	binaries := map[string]string{}
 	for _, stage := range stages {
@@ -162,7 +162,7 @@
 			}
 			binaries[stage.Package] = binary
 		}
-		run := exec.Command(binary, append([]string{"-test.failfast", "-test.timeout", surveyTime}, stage.Args...)...)
+		run := exec.Command(binary, append([]string{"-test.failfast", "-test.timeout", surveyTimeout}, stage.Args...)...)
 		run.Dir = stage.Package
 		out, err := run.CombinedOutput()
 		switch {
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// atOnce bounds how many mutants are built and run at the same time.
-	atOnce = 2
-	// runTime ends a mutant that hangs. A run takes a few seconds on a free machine, a minute on a crowded one.
-	runTime = "5m"
+	// maxConcurrent bounds how many mutants are built and run at the same time.
+	maxConcurrent = 2
+	// runTimeout ends a mutant that hangs. A run takes a few seconds on a free machine, a minute on a crowded one.
+	runTimeout = "5m"
 )
 
 var (
-	slots   = make(chan struct{}, atOnce)
+	slots   = make(chan struct{}, maxConcurrent)
 	mutants = flag.Bool("mutants", false, "build wrong versions of the code and see that the tests find each; takes some minutes")
 )
 
@@ -55,7 +55,7 @@
 	for _, m := range mutations {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
-			overlay := write(t, m)
+			overlay := writeOverlay(t, m)
 			if *mutants {
 				found(t, m, overlay)
 			}
@@ -73,7 +73,7 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s: the mutant does not compile: %s", m.Name, out)
 	}
-	args := append([]string{"-test.run", m.Run, "-test.failfast", "-test.timeout", runTime}, m.Args...)
+	args := append([]string{"-test.run", m.Run, "-test.failfast", "-test.timeout", runTimeout}, m.Args...)
 	run := exec.Command(binary, args...)
 	run.Dir = m.Package
 	out, err := run.CombinedOutput()
@@ -102,8 +102,8 @@
 	return ""
 }
 
-// write puts the mutant's files beside an overlay file that names them, and gives the overlay's path.
-func write(t *testing.T, m Mutation) string {
+// writeOverlay puts the mutant's files beside an overlay file that names them, and gives the overlay's path.
+func writeOverlay(t *testing.T, m Mutation) string {
 	t.Helper()
 	dir := t.TempDir()
 	sources := map[string]string{}
