--- a/coord/replication/store/export_test.go
+++ b/coord/replication/store/export_test.go
@@ -9,6 +9,7 @@
 	DecodeRegister = decodeRegister
 	DecodeIdentity = decodeIdentity
 	ReadSegment    = readSegment
+	AppendRecord   = appendRecord
 )
 
 // The records of each kind around any payload.
--- a/coord/replication/store/segment.go
+++ b/coord/replication/store/segment.go
@@ -11,8 +11,8 @@
 
 // A segment is a sequence of records, each preceded by its length as a uvarint: the layout of the log library.
 
-// AppendRecord adds a record to the content of a segment.
-func AppendRecord(segment, record []byte) []byte {
+// appendRecord adds a record to the content of a segment.
+func appendRecord(segment, record []byte) []byte {
 	segment = binary.AppendUvarint(segment, uint64(len(record)))
 	return append(segment, record...)
 }
@@ -20,7 +20,7 @@
 func encodeSegment(owner uint64, entries []core.Entry) []byte {
 	var segment []byte
 	for _, entry := range entries {
-		segment = AppendRecord(segment, encodeEntry(owner, entry))
+		segment = appendRecord(segment, encodeEntry(owner, entry))
 	}
 	return segment
 }
