--- a/coord/recordedtest/recordedtest.go
+++ b/coord/recordedtest/recordedtest.go
@@ -17,7 +17,7 @@
 // lineLimitBytes bounds a line of a recording; the quoted form of one byte has up to four.
 const lineLimitBytes = 1 << 20
 
-// Recording holds the records of one file.
+// Recording is the records of one file.
 type Recording struct {
 	t       testing.TB
 	records map[string][]byte
@@ -42,7 +42,7 @@
 			t.Fatalf("%s: record %q: %v", path, name, err)
 		}
 		if _, twice := r.records[name]; twice {
-			t.Fatalf("%s: record %q stands twice", path, name)
+			t.Fatalf("%s: record %q appears twice", path, name)
 		}
 		r.records[name] = []byte(record)
 	}
@@ -59,7 +59,7 @@
 	return r
 }
 
-// Bytes gives the record with a name.
+// Bytes returns the record with a name.
 func (r *Recording) Bytes(name string) []byte {
 	r.t.Helper()
 	record, ok := r.records[name]
@@ -70,7 +70,7 @@
 	return bytes.Clone(record)
 }
 
-// Same fails the test unless the bytes written are those of the record with a name, which it gives for reading.
+// Same fails the test unless the bytes written are those of the record with a name. It returns the record, for the caller to decode.
 func (r *Recording) Same(name string, written []byte) []byte {
 	r.t.Helper()
 	record := r.Bytes(name)
--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -12,7 +12,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// usage is what a member holds.
+// usage is the memory and disk space of a member.
 type usage struct {
 	recentBytes int // of entries in memory
 	tailBytes   int // of entries on disk and not applied: a member that is no replica since its restart has its complete log there
--- a/coord/replication/calls.go
+++ b/coord/replication/calls.go
@@ -11,7 +11,7 @@
 // call is a command or a read that waits for its result.
 type call struct {
 	result  chan core.Result // buffered: the stepping goroutine never waits
-	inspect func()           // of a read; it runs while the state is the confirmed one
+	inspect func()           // of a read, run while the state is the confirmed one; nil: nothing to run
 }
 
 // calls are the commands and reads that wait for their results.
@@ -21,6 +21,7 @@
 	pending   map[core.Token]*call
 }
 
+// add registers a call; its caller must take it when it stops waiting.
 func (c *calls) add(inspect func()) (core.Token, *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,7 @@
 	return m.await(deadline, token, waiting, core.Read{Token: token, Deadline: deadline.Sub(m.startedAt)})
 }
 
-// await gives the event to the core and waits for the result.
+// await queues the event of a registered call, waits for the result and unregisters the call.
 func (m *Member) await(deadline time.Time, token core.Token, waiting *call, event core.Event) error {
 	defer m.calls.take(token)
 	timer := time.NewTimer(time.Until(deadline))
@@ -92,7 +93,7 @@
 	}
 }
 
-// enqueue gives the core an event unless the deadline comes first: ErrNotStarted, or ErrStopped.
+// enqueue queues an event for the core. It returns ErrNotStarted if the queue was full until the deadline, or ErrStopped.
 func (m *Member) enqueue(event core.Event, deadline <-chan time.Time) error {
 	select {
 	case m.events <- event:
@@ -120,7 +121,7 @@
 	return ErrNotDecided
 }
 
-// Leave gives up the roles of this member. It returns true once the primary has agreed that the member has none left, and false if that was not reached by the deadline or the member was stopped. The member goes on until the context of Run ends; a member that has left takes no role again.
+// Leave gives up the roles of this member. It is called once: there is one result, and a further call would wait for its deadline. It returns true once the primary has agreed that the member has none left, and false if that was not reached by the deadline or the member was stopped. The member goes on until the context of Run ends; a member that has left takes no role again.
 func (m *Member) Leave(deadline time.Time) (complete bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
--- a/coord/replication/catchup_test.go
+++ b/coord/replication/catchup_test.go
@@ -67,7 +67,7 @@
 	away.stop(f, member)
 	f.makeChanges(t, 50) // it is in contact again
 	leader, other, third := f.roles(t)
-	require.Equal(t, member, third, "it holds no state that counts")
+	require.Equal(t, member, third, "it has no valid state")
 
 	f.watchChunks(member, nil)
 	f.longest = 0
@@ -195,7 +195,7 @@
 	})
 }
 
-// diskContent is what a member's disk held at a moment.
+// diskContent is a copy of a member's disk.
 type diskContent struct {
 	snapshot *core.Snapshot
 	entries  []core.Entry
--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -17,7 +17,7 @@
 	"shaletrestle/coord/rpc"
 )
 
-// incarnation fences what a stopped member still tries to do.
+// incarnation rejects what a stopped member still tries to do.
 type incarnation struct {
 	*memoryStore
 	network *network
@@ -131,7 +131,7 @@
 	return c
 }
 
-// add puts up one more machine, with an empty disk; it is not started.
+// add makes one more machine with an empty disk and returns its index; it is not started.
 func (c *cluster) add(zone string) int {
 	c.zones, c.members = append(c.zones, zone), append(c.members, nil)
 	c.contexts, c.cancels = append(c.contexts, nil), append(c.cancels, nil)
@@ -253,7 +253,7 @@
 	}
 }
 
-// diskPosition is where a member's state stands.
+// diskPosition is the end of a member's state.
 func (c *cluster) diskPosition(i int) core.Position {
 	c.members[i].mu.Lock()
 	defer c.members[i].mu.Unlock()
--- a/coord/replication/compatibility_test.go
+++ b/coord/replication/compatibility_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestMessage_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages that running members of an earlier
+// TestMessage_RecordedBytes_ReadAndWrittenAsBefore pins the form of the messages that running members of an earlier
 // version send and expect.
 func TestMessage_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/messages.txt")
@@ -125,7 +125,7 @@
 // bodyNumber is the number of a message's body on the wire.
 func bodyNumber(message core.Message) int { return int(encodeBody(message).Type) }
 
-// TestRejection_RecordedNumbers_Unchanged holds the numbers that stand for rejections in messages.
+// TestRejection_RecordedNumbers_Unchanged pins the numbers that stand for rejections in messages.
 func TestRejection_RecordedNumbers_Unchanged(t *testing.T) {
 	for number, rejection := range []core.Rejection{
 		core.Granted, core.WrongDisk, core.NoDisk, core.NewerView, core.UnknownView, core.NotJoined, core.MissingEntries,
--- a/coord/replication/config.go
+++ b/coord/replication/config.go
@@ -21,7 +21,7 @@
 	Identity() (id uint64, bootstrap bool)
 	// BootstrapSeeds returns the seeds with which the disk was made, if it was made when the group was bootstrapped. Config.Seeds may name others by now.
 	BootstrapSeeds() []string
-	// Load returns what the disk held when it was opened.
+	// Load returns the contents of the disk when it was opened.
 	Load() core.Stored
 	// SaveRegister puts a register in place of the one before.
 	SaveRegister(core.Register) error
@@ -31,7 +31,7 @@
 	Append(core.Entry) error
 }
 
-// Resetter is a Store that can become an empty disk. New calls Reset when what the disk holds is intact but can't be used (core.ErrCorrupt); with any other Store it fails then.
+// Resetter is a Store that can become an empty disk. New calls Reset when the contents of the disk are intact but can't be used (core.ErrCorrupt); with any other Store it fails then.
 type Resetter interface {
 	// Reset discards everything and takes a new identity, which has no part in bootstrapping the group.
 	Reset(reason string) error
--- a/coord/replication/disk.go
+++ b/coord/replication/disk.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// take removes the oldest job; false if none waits.
 func (w *diskWorker) take() (core.Effect, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,6 +84,7 @@
 	return 0, w.timing.DiskTimeout
 }
 
+// save carries out a job on the store.
 func (w *diskWorker) save(job core.Effect) error {
 	switch job := job.(type) {
 	case core.SaveRegister:
--- a/coord/replication/errors_test.go
+++ b/coord/replication/errors_test.go
@@ -13,7 +13,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// TestOutcomeError_EachOutcome_ErrorAndText holds the texts too: callers show them.
+// TestOutcomeError_EachOutcome_ErrorAndText checks the texts too: callers show them.
 func TestOutcomeError_EachOutcome_ErrorAndText(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/coord/replication/links.go
+++ b/coord/replication/links.go
@@ -8,7 +8,7 @@
 	"shaletrestle/coord/rpc"
 )
 
-// maxPendingMessages is how many messages to one address wait for its dial; further ones are dropped.
+// maxPendingMessages is how many messages to one address wait for its dial. Further ones are dropped, so that an address that can't be reached takes little memory; the core sends again what it still needs.
 const maxPendingMessages = 64
 
 // Links is the Transport over the channels of a pool. A message goes out on the channel on which the member last sent one, or on one that is dialled when it is needed. A dial runs in a goroutine of its own, one for each address at a time, and ends by the time-out of the pool.
@@ -63,6 +63,7 @@
 	}
 }
 
+// linkTo returns the link to an address, a new one without a channel if there is none. The caller holds mu.
 func (l *Links) linkTo(address string) *link {
 	known := l.links[address]
 	if known == nil {
@@ -98,13 +99,14 @@
 	}
 }
 
+// use makes a channel the one of the link, and measures its silence anew.
 func (l *link) use(channel *rpc.Channel) {
 	l.channel = channel
 	l.sentAt = time.Time{}
 	l.sent = 0
 }
 
-// usable reports whether the channel is open and not silent. One on which nothing was received for the time-out of a reply, since something was sent on it, is given up: the path may be another by now.
+// usable reports whether the channel is open and not silent; a channel that is not is removed from the link. One on which nothing was received for the time-out of a reply, since something was sent on it, is given up: the network path under it may be dead.
 func (l *link) usable() bool {
 	if l.channel == nil {
 		return false
--- a/coord/replication/loss_check_test.go
+++ b/coord/replication/loss_check_test.go
@@ -50,7 +50,7 @@
 	primary := r.primary()
 	text, current := r.cluster.read(primary)
 	if !current {
-		r.fail("m%d is not confirmed", primary)
+		r.fail("the state of primary m%d is not confirmed to be current", primary)
 	}
 	count := map[string]int{}
 	for _, name := range strings.Split(text, ";") {
@@ -63,7 +63,7 @@
 	}
 }
 
-// requireComplete requires as many replicas and witnesses as are wanted, or as there are members, all of them there.
+// requireComplete requires as many replicas and witnesses as are configured, or as there are members, all of them running.
 func (r *lossRun) requireComplete() {
 	view := r.view()
 	running := 0
@@ -74,14 +74,14 @@
 	}
 	replicas, witnesses := r.cluster.maxFailures+1, 2*r.cluster.maxFailures+1
 	if len(view.Replicas()) < min(replicas, running) {
-		r.fail("%d replicas", len(view.Replicas()))
+		r.fail("%d replicas, want at least %d", len(view.Replicas()), min(replicas, running))
 	}
 	r.requireRunning(view.Replicas(), "replica")
 	if running < witnesses {
 		return
 	}
 	if len(view.Witnesses) != witnesses {
-		r.fail("%d witnesses", len(view.Witnesses))
+		r.fail("%d witnesses, want %d", len(view.Witnesses), witnesses)
 	}
 	r.requireRunning(view.Witnesses, "witness")
 }
@@ -89,7 +89,7 @@
 func (r *lossRun) requireRunning(members []core.Member, role string) {
 	for _, m := range members {
 		if r.indexOf(m) < 0 {
-			r.fail("%s %s/%d is not there", role, m.Address, m.ID)
+			r.fail("%s %s/%d is not running", role, m.Address, m.ID)
 		}
 	}
 }
--- a/coord/replication/loss_scenarios_test.go
+++ b/coord/replication/loss_scenarios_test.go
@@ -94,7 +94,7 @@
 	r.locked(func() { r.tolerable = 1 })
 	for _, zone := range []string{"y", "z"} {
 		i := r.add(zone)
-		r.replaced(i) // it held nothing, so it is no loss
+		r.replaced(i) // its disk was empty, so it is no loss
 	}
 	time.Sleep(syncTime + repairTime)
 }
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -15,7 +15,7 @@
 
 const (
 	maxQueuedEvents   = 1024 // events that wait for the stepping goroutine
-	maxQueuedMessages = 768  // of them, before messages are dropped: calls and disk jobs need the rest
+	maxQueuedMessages = 768  // queue length from which messages are dropped: the last quarter is for calls and ends of disk jobs, which are not sent again
 )
 
 // Member is one process that takes part in the replication. New makes one and Run runs it.
@@ -28,8 +28,8 @@
 	disk      *diskWorker
 	calls     calls
 	events    chan core.Event
-	left      chan core.Left
-	stopped   chan struct{} // closed when the context of Run ends
+	left      chan core.Left // the result of a Leave; buffered, since its caller may have given up
+	stopped   chan struct{}  // closed when the context of Run ends
 
 	mu       sync.Mutex // guards core and lastTick
 	core     *core.Core
@@ -38,16 +38,16 @@
 	status atomic.Pointer[status] // as the last step left it
 }
 
-// status is what is asked often, and also from within the hooks.
+// status is what callers ask often, and what they may ask on the stepping goroutine too: reading it takes no lock.
 type status struct {
 	epoch     core.Epoch
 	isPrimary bool
 	primary   core.Member // in contact last, at contactAt
 	contactAt time.Duration
-	view      *core.View // never changed once it is here
+	view      *core.View // immutable: readers share it
 }
 
-// New makes a member from what its store holds. It reads the store and calls the state machine's Restore and Apply, but sends nothing and starts nothing: Run does.
+// New makes a member from the contents of its store. It reads the store and calls the state machine's Restore and Apply, but sends nothing and starts nothing: Run does.
 //
 // If the stored state can't be used and the store is a Resetter, the member starts with an empty disk; else the error is core.ErrCorrupt. Other errors are those of Reset.
 func New(log *slog.Logger, config Config) (*Member, error) {
@@ -72,7 +72,7 @@
 	return m, nil
 }
 
-// load makes the core from what the disk holds.
+// load makes the core from the contents of the disk.
 func (m *Member) load() error {
 	id, bootstrap := m.config.Store.Identity()
 	m.self = core.Member{ID: core.MemberID(id), Address: m.config.Address, Zone: m.config.Zone}
@@ -93,7 +93,7 @@
 	return err
 }
 
-// resetDisk makes the disk an empty one with another identity, if its store can do that: what it held can't be used, and it must not pass for a disk that holds it.
+// resetDisk makes the disk an empty one with another identity, if its store can do that. The old identity stands for state that can't be used any more: under it the other members would count this disk as a replica or witness that still has that state.
 func (m *Member) resetDisk(cause error) error {
 	resetter, ok := m.config.Store.(Resetter)
 	if !ok {
@@ -148,7 +148,7 @@
 	return max(0, wake-m.now())
 }
 
-// publish stores what is asked often. The caller holds mu.
+// publish updates the status after a step. The view is a copy, so it is taken only when its epoch is new. The caller holds mu.
 func (m *Member) publish() {
 	old := m.status.Load()
 	next := status{view: old.view}
@@ -163,6 +163,7 @@
 	}
 }
 
+// perform carries out one effect. core.LearnedView needs nothing: publish has stored the view already.
 func (m *Member) perform(ctx context.Context, effect core.Effect) {
 	switch effect := effect.(type) {
 	case core.Send:
@@ -197,7 +198,7 @@
 	}
 }
 
-// Receive takes a message from another member. If too many events wait already it is dropped: what matters is sent again.
+// Receive takes a message from another member. If maxQueuedMessages events wait already it is dropped: the core sends again what it still needs.
 func (m *Member) Receive(message core.Message) {
 	if len(m.events) >= maxQueuedMessages {
 		return
@@ -205,7 +206,7 @@
 	m.post(core.Received{Message: message})
 }
 
-// Handle takes a message that belongs to this package, and returns false for any other. Bytes that are no message of this package are logged and dropped.
+// Handle takes a message of the kind rpc.Replication, and returns false for any other. A body that cannot be decoded is logged and dropped.
 func (m *Member) Handle(channel *rpc.Channel, envelope *rpc.Message) bool {
 	if envelope.Kind != rpc.Replication {
 		return false
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -16,7 +16,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged loses the primary at each step of a write: what was acknowledged is held by the next one, what was not is held or is not.
+// TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged loses the primary at each step of a write: the next one has what was acknowledged, and may have what was not.
 func TestTakeover_AtEveryStepOfAWrite_KeepsWhatWasAcknowledged(t *testing.T) {
 	for _, step := range []string{"before append", "append lost", "answer lost", "after answer"} {
 		t.Run(step, func(t *testing.T) {
--- a/coord/replication/membership_test.go
+++ b/coord/replication/membership_test.go
@@ -18,7 +18,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// TestMember_ReplacedWhileAnotherIsDown_LosesNothing takes a machine away for good, adds one at another address, and loses another meanwhile.
+// TestMember_ReplacedWhileAnotherIsDown_LosesNothing takes a machine away permanently, adds one at another address, and loses another meanwhile.
 func TestMember_ReplacedWhileAnotherIsDown_LosesNothing(t *testing.T) {
 	withCluster(t, 2, []string{"a", "b", "c", "d", "e"}, func(t *testing.T, c *cluster) {
 		primary := c.primary()
--- a/coord/replication/nodisk.go
+++ b/coord/replication/nodisk.go
@@ -13,8 +13,8 @@
 // NewNoDisk returns a NoDisk with a random identity.
 func NewNoDisk() *NoDisk {
 	var random [8]byte
-	_, _ = rand.Read(random[:])
-	return &NoDisk{binary.LittleEndian.Uint64(random[:]) | 1}
+	_, _ = rand.Read(random[:])                               // never returns an error
+	return &NoDisk{binary.LittleEndian.Uint64(random[:]) | 1} // never zero, which names nobody
 }
 
 // Identity returns the id of this incarnation, which has no part in bootstrapping the group.
--- a/coord/replication/query.go
+++ b/coord/replication/query.go
@@ -13,7 +13,7 @@
 // View returns the newest view known to be chosen, nil before the first. It must not be changed.
 func (m *Member) View() *core.View { return m.status.Load().view }
 
-// Witnesses returns those of the newest view, none before the first.
+// Witnesses returns those of the newest view known to be chosen, none before the first.
 func (m *Member) Witnesses() []rpc.Member {
 	view := m.View()
 	if view == nil {
@@ -22,7 +22,7 @@
 	return rpcMembers(view.Witnesses)
 }
 
-// PrimaryEpoch reports whether this member is primary, and of which epoch. It may be deposed already without knowing: Confirm tells for sure.
+// PrimaryEpoch reports whether this member is primary, and of which epoch. It may be deposed already without knowing: only Confirm excludes that.
 func (m *Member) PrimaryEpoch() (epoch uint64, isPrimary bool) {
 	s := m.status.Load()
 	return uint64(s.epoch), s.isPrimary
@@ -40,7 +40,7 @@
 	return rpc.Member{}, false
 }
 
-// SincePrimaryContact returns the time since this member last received anything from the primary; zero on the primary itself.
+// SincePrimaryContact returns the time since this member last received anything from the primary; since its start if there was no contact yet, and zero on the primary itself.
 func (m *Member) SincePrimaryContact() time.Duration {
 	s := m.status.Load()
 	if s.isPrimary {
@@ -67,7 +67,7 @@
 	Joined                bool          `json:"joined"`
 	DiskStalled           bool          `json:"stalled"`
 	Leaving               bool          `json:"leaving"`
-	Index                 uint64        `json:"index"` // of the last entry in the log
+	Index                 uint64        `json:"index"` // of the last entry of this member's state
 	SincePrimaryContactMs int64         `json:"heard_ago_ms"`
 	Members               []MemberState `json:"members"`
 }
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -15,7 +15,7 @@
 	"shaletrestle/coord/replication/core"
 )
 
-// TestMember_RandomFaults_KeepsWhatWasAcknowledged plays random kills, wipes, partitions, full disks, losses of messages and restarts, never more at once than must be tolerated, among proposals. A confirmed primary must hold all that was acknowledged before it was asked.
+// TestMember_RandomFaults_KeepsWhatWasAcknowledged plays random kills, wipes, partitions, full disks, losses of messages and restarts, never more at once than must be tolerated, among proposals. A confirmed primary must have all that was acknowledged before it was asked.
 func TestMember_RandomFaults_KeepsWhatWasAcknowledged(t *testing.T) {
 	for name, layout := range layouts {
 		for seed := range 60 {
--- a/coord/replication/store/compatibility_test.go
+++ b/coord/replication/store/compatibility_test.go
@@ -172,7 +172,7 @@
 	requireSameDir(t, "testdata/folders/first-format", dir)
 }
 
-// TestEncode_RecordedFolder_WritesTheSameBytes writes what the directory "whole" holds again.
+// TestEncode_RecordedFolder_WritesTheSameBytes writes the contents of the directory "whole" again.
 func TestEncode_RecordedFolder_WritesTheSameBytes(t *testing.T) {
 	s := openRecorded(t, copyRecorded(t, "whole"))
 	loaded := s.Load()
--- a/coord/replication/store/doc.go
+++ b/coord/replication/store/doc.go
@@ -1,8 +1,8 @@
 // Package store keeps the records of a member of a replicated state on its disk: the identity of the disk, the register of a witness, and a state as a snapshot and the log of entries after it.
 //
-// # What holds
+// # Guarantees
 //
-// What a method has reported as saved survives any loss of power, and so does what Load returns after Open. What was under way may be found afterwards or not, but never in part. Nothing older ever takes the place of something that was saved: if that can't be read any more, the disk counts as damaged and becomes an empty disk with a new identity, so that it can't pass for one that holds what it has lost, or for a witness that has promised. The argument is in docs/disk.md.
+// What a method has reported as saved survives any loss of power, and so does what Load returns after Open. What was under way may be found afterwards or not, but never in part. Nothing older ever takes the place of something that was saved: if that can't be read any more, the disk counts as damaged and becomes an empty disk with a new identity, so that the other members don't count it as a replica that still has the lost entries, or as a witness that keeps its promises. The argument is in docs/disk.md.
 //
 // # Who may call
 //
--- a/coord/replication/store/files.go
+++ b/coord/replication/store/files.go
@@ -27,7 +27,7 @@
 	return s.files.SyncDir(parent)
 }
 
-// syncParentDirs makes the names durable that lead to the data directory. Where this process may not sync others' directories, they were not made by it.
+// syncParentDirs makes the names durable that lead to the data directory. A directory that this process is not permitted to sync was not made by it, so its name is durable already.
 func (s *Store) syncParentDirs() error {
 	dir := s.dir
 	for path.Dir(dir) != dir {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// isSyncUnsupported reports whether a sync of a directory was refused for good.
+// isSyncUnsupported reports whether a directory can't be synced by this process, so that a repeat would fail too.
 func isSyncUnsupported(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, errors.ErrUnsupported) || errors.Is(err, syscall.EINVAL)
 }
--- a/coord/replication/store/fuzz_test.go
+++ b/coord/replication/store/fuzz_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// FuzzOpen puts any content in place of a file. The directory is opened with what it held, or without the last entries of its log, or with a new identity and nothing else.
+// FuzzOpen puts any content in place of a file. The directory is opened with its other contents, or without the last entries of its log, or with a new identity and nothing else.
 func FuzzOpen(f *testing.F) {
 	f.Add(uint8(0), []byte("nonsense"))
 	f.Add(uint8(1), []byte{})
--- a/coord/replication/store/history_test.go
+++ b/coord/replication/store/history_test.go
@@ -83,22 +83,22 @@
 	id, bootstrap := s.Identity()
 	switch {
 	case s.Damage() != "":
-		return errors.Newf("damage is reported: %s", s.Damage())
+		return errors.Newf("damage reported: %s", s.Damage())
 	case id == 0 || !bootstrap:
 		return errors.Newf("identity %d, bootstrap %v", id, bootstrap)
 	case h.id != 0 && id != h.id:
-		return errors.New("the identity has changed")
+		return errors.Newf("identity %d, want %d", id, h.id)
 	}
 	loaded := s.Load()
 	found := savedState{Snapshot: loaded.Snapshot, Entries: loaded.Entries}
 	if !containsEqual(h.registers, loaded.Register) {
-		return errors.Newf("register %+v is none of %+v", loaded.Register, h.registers)
+		return errors.Newf("register %+v, want one of %+v", loaded.Register, h.registers)
 	}
 	if !containsEqual(h.states, found) {
-		return errors.Newf("state %s is none of %s", describe(found), describe(h.states...))
+		return errors.Newf("state %s, want one of %s", describe(found), describe(h.states...))
 	}
 	if !h.diskFails && loaded.Appendable != (found.Snapshot != nil) {
-		return errors.Newf("tail is open: %v", loaded.Appendable)
+		return errors.Newf("log appendable %v, want %v", loaded.Appendable, found.Snapshot != nil)
 	}
 	h.id = id
 	h.registers = []core.Register{loaded.Register}
--- a/coord/replication/store/mutation_test.go
+++ b/coord/replication/store/mutation_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// TestSearch_EveryMutation_Found is the test of the tests.
+// TestSearch_EveryMutation_Found checks that the searches for broken promises find each known fault of a store.
 func TestSearch_EveryMutation_Found(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
--- a/coord/replication/store/names.go
+++ b/coord/replication/store/names.go
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("%016x", id)
 }
 
-// SegmentName is the name of a log segment that begins with an entry, as the log library has it.
+// SegmentName is the name of a log segment that begins with an entry, in the form of the log library: twenty decimal digits.
 func SegmentName(first core.Index) string {
 	return fmt.Sprintf("%020d", uint64(first))
 }
--- a/coord/replication/store/osfiles.go
+++ b/coord/replication/store/osfiles.go
@@ -16,7 +16,7 @@
 	segmentLimitBytes = 1 << 40
 )
 
-// OSFiles is the operating system's file system. Its log is the library tidwall/wal, which here neither makes names nor syncs.
+// OSFiles is the operating system's file system. Its log is the library tidwall/wal, which here neither creates files nor syncs by itself.
 type OSFiles struct{}
 
 // Mkdir makes one directory.
@@ -37,7 +37,7 @@
 	return names, nil
 }
 
-// ReadFile returns the whole content of a file.
+// ReadFile returns the complete content of a file.
 func (OSFiles) ReadFile(path string) ([]byte, error) {
 	return os.ReadFile(path)
 }
--- a/coord/replication/store/power_test.go
+++ b/coord/replication/store/power_test.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// powerSearch cuts the power at every step of the script, and at every step of the incarnation after it, and checks what each possible outcome holds.
+// powerSearch cuts the power at every step of the script, and at every step of the incarnation after it, and checks the contents of each possible outcome.
 type powerSearch struct {
 	t        *testing.T
 	mutation mutation // the zero value is none
@@ -63,7 +63,7 @@
 	outcomes int // how many are tried at each cut, exhaustively or else at random
 	recovery int // the same in the incarnation after a cut
 
-	known map[string]bool // disks and what they had to hold, that were tried
+	known map[string]bool // pairs of a disk and its required contents that were tried
 
 	cuts, disks, recoveryCuts, recoveryDisks, incomplete, recoveryIncomplete int
 }
--- a/coord/replication/store/record.go
+++ b/coord/replication/store/record.go
@@ -6,7 +6,7 @@
 	"hash/crc32"
 )
 
-// recordKind tells apart what a record holds.
+// recordKind says what the payload of a record is.
 type recordKind byte
 
 const (
--- a/coord/replication/store/store.go
+++ b/coord/replication/store/store.go
@@ -90,7 +90,7 @@
 	return s.identity.bootstrapSeeds
 }
 
-// Load returns what the disk held when it was opened, until the first SaveSnapshot or Reset; after that it returns nothing.
+// Load returns the contents of the disk when it was opened, until the first SaveSnapshot or Reset; after that it returns the zero value.
 func (s *Store) Load() core.Stored {
 	return s.loaded
 }
--- a/coord/replication/store/storetest/disk.go
+++ b/coord/replication/store/storetest/disk.go
@@ -16,10 +16,10 @@
 )
 
 var (
-	// ErrPowerOff is given by every call after power was lost or the process was killed.
+	// ErrPowerOff is returned by every call after power was lost or the process was killed.
 	ErrPowerOff = errors.New("the power is off")
 
-	// ErrFull is given by calls that need room on a full disk.
+	// ErrFull is returned by calls that need room on a full disk.
 	ErrFull = errors.New("no space left on device")
 )
 
@@ -134,7 +134,7 @@
 	return found.names(), nil
 }
 
-// ReadFile returns the whole content of a file.
+// ReadFile returns the complete content of a file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	if d.poweredOff {
 		return nil, ErrPowerOff
@@ -158,7 +158,7 @@
 	}
 	switch existing := parent.current[base].(type) {
 	case *directory:
-		return nil, errors.New("is a folder")
+		return nil, errors.New("is a directory")
 	case *file:
 		if !skip {
 			existing.truncate(0)
@@ -230,7 +230,7 @@
 		return fs.ErrNotExist
 	}
 	if inner, ok := parent.current[base].(*directory); ok && len(inner.current) > 0 {
-		return errors.New("folder is not empty")
+		return errors.New("directory is not empty")
 	}
 	skip, err := d.step(Remove, name)
 	if err != nil || skip {
@@ -280,7 +280,7 @@
 	}
 	within, ok := found.(*directory)
 	if !ok {
-		return nil, errors.New("not a folder")
+		return nil, errors.New("not a directory")
 	}
 	return within, nil
 }
--- a/coord/replication/store/storetest/power.go
+++ b/coord/replication/store/storetest/power.go
@@ -78,7 +78,7 @@
 	return &Disk{root: loss.directory(d.root), CapacityBytes: d.CapacityBytes}
 }
 
-// Outcomes calls visit with each different disk that a loss of power may leave, until visit gives false. If there are more than limit possibilities, the extremes and limit random ones are visited. It reports whether all were.
+// Outcomes calls visit with each different disk that a loss of power may leave, until visit returns false. If there are more than limit possibilities, the extremes and limit random ones are visited. It reports whether all were.
 func (d *Disk) Outcomes(limit int, generator *rand.Rand, visit func(*Disk) bool) (complete bool) {
 	known := map[string]bool{}
 	wanted := true
--- a/internal/mutation/conditions.go
+++ b/internal/mutation/conditions.go
@@ -19,7 +19,7 @@
 
 var surveyed = flag.String("conditions", "", "source files, separated by commas, whose conditions are taken out one by one; takes some seconds for each")
 
-// Condition is an operand of a source file that decides something: of && or ||, or a whole condition of an if, a for or a case.
+// Condition is an operand of a source file that decides something: of && or ||, or the complete condition of an if, a for or a case.
 type Condition struct {
 	File     string
 	Function string
@@ -27,7 +27,7 @@
 	source   string
 	start    int
 	end      int
-	neutral  string // what makes the operand count for nothing
+	neutral  string // appended to the operand, makes it have no effect
 }
 
 // Conditions lists the conditions of a source file in their order.
@@ -56,7 +56,7 @@
 	return found, nil
 }
 
-// addConditions adds those that stand at a node, and reports whether to look below it.
+// addConditions adds those of a node, and reports whether to look below it.
 func addConditions(node ast.Node, add func(ast.Expr, string)) bool {
 	switch node := node.(type) {
 	case *ast.IfStmt:
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,7 +1,7 @@
-// Package mutation shows that tests bite: it changes places of source files, runs chosen tests of a package on
-// the changed sources and wants them to fail. The sources on disk stay as they are. Only tests import it.
+// Package mutation checks that tests detect faults: it changes places of source files, runs chosen tests of a package on
+// the changed sources and requires them to fail. The sources on disk stay as they are. Only tests import it.
 //
-// It gives their binaries the flag -mutants. Without it nothing is built, and a mutation must only have its places.
+// It gives their binaries the flag -mutants. Without it nothing is built; it is only checked that the places to change are in the sources.
 package mutation
 
 import (
@@ -18,7 +18,7 @@
 const (
 	// maxConcurrent bounds how many mutants are built and run at the same time.
 	maxConcurrent = 2
-	// runTimeout ends a mutant that hangs. A run takes a few seconds on a free machine, a minute on a crowded one.
+	// runTimeout ends a mutant that hangs. A run takes a few seconds on an idle machine, a minute on a loaded one.
 	runTimeout = "5m"
 )
 
@@ -30,7 +30,7 @@
 // Replacement is one changed place of a source file.
 type Replacement struct {
 	File string // in the folder of the test's package, or a path relative to it
-	From string // the text that is replaced; it stands in the file exactly once
+	From string // the text that is replaced; it appears in the file exactly once
 	To   string
 }
 
@@ -50,7 +50,7 @@
 // AllFound fails the test unless the named tests fail on each of the mutants, and logs what they say.
 // A mutant that does not compile is no finding.
 //
-// Without the flag -mutants it fails the test only if a place to be replaced doesn't stand in its file exactly once.
+// Without the flag -mutants it fails the test only if a place to be replaced doesn't appear in its file exactly once.
 func AllFound(t *testing.T, mutations []Mutation) {
 	for _, m := range mutations {
 		t.Run(m.Name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	t.Logf("%s: %s", m.Name, lineWith(string(out), m.Shows))
 }
 
-// lineWith is the first line that holds a text.
+// lineWith returns the first line that contains a text.
 func lineWith(output, text string) string {
 	for line := range strings.Lines(output) {
 		if strings.Contains(line, text) {
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// writeOverlay puts the mutant's files beside an overlay file that names them, and gives the overlay's path.
+// writeOverlay puts the mutant's files beside an overlay file that names them, and returns the overlay's path.
 func writeOverlay(t *testing.T, m Mutation) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -120,7 +120,7 @@
 			sources[path] = string(source)
 		}
 		if n := strings.Count(sources[path], place.From); n != 1 {
-			t.Fatalf("%s: the place %q stands %d times in %s", m.Name, place.From, n, place.File)
+			t.Fatalf("%s: the place %q appears %d times in %s, want once", m.Name, place.From, n, place.File)
 		}
 		sources[path] = strings.Replace(sources[path], place.From, place.To, 1)
 	}
