--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -213,7 +213,7 @@
 	}
 	message, err := decodeMessage(envelope.Body)
 	if err != nil {
-		m.log.Warn("cannot decode message", "error", err.Error())
+		m.log.Warn("cannot decode message", "remote", channel.Remote(), "error", err.Error())
 		return true
 	}
 	m.config.Transport.SetChannel(message.Route().From.Address, channel)
