--- a/coord/handoff/compatibility_test.go
+++ b/coord/handoff/compatibility_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKind_RecordedWords_ReadAndWrittenAsBefore holds the words that stand for the kinds in the messages between
+// TestKind_RecordedNames_ReadAndWrittenAsBefore holds the names that stand for the kinds in the messages between
 // processes.
-func TestKind_RecordedWords_ReadAndWrittenAsBefore(t *testing.T) {
-	for word, kind := range map[string]Kind{
+func TestKind_RecordedNames_ReadAndWrittenAsBefore(t *testing.T) {
+	for name, kind := range map[string]Kind{
 		"offer":    Offer,
 		"go":       Go,
 		"drop":     Drop,
@@ -22,8 +22,8 @@
 		"failed":   Failed,
 		"unknown":  Unknown,
 	} {
-		require.Equal(t, word, kind.String())
-		require.Equal(t, kind, KindOf(word))
+		require.Equal(t, name, kind.String())
+		require.Equal(t, kind, KindOf(name))
 	}
 	require.Zero(t, KindOf(""))
 	require.Zero(t, KindOf("another"))
--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -104,7 +104,7 @@
 		case offered:
 			b = append(b, rel(j.offerExpires))
 		case remote:
-			b = append(b, rel(j.lastHeard), rel(j.lastRenewed))
+			b = append(b, rel(j.lastContact), rel(j.lastRenewed))
 		}
 	}
 	for _, e := range m.taker.entries {
@@ -113,7 +113,7 @@
 		case accepted:
 			b = append(b, rel(e.expires))
 		case running:
-			b = append(b, rel(e.lastHeard))
+			b = append(b, rel(e.lastContact))
 		}
 	}
 	for _, e := range m.taker.tombstones {
@@ -435,7 +435,7 @@
 	}
 	m.apply(m.taker.Tick(m.now), false)
 	for _, e := range m.taker.entries {
-		if e.status == accepted && m.now >= e.expires || e.status == running && m.now-e.lastHeard >= modelBounds.Lease {
+		if e.status == accepted && m.now >= e.expires || e.status == running && m.now-e.lastContact >= modelBounds.Lease {
 			m.fail("a job is kept beyond its lease")
 		}
 	}
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -28,7 +28,7 @@
 	offerNumber  uint64
 	ticket       Ticket
 	offerExpires time.Duration // offered: the offer's end
-	lastHeard    time.Duration // remote: the taker's last message
+	lastContact  time.Duration // remote: the taker's last message
 	lastRenewed  time.Duration // remote: the newest go-ahead
 	parts        uint64        // delivered under this ticket
 }
@@ -160,7 +160,7 @@
 
 // start gives the go-ahead for an acceptance.
 func (o *Owner) start(now time.Duration, j *job, ticket Ticket) []Effect {
-	j.stage, j.ticket, j.lastHeard, j.lastRenewed = remote, ticket, now, now
+	j.stage, j.ticket, j.lastContact, j.lastRenewed = remote, ticket, now, now
 	return []Effect{{Action: Send, Message: o.message(j, Go)}}
 }
 
@@ -172,7 +172,7 @@
 
 // stepRunning takes a message of the current run.
 func (o *Owner) stepRunning(now time.Duration, j *job, m Message) []Effect {
-	j.lastHeard = now
+	j.lastContact = now
 	if m.Kind != Part || m.Number <= j.parts {
 		return nil
 	}
@@ -218,7 +218,7 @@
 			fx = append(fx, o.finish(j, DeadlineExceeded)...)
 		case j.stage == offered && now >= j.offerExpires:
 			fx = append(append(fx, o.cancel(j)...), o.requeue(j)...)
-		case j.stage == remote && now-j.lastHeard >= o.bounds.Lease:
+		case j.stage == remote && now-j.lastContact >= o.bounds.Lease:
 			fx = append(fx, o.handleLoss(j)...)
 		case j.stage == remote && now-j.lastRenewed >= o.bounds.RenewInterval:
 			j.lastRenewed = now
--- a/coord/handoff/taker.go
+++ b/coord/handoff/taker.go
@@ -22,16 +22,16 @@
 
 // entry is one accepted offer, and later what is remembered of it.
 type entry struct {
-	offerID   offerID
-	peer      string
-	ticket    uint64
-	status    status
-	offeredAt time.Duration // the offer came
-	expires   time.Duration // accepted: the go-ahead must come before
-	lastHeard time.Duration // running: the owner's last message
-	parts     uint64
-	offer     Message // what was offered, until it runs
-	result    Message // ended: the message to its owner
+	offerID     offerID
+	peer        string
+	ticket      uint64
+	status      status
+	offeredAt   time.Duration // the offer came
+	expires     time.Duration // accepted: the go-ahead must come before
+	lastContact time.Duration // running: the owner's last message
+	parts       uint64
+	offer       Message // what was offered, until it runs
+	result      Message // ended: the message to its owner
 }
 
 // Taker is the state machine of the jobs that this process runs for others. It begins each accepted job at most once, and
@@ -135,10 +135,10 @@
 			return t.conclude(e, Returned, 0)
 		}
 		m := e.offer
-		e.status, e.lastHeard, e.offer = running, now, Message{}
+		e.status, e.lastContact, e.offer = running, now, Message{}
 		return []Effect{{Action: Begin, Ticket: Ticket{t.incarnation, e.ticket}, Message: m, Since: e.offeredAt}, {Action: Send, Message: t.message(e, Started)}}
 	case running:
-		e.lastHeard = now
+		e.lastContact = now
 		return []Effect{{Action: Send, Message: t.message(e, Started)}}
 	}
 	m := e.result
@@ -198,7 +198,7 @@
 		switch {
 		case e.status == accepted && now >= e.expires:
 			fx = append(fx, t.conclude(e, Returned, 0)...)
-		case e.status == running && now-e.lastHeard >= t.bounds.Lease:
+		case e.status == running && now-e.lastContact >= t.bounds.Lease:
 			fx = append(fx, t.cancel(e)...)
 		}
 	}
--- a/internal/router/longwork_test.go
+++ b/internal/router/longwork_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestRunForPeer_CompleteResponse_TellsWhatRan(t *testing.T) {
+func TestRunForPeer_CompleteResponse_SaysWhatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t, clientTimeBudget, stepError, stepOK)
 		defer sim.end()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -181,7 +181,7 @@
 }
 
 // recordStale records that an idle connection was reset when it was reused: those that were idle as long are closed, and
-// the service's others are kept less long. It returns false if idleness was not the reason.
+// the service's others may be idle less long. It returns false if idleness was not the reason.
 func (p *Pool) recordStale(idle time.Duration) bool {
 	now := time.Now()
 	if !p.keepAlive.RecordStale(idle, now) {
@@ -244,15 +244,15 @@
 
 // removeIdle takes out the idle connections that meet a condition; the caller holds the lock.
 func (p *Pool) removeIdle(meets func(*Connection) bool) (removed []*Connection) {
-	kept := make([]*Connection, 0, len(p.idle))
+	remaining := make([]*Connection, 0, len(p.idle))
 	for _, connection := range p.idle {
 		if meets(connection) {
 			removed = append(removed, connection)
 		} else {
-			kept = append(kept, connection)
+			remaining = append(remaining, connection)
 		}
 	}
-	p.idle = kept
+	p.idle = remaining
 	return removed
 }
 
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// MaxAnswerBytes bounds one complete response held in memory.
-	MaxAnswerBytes = 32 << 20
+	// MaxResponseBytes bounds one complete response held in memory.
+	MaxResponseBytes = 32 << 20
 
 	maxEventBytes       = 1 << 20                // of one event of a stream
 	keepAliveMargin     = 300 * time.Millisecond // an idle connection is not used this long before its Keep-Alive ends
@@ -127,7 +127,7 @@
 		if skipped > maxSurplusResponses || response.Close || endsWithConnection(response) {
 			return nil, false, errSurplus
 		}
-		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, MaxAnswerBytes))
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, MaxResponseBytes))
 		if err != nil {
 			return nil, false, errSurplus
 		}
@@ -164,8 +164,8 @@
 	if x.request.Events && response.StatusCode == http.StatusOK && stream {
 		return deliverEvents(response.Body, x)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
-	if err != nil || len(body) > MaxAnswerBytes {
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxResponseBytes+1))
+	if err != nil || len(body) > MaxResponseBytes {
 		return errBodyCut
 	}
 	if !x.deliver(Part{Kind: PartBody, Bytes: body}) {
