--- a/internal/mutation/conditions.go
+++ b/internal/mutation/conditions.go
@@ -19,19 +19,19 @@
 
 var surveyed = flag.String("conditions", "", "source files, separated by commas, whose conditions are taken out one by one; takes some seconds for each")
 
-// Condition is an operand of a source file that decides something: of && or ||, or the complete condition of an if, a for or a case.
-type Condition struct {
-	File     string
-	Function string
-	Text     string
+// condition is an operand of a source file that decides something: of && or ||, or the complete condition of an if, a for or a case.
+type condition struct {
+	file     string
+	function string
+	text     string
 	source   string
 	start    int
 	end      int
 	neutral  string // appended to the operand, makes it have no effect
 }
 
-// Conditions lists the conditions of a source file in their order.
-func Conditions(file string) ([]Condition, error) {
+// conditionsOf lists the conditions of a source file in their order.
+func conditionsOf(file string) ([]condition, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var found []Condition
+	var found []condition
 	for _, declaration := range parsed.Decls {
 		function, ok := declaration.(*ast.FuncDecl)
 		if !ok || function.Body == nil {
@@ -49,7 +49,7 @@
 		}
 		add := func(operand ast.Expr, neutral string) {
 			start, end := files.Position(operand.Pos()).Offset, files.Position(operand.End()).Offset
-			found = append(found, Condition{file, function.Name.Name, string(data[start:end]), string(data), start, end, neutral})
+			found = append(found, condition{file, function.Name.Name, string(data[start:end]), string(data), start, end, neutral})
 		}
 		ast.Inspect(function.Body, func(node ast.Node) bool { return addConditions(node, add) })
 	}
@@ -110,10 +110,10 @@
 	}
 }
 
-// Without is the mutation that takes the condition out.
-func (c Condition) Without() Mutation {
-	changed := c.source[:c.start] + "(" + c.Text + c.neutral + ")" + c.source[c.end:]
-	return Mutation{Name: c.File + "/" + c.Function + "/" + c.Text, File: c.File, From: c.source, To: changed}
+// without is the mutation that takes the condition out.
+func (c condition) without() Mutation {
+	changed := c.source[:c.start] + "(" + c.text + c.neutral + ")" + c.source[c.end:]
+	return Mutation{Name: c.file + "/" + c.function + "/" + c.text, File: c.file, From: c.source, To: changed}
 }
 
 // Stage is a run of tests that may find a mutant.
@@ -129,16 +129,16 @@
 		t.Skip("with -conditions only")
 	}
 	for file := range strings.SplitSeq(*surveyed, ",") {
-		conditions, err := Conditions(file)
+		conditions, err := conditionsOf(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, condition := range conditions {
-			t.Run(condition.Function, func(t *testing.T) {
+			t.Run(condition.function, func(t *testing.T) {
 				t.Parallel()
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				t.Logf("CONDITION\t%s\t%s\t%s\t%s", condition.File, condition.Function, condition.Text, firstStage(t, condition.Without(), stages))
+				t.Logf("CONDITION\t%s\t%s\t%s\t%s", condition.file, condition.function, condition.text, firstStage(t, condition.without(), stages))
 			})
 		}
 	}
