--- a/coord/replication/cluster_test.go
+++ b/coord/replication/cluster_test.go
@@ -272,7 +272,7 @@
 		c.network.tap = nil
 		c.network.mu.Unlock()
 	}()
-	m.Receive(question)
+	m.receive(question)
 	late := time.After(time.Second)
 	for {
 		select {
--- a/coord/replication/member.go
+++ b/coord/replication/member.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// Receive takes a message from another member. If maxQueuedMessages events wait already it is dropped: the core sends again what it still needs.
-func (m *Member) Receive(message core.Message) {
+// receive takes a message from another member. If maxQueuedMessages events wait already it is dropped: the core sends again what it still needs.
+func (m *Member) receive(message core.Message) {
 	if len(m.events) >= maxQueuedMessages {
 		return
 	}
@@ -217,6 +217,6 @@
 		return true
 	}
 	m.config.Transport.SetChannel(message.Route().From.Address, channel)
-	m.Receive(message)
+	m.receive(message)
 	return true
 }
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -185,7 +185,7 @@
 func TestMembers_SecondHandReport_ReplacesNobodySeen(t *testing.T) {
 	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		m := c.members[0]
-		m.Receive(core.HelloReply{
+		m.receive(core.HelloReply{
 			Envelope: core.Envelope{From: c.members[1].self, To: m.self.ID, ToAddress: "m0"},
 			Status:   core.Status{Writable: true},
 			Members:  []core.Member{{ID: 5, Address: "m1"}, {ID: 6, Address: "m0"}, {ID: 7, Address: "new"}},
--- a/coord/replication/network_test.go
+++ b/coord/replication/network_test.go
@@ -167,7 +167,7 @@
 		arrived(message)
 	}
 	if m != nil && !off {
-		m.Receive(message)
+		m.receive(message)
 	}
 }
 
