--- a/coord/replication/network_test.go
+++ b/coord/replication/network_test.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// stall makes the disk stand still until the result is called.
+// stall blocks all writes until resume is called.
 func (s *memoryStore) stall() (resume func()) {
 	released := make(chan struct{})
 	s.mu.Lock()
@@ -115,7 +115,7 @@
 	arrived        func(message core.Message) // called before a message is received
 	bytesPerSecond int                        // of one direction between two members; 0: no bound
 	nextFree       map[route]time.Time
-	tap            chan core.Message // gets what is sent to tapAddr
+	tap            chan core.Message // gets what is sent to tapAddress
 	tapAddress     string
 }
 
--- a/coord/replication/schedules_test.go
+++ b/coord/replication/schedules_test.go
@@ -15,6 +15,12 @@
 	"shaletrestle/coord/replication/core"
 )
 
+const (
+	roundTime       = 6 * time.Second // in which calls are made; all faults begin in it, and all but partitions end in it
+	healTime        = 7 * time.Second // after the faults, until no member counts as lost any more
+	messagesPerLoss = 25              // one of so many messages is lost in a lossy round
+)
+
 // TestMember_RandomFaults_KeepsWhatWasAcknowledged plays random kills, wipes, partitions, full disks, losses of messages and restarts, never more at once than must be tolerated, among proposals. A confirmed primary must have all that was acknowledged before it was asked.
 func TestMember_RandomFaults_KeepsWhatWasAcknowledged(t *testing.T) {
 	for name, layout := range layouts {
@@ -88,7 +94,7 @@
 	}
 }
 
-// planFault lets a member be killed, wiped, disconnected or have a full disk for a while.
+// planFault lets a member be killed, wiped or have a full disk for a while, or cuts it off until the end of the round.
 func (s *scheduleRun) planFault(victim int) {
 	c := s.cluster
 	from, long := s.randomDuration(2*time.Second), s.randomDuration(4*time.Second)
@@ -143,7 +149,7 @@
 
 // planCalls proposes to whoever is primary, and reads everywhere, again and again.
 func (s *scheduleRun) planCalls(round int) {
-	for at := time.Duration(0); at < 6*time.Second; at += 30*time.Millisecond + s.randomDuration(150*time.Millisecond) {
+	for at := time.Duration(0); at < roundTime; at += 30*time.Millisecond + s.randomDuration(150*time.Millisecond) {
 		name := fmt.Sprint(round, "-", at.Milliseconds())
 		s.plan(at, func() { s.propose(name) })
 		s.plan(at, func() {
@@ -185,11 +191,11 @@
 	if m.Read(time.Now().Add(callTimeout), func() { text = string(machine.Snapshot()) }) != nil {
 		return false
 	}
-	require.Empty(s.t, s.missing(text, n), "acknowledged, and not read")
+	require.Empty(s.t, s.missing(text, n), "an acknowledged entry is missing in the state that was confirmed to be current")
 	return true
 }
 
-// missing is the first of the first n acknowledged ones that a text doesn't have in their order.
+// missing is the first of the first n acknowledged entries that a text doesn't have in their order; empty: it has all.
 func (s *scheduleRun) missing(text string, n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +215,7 @@
 	s.cluster.network.setDrop(func(string, core.Message) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return r.Intn(25) == 0
+		return r.Intn(messagesPerLoss) == 0
 	})
 }
 
@@ -226,7 +232,7 @@
 	c.network.mu.Unlock()
 	c.network.setDrop(nil)
 	s.busy.Wait()
-	time.Sleep(7 * time.Second) // they count as lost no more
+	time.Sleep(healTime)
 	primary := c.primary()
 	require.GreaterOrEqual(s.t, primary, 0, "nobody is primary")
 	require.True(s.t, s.checkRead(c.members[primary], c.machines[primary], c.incarnations[primary]))
--- a/coord/replication/store/random_faults_test.go
+++ b/coord/replication/store/random_faults_test.go
@@ -18,13 +18,14 @@
 
 const (
 	incarnationsPerDisk = 6
-	maxWrites           = 12
+	maxWrites           = 12   // of an incarnation
+	maxStepsToCut       = 120  // of the file system, until power is cut
 	failureProbability  = 0.25 // of the steps, in an incarnation with a failing disk
 )
 
 var errFailing = errors.New("input/output error")
 
-// faultRun plays the incarnations of one disk with random writes. Each incarnation has a disk that is well, failing or full, and ends by a kill or a loss of power at any step.
+// faultRun plays the incarnations of one disk with random writes. Each incarnation has a healthy, failing or full disk, and ends by a kill or a loss of power at any step.
 type faultRun struct {
 	random     *rand.Rand
 	disk       *storetest.Disk
@@ -32,7 +33,7 @@
 	lastNumber int
 }
 
-// searchFaults plays disks with seeds 1, 2, ... and gives the first broken promise.
+// searchFaults plays disks with seeds 0, 1, ... and returns the first broken promise.
 func searchFaults(disks int) error {
 	for seed := range disks {
 		run := faultRun{
@@ -49,9 +50,9 @@
 	return nil
 }
 
-// incarnation gives a broken promise, if any.
+// incarnation plays one incarnation and returns a broken promise, if any.
 func (r *faultRun) incarnation() error {
-	r.disk.CutPowerAt(1 + r.random.IntN(120))
+	r.disk.CutPowerAt(1 + r.random.IntN(maxStepsToCut))
 	r.setFault()
 	r.history.diskFails = r.disk.Fail != nil
 	err := r.write()
@@ -78,7 +79,7 @@
 	}
 }
 
-// fullDisk refuses each step that needs room.
+// fullDisk fails each step that needs room.
 func fullDisk(operation storetest.Operation) error {
 	switch operation.Kind {
 	case storetest.Mkdir, storetest.Create, storetest.Write:
