--- a/coord/replication/bounds_test.go
+++ b/coord/replication/bounds_test.go
@@ -28,22 +28,22 @@
 	m.mu.Lock()
 	inside := reflect.ValueOf(m.core).Elem()
 	state := inside.FieldByName("state")
-	k := usage{
+	measured := usage{
 		recentBytes: entryBytes(state.FieldByName("cachedEntries")),
 		tailBytes:   entryBytes(state.FieldByName("tail")),
 		commands:    inside.FieldByName("commands").Len(),
 	}
 	m.mu.Unlock()
 	m.calls.mu.Lock()
-	k.calls = len(m.calls.pending)
+	measured.calls = len(m.calls.pending)
 	m.calls.mu.Unlock()
 	m.disk.mu.Lock()
-	k.jobs = len(m.disk.jobs)
+	measured.jobs = len(m.disk.jobs)
 	m.disk.mu.Unlock()
 	for _, entry := range f.stores[i].content().entries {
-		k.logBytes += len(entry.Data)
+		measured.logBytes += len(entry.Data)
 	}
-	return k
+	return measured
 }
 
 func entryBytes(entries reflect.Value) (bytes int) {
@@ -92,7 +92,7 @@
 	})
 }
 
-// TestMember_DiskStalled_PendingCommandsBounded sends many commands at once to a primary whose disk stands still: so many wait, the others are rejected at once, and none is left when their time is over.
+// TestMember_DiskStalled_PendingCommandsBounded sends many commands at once to a primary whose disk is stalled: as many as Limits.MaxPending wait, the others are rejected at once, and none is pending after its deadline.
 func TestMember_DiskStalled_PendingCommandsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(settingsCount, 0, "a", "b", "c")
--- a/coord/replication/capacity_test.go
+++ b/coord/replication/capacity_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// folderBytes is what the files in a directory take, and those of its logs.
+// folderBytes is the size of the files in a directory, and of those of its logs.
 func folderBytes(t *testing.T, folder string) (all, logs int64) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -80,7 +80,7 @@
 	return stats.HeapAlloc
 }
 
-// TestCapacity_ControlState_Print prints the figures of three members on real files after so many changes.
+// TestCapacity_ControlState_Print prints the figures of three members on real files after 10 to 10,000 changes.
 func TestCapacity_ControlState_Print(t *testing.T) {
 	if !*controlFigures {
 		t.Skip("only with -control-figures")
--- a/coord/replication/catchup_test.go
+++ b/coord/replication/catchup_test.go
@@ -42,7 +42,7 @@
 					}
 					t.Run(fmt.Sprint(role, " ", away.name, " ", missed, " ", rate>>20, " MiB a second"), func(t *testing.T) {
 						t.Parallel()
-						synctest.Test(t, func(t *testing.T) { catchesUp(t, role, away, missed, rate) })
+						synctest.Test(t, func(t *testing.T) { requireCatchUp(t, role, away, missed, rate) })
 					})
 				}
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-func catchesUp(t *testing.T, role string, away absence, missed, rate int) {
+func requireCatchUp(t *testing.T, role string, away absence, missed, rate int) {
 	wait := maxTakeover
 	if rate == slowLinkRate {
 		wait = maxSlowTakeover
@@ -123,12 +123,12 @@
 	const rate = 2 << 20
 	for _, cut := range []time.Duration{200 * time.Millisecond, 900 * time.Millisecond} { // less than a transfer waits for an answer, and more
 		t.Run(cut.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { breaksOff(t, rate, cut, 4) })
+			synctest.Test(t, func(t *testing.T) { requireInterruptedTransferResumes(t, rate, cut, 4) })
 		})
 	}
 }
 
-func breaksOff(t *testing.T, rate int, cut time.Duration, cuts int) {
+func requireInterruptedTransferResumes(t *testing.T, rate int, cut time.Duration, cuts int) {
 	const values = 4 * settingsCount // 1.2 MB
 	f := newFleet(values, rate, "a", "b", "c")
 	defer f.end()
--- a/coord/replication/loss_run_test.go
+++ b/coord/replication/loss_run_test.go
@@ -120,7 +120,7 @@
 	return true
 }
 
-// arrived counts the steps, and brings the further loss about at its own.
+// arrived counts the steps, and causes the further loss at the step that is chosen for it.
 func (r *lossRun) arrived(m core.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,24 +200,24 @@
 	if view == nil {
 		return "none"
 	}
-	var copies, witnesses []string
+	var replicas, witnesses []string
 	for _, m := range view.Replicas() {
-		copies = append(copies, m.Address)
+		replicas = append(replicas, m.Address)
 	}
 	for _, m := range view.Witnesses {
 		witnesses = append(witnesses, fmt.Sprint(m.Address, "/", m.ID))
 	}
-	return fmt.Sprint(view.Epoch, " replicas ", copies, " witnesses ", witnesses)
+	return fmt.Sprint(view.Epoch, " replicas ", replicas, " witnesses ", witnesses)
 }
 
-// locked does one thing of a scenario.
+// locked runs f with mu locked.
 func (r *lossRun) locked(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// lose loses members once so many more may be lost.
+// lose waits until so many more members may be lost, and loses them.
 func (r *lossRun) lose(wiped bool, members ...int) {
 	for {
 		r.mu.Lock()
@@ -253,10 +253,10 @@
 	return i
 }
 
-// replaced makes a member that is gone count no more: the loss of its successor stands for it.
+// replaced ends the counting of a lost member that does not come back: its successor counts as lost until it has synced.
 func (r *lossRun) replaced(i int) { r.locked(func() { r.lostUntil[i] = time.Time{} }) }
 
-// waitForLosses waits until as few as given count as lost.
+// waitForLosses waits until no more than the given number count as lost.
 func (r *lossRun) waitForLosses(lost int) {
 	for {
 		r.mu.Lock()
@@ -290,7 +290,7 @@
 	})
 }
 
-// primary waits for one.
+// primary waits for a primary and returns its index.
 func (r *lossRun) primary() int {
 	for range 500 {
 		r.mu.Lock()
@@ -305,7 +305,7 @@
 	return -1
 }
 
-// view is the primary's.
+// view returns the view of the primary.
 func (r *lossRun) view() *core.View {
 	primary := r.primary()
 	r.mu.Lock()
--- a/coord/replication/member_test.go
+++ b/coord/replication/member_test.go
@@ -250,7 +250,7 @@
 	})
 }
 
-// TestPropose_PastDeadline_NotDecided gives a primary whose disk stands still a command with little time.
+// TestPropose_PastDeadline_NotDecided gives a primary whose disk is stalled a command with a short deadline.
 func TestPropose_PastDeadline_NotDecided(t *testing.T) {
 	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		primary := c.primary()
@@ -269,7 +269,7 @@
 	})
 }
 
-// TestMember_Idle_WakesSeldom counts the ticks of members that have nothing to do: the primary has one a heartbeat, the others have none while they hear it.
+// TestMember_Idle_WakesSeldom counts the ticks of members that have nothing to do: the primary has one a heartbeat, the others have none while they are in contact with it.
 func TestMember_Idle_WakesSeldom(t *testing.T) {
 	withThreeMembers(t, func(t *testing.T, c *cluster) {
 		time.Sleep(3 * time.Second)
