--- a/coord/replication/errors.go
+++ b/coord/replication/errors.go
@@ -17,7 +17,7 @@
 	ErrStopped = errors.New("ending")
 
 	// ErrNoDisk is returned by all methods of NoDisk that would have to write.
-	ErrNoDisk = errors.New("no disk is here")
+	ErrNoDisk = errors.New("this member has no disk")
 
 	// ErrInvalidMessage says that bytes received are no message of this package. Handle logs it and drops the message.
 	ErrInvalidMessage = errors.New("invalid replication message")
