--- a/coord/handoff/compatibility_test.go
+++ b/coord/handoff/compatibility_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKind_RecordedNames_ReadAndWrittenAsBefore holds the names that stand for the kinds in the messages between
+// TestKind_RecordedNames_ReadAndWrittenAsBefore pins the names that stand for the kinds in the messages between
 // processes.
 func TestKind_RecordedNames_ReadAndWrittenAsBefore(t *testing.T) {
 	for name, kind := range map[string]Kind{
--- a/coord/handoff/model_test.go
+++ b/coord/handoff/model_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// normalize leaves out what can have no effect in any state that follows: messages to nobody or about what is over for good, and
+// normalize leaves out what can have no effect in any state that follows: messages to nobody or about jobs that have ended, and
 // what the judge no longer asks for.
 func (m *model) normalize() {
 	_, j := m.owner.find(1)
--- a/coord/handoff/owner.go
+++ b/coord/handoff/owner.go
@@ -164,7 +164,7 @@
 	return []Effect{{Action: Send, Message: o.message(j, Go)}}
 }
 
-// dropOf tells a taker that it holds capacity, or runs, for nothing.
+// dropOf is the message that frees a taker's capacity, or cancels its run, for a job that the owner does not need there.
 func dropOf(m Message) []Effect {
 	m.Kind, m.Body = Drop, nil
 	return []Effect{{Action: Send, Message: m}}
--- a/coord/handoff/queue.go
+++ b/coord/handoff/queue.go
@@ -56,7 +56,7 @@
 	return q.lastNumber, false, true
 }
 
-// Enter admits a job that may not be held back, because its run was begun elsewhere.
+// Enter admits a job at once, over the capacity if need be, because its run was begun elsewhere.
 func (q *Queue) Enter() { q.running++ }
 
 // Leave removes a waiting job.
--- a/coord/handoff/queue_test.go
+++ b/coord/handoff/queue_test.go
@@ -28,7 +28,7 @@
 	q.Enter()
 	q.Release()
 	run, _ = q.Admit(21, false)
-	require.Empty(t, run, "one that could not be held back took the place")
+	require.Empty(t, run, "the job that entered without waiting took the place")
 	q.Release()
 	run, _ = q.Admit(21, false)
 	require.Equal(t, []uint64{a}, run)
--- a/internal/longwork/admission.go
+++ b/internal/longwork/admission.go
@@ -8,7 +8,7 @@
 
 const (
 	initialCapacity = 32.0            // long jobs of a service that may run at once, until it is learned
-	idleFraction    = 0.5             // part of the slots taken below which nothing is held back
+	idleFraction    = 0.5             // part of the slots taken below which no long work has to wait
 	loadLifetime    = 1 * time.Second // a replica's report of its load counts for so long
 )
 
@@ -91,8 +91,8 @@
 	c.admit(queue)
 }
 
-// idle reports whether the replicas that reported lately have free slots and no waiting requests. Nothing is held back
-// while none has reported.
+// idle reports whether the replicas that reported lately have free slots and no waiting requests. No long work has to
+// wait while none has reported.
 func (q *queue) idle() bool {
 	var sum Load
 	for replica, load := range q.loads {
--- a/internal/longwork/compatibility_test.go
+++ b/internal/longwork/compatibility_test.go
@@ -15,7 +15,7 @@
 	"shaletrestle/internal/settings"
 )
 
-// TestJob_RecordedBytes_ReadAndWrittenAsBefore holds the form of the messages on long work between nodes of an earlier
+// TestJob_RecordedBytes_ReadAndWrittenAsBefore pins the form of the messages on long work between nodes of an earlier
 // version and this one.
 func TestJob_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/jobs.txt")
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestResponseHead_RecordedBytes_ReadAndWrittenAsBefore holds the form of the first part of a job's response.
+// TestResponseHead_RecordedBytes_ReadAndWrittenAsBefore pins the form of the first part of a job's response.
 func TestResponseHead_RecordedBytes_ReadAndWrittenAsBefore(t *testing.T) {
 	recording := recordedtest.Open(t, "testdata/heads.txt")
 	head := responseHead{Status: 201, Header: http.Header{"X-A": {"1", "2"}, "X-B": {"3"}}, Events: true}
@@ -51,7 +51,7 @@
 	require.Equal(t, head, got)
 }
 
-// TestPing_RecordedAnswers_CapacityReadAndWrittenAsBefore holds what long work adds to the answers to pings.
+// TestPing_RecordedAnswers_CapacityReadAndWrittenAsBefore pins what long work adds to the answers to pings.
 func TestPing_RecordedAnswers_CapacityReadAndWrittenAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "../router/testdata/pings.txt")
--- a/internal/longwork/longwork_test.go
+++ b/internal/longwork/longwork_test.go
@@ -59,7 +59,7 @@
 		require.Empty(t, c.reservePeer(&routing.Route{AllowedRegions: map[string]bool{"north": true}}))
 		fill()
 		<-time.After(peerLifetime + 1)
-		require.Empty(t, c.reservePeer(&routing.Route{}), "a peer that is not heard from has no capacity")
+		require.Empty(t, c.reservePeer(&routing.Route{}), "a peer that has not reported has no capacity")
 	})
 }
 
--- a/internal/longwork/messages.go
+++ b/internal/longwork/messages.go
@@ -69,7 +69,9 @@
 	}
 }
 
-// encodeMessage is the wire form of a message.
+// encodeMessage is the wire form of a message. It uses the numbers of rpc.Message for what a job needs, not for what their
+// names say: Base is the number of the offer, Ballot and To are the ticket, Duration the number of the part, HeldBallot the
+// attempts.
 func encodeMessage(self string, message handoff.Message) *rpc.Message {
 	return &rpc.Message{
 		Kind:       rpc.Job,
@@ -107,8 +109,8 @@
 	}
 }
 
-// send sends a message without waiting. A taker's answers go back, in order, on the channel that the owner used last. For an
-// owner's messages a dial may be needed; one that is lost is repeated by the state machine.
+// send sends a message without waiting. A taker's answers go back, in order, on the channel that the owner used last. An
+// owner's message may need a dial; if it is lost, the state machine repeats it or lets it expire.
 func (c *Coordinator) send(message handoff.Message) {
 	wire := encodeMessage(c.self, message)
 	if message.Kind > handoff.Drop {
--- a/internal/longwork/run.go
+++ b/internal/longwork/run.go
@@ -38,7 +38,8 @@
 	c.apply(c.taker.Finish(writer.ticket, run.result(writer.passedOn()), run.Attempts))
 }
 
-// result is what the owner is told of a run. passedOn says that a replica's response, or a part of it, went to the owner.
+// result is the kind of the message that ends a run for its owner. passedOn says that a replica's response, or a part of it,
+// went to the owner.
 func (r Run) result(passedOn bool) handoff.Kind {
 	switch {
 	case r.Aborted && (passedOn || r.MayHaveRun):
@@ -59,7 +60,7 @@
 }
 
 // partWriter is where a peer's request writes its response: each write is a part. Responses of this router itself,
-// rejections and faults, are not sent: the owner decides what its client is told.
+// rejections and faults, are not sent: the owner decides how to answer its client.
 type partWriter struct {
 	coordinator *Coordinator
 	ticket      uint64
@@ -80,6 +81,7 @@
 		return
 	}
 	w.status = status
+	// only a replica's response names its attempt
 	w.isOwn = w.header.Get(upstream.HeaderAttemptID) == ""
 	if w.isOwn {
 		return
@@ -87,7 +89,7 @@
 	head := responseHead{
 		Status: status,
 		Header: w.header,
-		Events: w.header.Get("Content-Length") == "",
+		Events: w.header.Get("Content-Length") == "", // Router.relay sets it, relayEvent does not
 	}
 	encoded, err := json.Marshal(head)
 	if err == nil {
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -83,8 +83,8 @@
 	req.runSteps()
 }
 
-// awaitReady holds a request shortly while this process has no configuration or list of replicas yet; false if it was
-// answered.
+// awaitReady delays a request, at most for readyTimeout, while this process has no configuration or list of replicas yet.
+// It returns false if the request was answered.
 func (req *request) awaitReady() bool {
 	if req.router.ready.Load() {
 		return true
@@ -101,7 +101,7 @@
 	return false
 }
 
-// validate answers a request whose framing or header is not acceptable; false then.
+// validate rejects a request whose framing, header or target is not acceptable; it returns false if it did.
 func (req *request) validate() bool {
 	if frontend.AmbiguousFraming(req.inbound) {
 		return req.refuseAndClose(errkind.InvalidInput, "both a length and chunks")
@@ -115,15 +115,16 @@
 	return true
 }
 
-// refuseAndClose answers an unacceptable request and lets its connection end: what else comes on it may be of the same
-// kind. It returns false, for validate and readBody.
+// refuseAndClose answers an unacceptable request and lets its connection end: its next bytes may be part of
+// this request. It returns false, for validate and readBody.
 func (req *request) refuseAndClose(kind errkind.Kind, text string) bool {
 	req.writer.Header().Set("Connection", "close")
 	httpreply.Error(req.writer, errkind.New(kind, "%s", text))
 	return false
 }
 
-// headerSize is about the size of a request's head on the wire, in bytes.
+// headerSize estimates the size of a request's head on the wire, in bytes: the fixed parts of the request line and of Host
+// are 20 bytes, and each other line has a colon, a space and a line end, 4 bytes.
 func headerSize(inbound *http.Request) int {
 	size := len(inbound.Method) + len(inbound.RequestURI) + len(inbound.Host) + 20
 	for name, values := range inbound.Header {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -57,8 +57,9 @@
 	return r.receive()
 }
 
-// connect gets what an attempt needs: a connection, a retry of the budget, and at last, since there may have been waits,
-// that the client is still there and the replica may still be sent to. Without a connection the outcome counts.
+// connect gets what an attempt needs: a connection and, if it is not the first, a retry of the budget. Both may wait, so it
+// then checks again that the client is there and the replica may be sent to. The outcome matters only if the connection
+// is nil.
 func (req *request) connect(choice placement.Choice) (*upstream.Connection, outcome) {
 	id := choice.Replica.ID
 	ctx := req.inbound.Context()
@@ -104,8 +105,8 @@
 	return connection, outcomePending
 }
 
-// upstreamRequest is the request as it goes to one replica. What it says of time, and what was checked before, is true for
-// a little while only: it doesn't leave later than that.
+// upstreamRequest is the request as it goes to one replica. Its time budget and the checks made
+// before are valid only for checkLifetime: it is not sent later than that.
 func (req *request) upstreamRequest(choice placement.Choice, now time.Time) *upstream.Request {
 	left := req.deadline.Sub(now) - responseReserve
 	header := req.header.Clone()
@@ -134,8 +135,8 @@
 	}
 }
 
-// urgency is the Urgency-Class that a replica is told: by the time to first token of an unloaded replica, in parts of the
-// latency target.
+// urgency is the Urgency-Class sent to a replica: by the time to first token of an unloaded replica, as a fraction of the
+// latency target, one of the classes below urgencyMissed; else urgencyMissed or urgencyLong.
 func (req *request) urgency(unloaded time.Duration) int {
 	if req.work != nil {
 		return urgencyLong
@@ -158,7 +159,7 @@
 	return req.retry("sending failed")
 }
 
-// recordFault holds a fault against a replica; another one is tried next.
+// recordFault records a fault of a replica and excludes it from this request's next choice.
 func (req *request) recordFault(id string, kind outlier.FailureKind) {
 	req.wanted.Excluded[id] = true
 	req.router.recordFault(id, kind)
@@ -179,7 +180,7 @@
 }
 
 // retry ends an attempt that gave no usable response: another replica may be tried, or else the client is answered. A
-// stream that was begun is resumed only where the next event can be told from the last.
+// stream that was begun is resumed only if its events have ids: without them the next event can't be recognized.
 func (req *request) retry(cause string) outcome {
 	resumable := !req.started || req.lastEventID >= 0
 	if resumable && req.mayRetry() {
--- a/internal/router/compatibility_test.go
+++ b/internal/router/compatibility_test.go
@@ -17,7 +17,7 @@
 	"shaletrestle/internal/state"
 )
 
-// TestPing_RecordedBytes_AnsweredAsBefore holds the form of the pings between nodes and of their answers. What a peer reads of them is
+// TestPing_RecordedBytes_AnsweredAsBefore pins the form of the pings between nodes and of their answers. What a peer reads of them is
 // package longwork's, and tested there on the same recording.
 func TestPing_RecordedBytes_AnsweredAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -59,7 +59,7 @@
 
 func (n recordingNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// TestRouter_RecordedBytes_ReportsToControllerAsBefore holds the form of what a node sends to its controller.
+// TestRouter_RecordedBytes_ReportsToControllerAsBefore pins the form of what a node sends to its controller.
 func TestRouter_RecordedBytes_ReportsToControllerAsBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recording := recordedtest.Open(t, "testdata/controller.txt")
--- a/internal/router/compatibility_warmup_test.go
+++ b/internal/router/compatibility_warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestColdStartShares_RecordedNodes_Unchanged holds which nodes share a replica that is warming up: nodes of all
+// TestColdStartShares_RecordedNodes_Unchanged pins which nodes share a replica that is warming up: nodes of all
 // versions must agree on it, or more is sent there than it bears.
 func TestColdStartShares_RecordedNodes_Unchanged(t *testing.T) {
 	var nodes []string
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -12,7 +12,7 @@
 const (
 	// defaultConnections is how many connections a node opens to a replica whose service names no limit.
 	defaultConnections = 8
-	// sweepEvery is how many looks at the own machine pass between two sweeps through idle connections: a second.
+	// sweepEvery is the number of measurements of this machine between two sweeps of idle connections: about a second.
 	sweepEvery = 2
 )
 
@@ -50,7 +50,7 @@
 	return pool
 }
 
-// resizePools gives every pool its share anew, after the fleet's size or the configuration changed.
+// resizePools recomputes the limit of every pool after the fleet's size or the configuration changed.
 func (r *Router) resizePools(view *state.View, table *routing.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +61,8 @@
 	}
 }
 
-// maintain measures this process's own machine again and again, and sweeps through its idle connections now and then: one
-// waking-up does for both.
+// maintain measures this machine periodically and closes expired idle connections at every sweepEvery-th measurement. One
+// timer serves both, to wake an idle process less often.
 func (r *Router) maintain() {
 	looks := 0
 	wait.Every(r.ctx, slowness.Interval, func() bool {
--- a/internal/router/controllers.go
+++ b/internal/router/controllers.go
@@ -51,6 +51,7 @@
 		}
 	}
 	choice.picks++
+	// Nodes start at different candidates, by their names; the remainder keeps the hash small enough for an int.
 	for _, candidates := range [][]string{near, far, all} {
 		if len(candidates) > 0 {
 			return candidates[(choice.picks+int(xxhash.Sum64String(env.NodeName)%1024))%len(candidates)]
@@ -59,7 +60,8 @@
 	return ""
 }
 
-// preferNearController changes over to a controller of the own zone once one is known, unless it failed lately.
+// preferNearController changes to a controller of this node's zone once one is known, unless it failed lately: within twice
+// the time for which nextController avoids it.
 func (r *Router) preferNearController(view *state.View) {
 	source := r.follower.ParentAddress()
 	if source == "" {
--- a/internal/router/mutation_test.go
+++ b/internal/router/mutation_test.go
@@ -17,7 +17,7 @@
 		{Name: "a new sending forgets the earlier ones", File: attempts, From: "h.earlierRuns = h.MayHaveRun()", To: "h.earlierRuns = false", Run: "EveryPair"},
 		{Name: "a replica's own 503 is passed on", File: "finish.go", From: "http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:", To: "0:", Run: "EveryPair"},
 		{Name: "a seal on an answer of our own", File: "relay.go", From: "\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", To: "\t\tcopyResponseHeader(req.writer.Header(), response.Header)\n\t\treq.fail(errkind.UpstreamFailure, \"the replica refused", Run: "EveryPair"},
-		{Name: "a cut stream ends as whole", File: "finish.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "ResponseCutAtEveryByte"},
+		{Name: "a cut stream ends as complete", File: "finish.go", From: "panic(http.ErrAbortHandler) // the client must see that it is incomplete", To: "return", Run: "ResponseCutAtEveryByte"},
 		{Name: "events of any run are joined", File: "relay.go", From: "if !req.mayFollow(event.ID, *joined) {", To: "if false {", Run: "EveryPair|ResponseCutAtEveryByte|Joined"},
 		{Name: "a gone client gets an empty success", File: "finish.go", From: "func (req *request) abort() {\n\tpanic(http.ErrAbortHandler)", To: "func (req *request) abort() {", Run: "HalfClosed"},
 		{Name: "no time before the first byte", File: "attempt.go", From: "NotAfter:  notAfter,", To: "NotAfter:  notAfter.Add(1 << 60),", Run: "Frozen"},
--- a/internal/router/outcome.go
+++ b/internal/router/outcome.go
@@ -9,6 +9,6 @@
 	outcomePending outcome = iota
 	// outcomeAnswered: the client has its answer, or the end of it.
 	outcomeAnswered
-	// outcomeRetry: nothing more comes of this attempt, and another replica may be tried.
+	// outcomeRetry: the attempt ended without an answer to the client, and another replica may be tried.
 	outcomeRetry
 )
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// tryOnce chooses a replica and sends the request to it, or waits a little if there is none.
+// tryOnce chooses a replica and sends the request to it, or waits for placeRetryInterval if there is none.
 func (req *request) tryOnce() outcome {
 	left := time.Until(req.deadline)
 	if left <= responseReserve {
@@ -59,8 +59,8 @@
 	}
 }
 
-// awaitReplica waits a little while no replica can be used, or rejects the request if it could be sent nowhere for too
-// long. All replicas are candidates again afterwards.
+// awaitReplica waits for placeRetryInterval when no replica can be used, or rejects the request once rejectAfter has passed
+// and no replica can have run it. All replicas are candidates again afterwards.
 func (req *request) awaitReplica() outcome {
 	if !req.history.MayHaveRun() && time.Until(req.rejectAfter()) <= 0 {
 		req.reject(errkind.Overloaded)
--- a/internal/router/receive.go
+++ b/internal/router/receive.go
@@ -65,7 +65,7 @@
 		if !watch {
 			return r.handleSilence()
 		}
-		r.placed.OverdueReported = true // the response is awaited still
+		r.placed.OverdueReported = true // the response is still awaited
 		if !req.router.placer.IsQueued(id) {
 			req.router.recordFault(id, outlier.Overdue)
 		}
@@ -124,7 +124,7 @@
 	return outcomePending
 }
 
-// recordFailure holds a failed response against its replica.
+// recordFailure records a failed response as a fault of its replica.
 func (r *receiver) recordFailure(part *upstream.Part) {
 	id := r.choice.Replica.ID
 	switch {
--- a/internal/router/reports.go
+++ b/internal/router/reports.go
@@ -23,7 +23,8 @@
 	loadSumRepeat = 400 * time.Millisecond
 )
 
-// failureReports returns the failures seen since the last report, for the acknowledgement that is about to go; nil mostly.
+// failureReports returns the failures seen since the last report, for the acknowledgement about to be sent;
+// nil if there are none or the last report is less than half a heartbeat old.
 func (r *Router) failureReports() []byte {
 	now := time.Now()
 	r.mu.Lock()
@@ -44,7 +45,7 @@
 	return encoded
 }
 
-// recordFault holds a fault against a replica, and reports it at once if nothing was reported for a heartbeat.
+// recordFault records a fault of a replica, and reports it at once if nothing was reported for a heartbeat.
 func (r *Router) recordFault(id string, kind outlier.FailureKind) {
 	now := time.Now()
 	r.placer.Health().RecordFailure(id, kind, now)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -231,5 +231,5 @@
 	return view.Config.Revision, view.Evacuated
 }
 
-// Health returns what is held against replicas here, by id.
+// Health returns the faults and ejections of replicas as this process sees them, by id.
 func (r *Router) Health() map[string]outlier.ReplicaStats { return r.placer.Health().Stats(time.Now()) }
--- a/internal/router/simulation_replica_test.go
+++ b/internal/router/simulation_replica_test.go
@@ -22,7 +22,7 @@
 const (
 	serves  ending = iota // the connection is good for more
 	resets                // it ends
-	silence               // nothing more comes
+	silence               // sends no more
 )
 
 // step is what the replicas do with the next request that reaches one of them.
--- a/internal/router/simulation_test.go
+++ b/internal/router/simulation_test.go
@@ -26,7 +26,7 @@
 const (
 	clientTimeBudget = 2 * time.Second        // Time-Budget-Ms of the clients
 	deadlineSlack    = 250 * time.Millisecond // an answer may come so long after a deadline
-	streamEvents     = 3                      // events of a whole stream
+	streamEvents     = 3                      // events of a complete stream
 	maxAttempts      = 2                      // max_attempts of the routes
 )
 
--- a/internal/router/statepage.go
+++ b/internal/router/statepage.go
@@ -8,8 +8,8 @@
 	"shaletrestle/internal/version"
 )
 
-// serveState answers on the state port: the metrics under their path, else all that this process knows. The keys of the
-// page stay as they were; they are not names of the code.
+// serveState answers on the state port: the metrics under their path, else the state page. The keys of the page are an
+// interface: they don't follow the names in the code.
 func (r *Router) serveState(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == metrics.Path {
 		metrics.Serve(writer, r.samples())
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -10,10 +10,10 @@
 	"shaletrestle/internal/state"
 )
 
-// defaultFleetSize counts until a controller has said how many nodes there are.
+// defaultFleetSize is the fleet size assumed until a controller has reported one.
 const defaultFleetSize = 16
 
-// handleChange brings everything that is derived from the view up to date with a new one. event is nil after a checkpoint.
+// handleChange updates everything that is derived from the view after a change. event is nil after a checkpoint.
 func (r *Router) handleChange(old, view *state.View, event state.Event) {
 	if suspects, ok := event.(state.UpdateSuspects); ok {
 		r.placer.Health().SetSuspects(suspects.Replicas, time.Now())
@@ -63,7 +63,7 @@
 	}
 }
 
-// becomeReady lets the requests go on that waited for a first view.
+// becomeReady marks the router ready and releases the requests in awaitReady; it has no effect after the first time.
 func (r *Router) becomeReady(view *state.View) {
 	if !r.ready.CompareAndSwap(false, true) {
 		return
--- a/internal/router/warmup.go
+++ b/internal/router/warmup.go
@@ -11,7 +11,8 @@
 const (
 	// warmupMargin is the part of warmup_per_s that the nodes share out.
 	warmupMargin = 0.8
-	// warmupNodes is how many nodes share a replica that is warming up: whole requests, not fractions on each node.
+	// warmupNodes is how many nodes share a replica that is warming up: shared among all, each could send only fractions of a
+	// request.
 	warmupNodes = 3
 )
 
@@ -20,7 +21,7 @@
 type warmupShares struct {
 	nodes     []string
 	self      string
-	fractions sync.Map // float64 by replica id; found once
+	fractions sync.Map // float64 by replica id; each computed once
 }
 
 func newWarmupShares(nodes []string, self string) *warmupShares {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// attemptWriter writes the bytes of one request and tracks how much of it left. It looks at the clock right before
-// the first of them, however long the caller was held up until then.
+// attemptWriter writes the bytes of one request and tracks how much of it left. It reads the clock immediately
+// before the first of them, so that a caller that was delayed until then sends nothing too late.
 type attemptWriter struct {
 	conn     net.Conn
 	notAfter time.Time
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -13,7 +13,7 @@
 const (
 	// dialTimeout bounds a dial: a live replica answers in a few ms.
 	dialTimeout = 500 * time.Millisecond
-	// KeepAliveIdle is the idle time before the kernel's first keep-alive probe, by which a dark replica is noticed though
+	// KeepAliveIdle is the idle time before the kernel's first keep-alive probe, by which an unreachable replica is noticed though
 	// nothing is being sent.
 	KeepAliveIdle = 1 * time.Second
 	// KeepAliveInterval is the time between keep-alive probes.
--- a/internal/upstream/model_answer_test.go
+++ b/internal/upstream/model_answer_test.go
@@ -21,7 +21,7 @@
 
 const (
 	resets  afterwards = iota // it ends
-	silent                    // nothing more comes
+	silent                    // sends no more
 	tooLate                   // the rest comes when nobody waits any more
 	howMany
 )
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -13,13 +13,13 @@
 		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.AttemptID", To: "false", Run: "Surplus"},
 		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "Request_Cut"},
 		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "FrozenPastNotAfter"},
-		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written whole", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyResponse"},
-		{Name: "a cut body is whole", File: "reader.go", From: "err != nil || len(body) > MaxResponseBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxResponseBytes", Run: "Response_Cut"},
+		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written completely", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyResponse"},
+		{Name: "a cut body is complete", File: "reader.go", From: "err != nil || len(body) > MaxResponseBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxResponseBytes", Run: "Response_Cut"},
 		{Name: "a cut event is an end", File: "reader.go", From: "return errEventCut", To: "return nil", Run: "Response_Cut"},
 		{Name: "a success without a seal", File: "reader.go", From: "return errNoSeal", To: "return nil", Run: "Response_Cut"},
 		{Name: "a success not executed is a promise", File: "reader.go", From: "return errContradiction", To: "return nil", Run: "Response_Cut"},
 		{Name: "any number is a status", File: "reader.go", From: "return errStatus", To: "return nil", Run: "Response_Cut"},
 		{Name: "a dropped answer leaves its connection open", File: "response.go", From: "\t\tr.connection.Close()\n", To: "", Run: "Response_Cut"},
-		{Name: "closed before the end is told", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
+		{Name: "closed before the end is delivered", File: "reader.go", From: "keep = c.pool.put(c)", To: "if keep = c.pool.put(c); !keep {\n\t\t\tc.Close()\n\t\t\t<-time.After(1)\n\t\t}", Run: "Overtakes"},
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -74,7 +74,7 @@
 // GetOptions say what connection Get is to give.
 type GetOptions struct {
 	Owner        string        // its user: when nearly all are in use, each has its fair share
-	Timeout      time.Duration // of the wait for one
+	Timeout      time.Duration // of the wait for one and of its dial
 	Unrepeatable bool          // it is for a request that may not be retried: none that the replica may have dropped
 }
 
@@ -181,7 +181,7 @@
 }
 
 // recordStale records that an idle connection was reset when it was reused: those that were idle as long are closed, and
-// the service's others may be idle less long. It returns false if idleness was not the reason.
+// KeepAlive shortens the idle time of the whole service. It returns false if idleness was not the reason.
 func (p *Pool) recordStale(idle time.Duration) bool {
 	now := time.Now()
 	if !p.keepAlive.RecordStale(idle, now) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -85,7 +85,7 @@
 		ch.WasStale()
 		require.EqualValues(t, 1, made.Stale.Load())
 		require.EqualValues(t, 1, made.First.Load())
-		synctest.Wait() // the pool has heard that the stale one is gone
+		synctest.Wait() // the pool has noticed that the stale one is gone
 		ch, end = use(t, p, false)
 		require.Equal(t, PartEnd, end.Kind)
 		require.Zero(t, ch.idleBefore)
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// MaxResponseBytes bounds one complete response held in memory.
+	// MaxResponseBytes bounds one complete response kept in memory.
 	MaxResponseBytes = 32 << 20
 
 	maxEventBytes       = 1 << 20                // of one event of a stream
@@ -179,7 +179,7 @@
 // that, so that the close can't overtake the end.
 func (c *Connection) finish(x *exchange, response *http.Response, keep bool) bool {
 	select {
-	case <-c.written: // an answer may come before its request was written whole
+	case <-c.written: // an answer may come before its request was written completely
 	case <-c.closed:
 		keep = false
 	case <-x.abandoned:
