--- a/coord/replication/core/append.go
+++ b/coord/replication/core/append.go
@@ -27,24 +27,24 @@
 
 // checkAppend checks that an entry is the next one.
 func (c *Core) checkAppend(entry Entry) appendCheck {
-	held := c.state.position
+	last := c.state.position
 	switch {
 	case c.state.joined == StateTag{} || c.state.joined != entry.Tag():
-		return appendCheck{NotJoined, held}
+		return appendCheck{NotJoined, last}
 	case c.disk.stalled:
-		return appendCheck{Unavailable, held}
-	case entry.Index <= held.Index:
+		return appendCheck{Unavailable, last}
+	case entry.Index <= last.Index:
 		return c.checkRepeat(entry)
 	case c.disk.changesState():
-		return appendCheck{Busy, held}
+		return appendCheck{Busy, last}
 	case c.state.logBroken:
-		return appendCheck{DiskFailed, held}
-	case entry.Index > held.Index+1:
-		return appendCheck{MissingEntries, held}
-	case !entry.Follows(held):
-		return appendCheck{DivergedHistory, held}
+		return appendCheck{DiskFailed, last}
+	case entry.Index > last.Index+1:
+		return appendCheck{MissingEntries, last}
+	case !entry.Follows(last):
+		return appendCheck{DivergedHistory, last}
 	}
-	return appendCheck{Granted, held}
+	return appendCheck{Granted, last}
 }
 
 // checkRepeat checks an entry that is not past the end of the log: it may be on disk already.
--- a/coord/replication/core/config.go
+++ b/coord/replication/core/config.go
@@ -19,7 +19,7 @@
 	MaxDomainFailures int                      // failure domains that may fail at once
 	FailureDomain     func(zone string) string // of a zone: what fails as one; nil: each zone is one
 	Relay             bool                     // it has no disk: it holds no state, is no witness and only learns the view
-	Bootstrap         bool                     // its disk was made for the first start: it may take part in the first view
+	Bootstrap         bool                     // its disk was created at the first start of the group: it may take part in the first view
 	StateMachine      StateMachine
 	Timing            Timing
 	Limits            Limits
--- a/coord/replication/core/core.go
+++ b/coord/replication/core/core.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ErrCorrupt is wrapped by errors of New: what the disk held is no consistent state.
+// ErrCorrupt is wrapped by errors of New: what the disk has is no consistent state.
 var ErrCorrupt = errors.New("the stored state is damaged")
 
 // ErrTooManyPending comes with an Indeterminate result if Limits.MaxPending commands or reads wait already. The command was not begun.
@@ -45,7 +45,7 @@
 	primaryEpoch         Epoch
 	viewChangeDue        bool
 	retryAfter           time.Duration // no view change is attempted before
-	isolatedSince        time.Duration // no contact with any member since a view change began that failed; longAgo: not so
+	isolatedSince        time.Duration // no contact with any member since a view change began that failed; never: no such view change
 	lastPromiseAt        time.Duration // when a promise was last given to another member
 	lastRound            uint64        // of the last ballot, for the epoch after the known view
 	change               *viewChange
@@ -60,10 +60,10 @@
 	leaving  *leaving
 }
 
-// longAgo stands for "never" among times.
-const longAgo = -time.Hour
+// never is earlier than any time of a run.
+const never = -time.Hour
 
-// New makes a core from what its disk held, and restores the state machine from the snapshot. The error wraps ErrCorrupt if the snapshot can't be restored or the entries don't follow it; the disk can then be used only as an empty one under a new MemberID.
+// New makes a core from what its disk has, and restores the state machine from the snapshot. The error wraps ErrCorrupt if the snapshot can't be restored or the entries don't follow it; the disk can then be used only as an empty one under a new MemberID.
 func New(config Config, stored Stored) (*Core, error) {
 	c := &Core{
 		config:   config,
@@ -72,10 +72,10 @@
 		limits:   config.Limits,
 		register: stored.Register.Clone(),
 
-		lastPromiseAt: longAgo,
-		lastHello:     longAgo,
-		lastHeartbeat: longAgo,
-		isolatedSince: longAgo,
+		lastPromiseAt: never,
+		lastHello:     never,
+		lastHeartbeat: never,
+		isolatedSince: never,
 	}
 	c.lastRound = ballotRound(max(c.register.Promised, c.register.AcceptedBallot))
 	if err := c.loadState(stored); err != nil {
--- a/coord/replication/core/events.go
+++ b/coord/replication/core/events.go
@@ -99,7 +99,7 @@
 // Left ends a Leave: the process may exit now.
 type Left struct {
 	Complete bool // the primary agreed that no role is left
-	Roles    Role // those held in the newest view known, if not
+	Roles    Role // those of this member in the newest view known, if not
 }
 
 // Log is a line for the log: one of a fixed set of messages, with attributes under stable keys.
--- a/coord/replication/core/leave.go
+++ b/coord/replication/core/leave.go
@@ -24,7 +24,7 @@
 	if c.leaving != nil {
 		return
 	}
-	c.leaving = &leaving{deadline: event.Deadline, sentAt: longAgo}
+	c.leaving = &leaving{deadline: event.Deadline, sentAt: never}
 	c.log(slog.LevelInfo, "leaving the group")
 	c.tickLeaving()
 }
--- a/coord/replication/core/messages.go
+++ b/coord/replication/core/messages.go
@@ -21,7 +21,7 @@
 	Writable      bool     // its disk takes writes
 	Relay         bool     // it has no disk
 	Leaving       bool     // it gives up its roles
-	BootstrapDisk bool     // its disk was made for the first start
+	BootstrapDisk bool     // its disk was created at the first start of the group
 	Position      Position // of the state on its disk
 }
 
@@ -127,7 +127,7 @@
 	Envelope
 	Tag          StateTag
 	StreamDigest Digest
-	Received     int64 // bytes of the stream held from its start on: go on from here
+	Received     int64 // bytes received from the start of the stream on: the next chunk begins here
 	Complete     bool  // the state is complete and synced
 	Rejection    Rejection
 	DiskPosition Position // of the state on this member's disk
--- a/coord/replication/core/peers.go
+++ b/coord/replication/core/peers.go
@@ -48,7 +48,7 @@
 	})
 	i, found := c.findPeer(member.ID)
 	if !found {
-		c.peers = slices.Insert(c.peers, i, peer{lastReplyAt: longAgo})
+		c.peers = slices.Insert(c.peers, i, peer{lastReplyAt: never})
 	}
 	p := &c.peers[i]
 	p.member = member
@@ -89,7 +89,7 @@
 		if found || c.peerAt(member.Address) != nil || member.ID == c.self.ID {
 			continue
 		}
-		c.peers = slices.Insert(c.peers, i, peer{member: member, lastSeen: c.now, lastReplyAt: longAgo})
+		c.peers = slices.Insert(c.peers, i, peer{member: member, lastSeen: c.now, lastReplyAt: never})
 	}
 }
 
--- a/coord/replication/core/state.go
+++ b/coord/replication/core/state.go
@@ -21,7 +21,7 @@
 	cachedBytes   int
 }
 
-// loadState restores what the disk held.
+// loadState restores the state that was read from the disk.
 func (c *Core) loadState(stored Stored) error {
 	if c.config.Relay {
 		return nil
--- a/coord/replication/core/takeover.go
+++ b/coord/replication/core/takeover.go
@@ -22,7 +22,7 @@
 
 // considerViewChange starts a view change if one is due.
 func (c *Core) considerViewChange() {
-	if !c.hadContactSince(c.isolatedSince) && c.isolatedSince != longAgo {
+	if !c.hadContactSince(c.isolatedSince) && c.isolatedSince != never {
 		return // its ballots would only delay members that are in contact with each other
 	}
 	if c.change != nil || c.config.Relay || c.disk.stalled || c.disk.changesState() || c.now < c.retryAfter {
--- a/coord/replication/core/transfer.go
+++ b/coord/replication/core/transfer.go
@@ -49,12 +49,12 @@
 const smallEntriesBytes = 4 << 10
 
 // streamFor gives the shorter stream for a member that holds a position: the entries since then, if they are cached, or the complete state.
-func (c *Core) streamFor(held Position) *stateStream {
-	entries, remembered := c.state.entriesSince(held)
-	if !remembered || held == (Position{}) {
+func (c *Core) streamFor(known Position) *stateStream {
+	entries, remembered := c.state.entriesSince(known)
+	if !remembered || known == (Position{}) {
 		return c.fullStream()
 	}
-	stream := c.streamSince(held, func() []byte { return encodeEntries(entries) })
+	stream := c.streamSince(known, func() []byte { return encodeEntries(entries) })
 	if len(stream.data) <= smallEntriesBytes {
 		return stream
 	}
@@ -122,12 +122,12 @@
 
 func (c *Core) startTransfer(member Member) {
 	change := c.change
-	var held Position
+	var known Position
 	if p := c.peer(member.ID); p != nil {
-		held = p.status.Position
+		known = p.status.Position
 	}
 	change.offered = append(change.offered, member)
-	change.transfers = append(change.transfers, c.newTransfer(member, c.streamFor(held)))
+	change.transfers = append(change.transfers, c.newTransfer(member, c.streamFor(known)))
 	c.sendChunk(&change.transfers[len(change.transfers)-1])
 }
 
--- a/coord/replication/core/types.go
+++ b/coord/replication/core/types.go
@@ -48,7 +48,7 @@
 	Witnesses []Member `json:"Witnesses"`
 	Primary   Member   `json:"Primary"`
 	Backups   []Member `json:"Backups"` // in the order in which they take over
-	Base      Position `json:"Base"`    // of the state that the replicas held when the view was proposed
+	Base      Position `json:"Base"`    // of the state that the replicas had when the view was proposed
 }
 
 // Replicas are the primary and its backups.
@@ -142,7 +142,7 @@
 	return e.Index == position.Index+1 && e.Previous == position.Digest
 }
 
-// Stored is what the disk held when the process started. The zero value is an empty disk.
+// Stored is what the disk contained when the process started. The zero value is an empty disk.
 type Stored struct {
 	Register Register
 	Snapshot *Snapshot // nil: no state
@@ -163,8 +163,8 @@
 	UnknownView                      // the view meant is not known here
 	NotJoined                        // this member was not given the state for this view in this incarnation, or is sealed
 	MissingEntries                   // entries are missing before the one sent
-	DuplicateEntry                   // an older entry that is held already; nothing was done
-	DivergedHistory                  // the history held differs from the one meant
+	DuplicateEntry                   // an older entry that is here already; nothing was done
+	DivergedHistory                  // the history here differs from the one meant
 	HigherPromise                    // a higher ballot was promised
 	NotWitness                       // this member is no witness of that view, or started with other seeds
 	Unavailable                      // the disk takes no writes, or the member is leaving
--- a/coord/replication/core/view_change.go
+++ b/coord/replication/core/view_change.go
@@ -88,7 +88,7 @@
 	c.change = &viewChange{base: *base.Clone(), startedAt: c.now, wasPrimary: c.isPrimary, phase: repairing}
 	c.viewChangeDue = false
 	c.confirm.abandonRound()
-	// Invariant: a replica that proposes takes no append of the old view any more. So what is acknowledged after this moment is held here already.
+	// Invariant: a replica that proposes takes no append of the old view any more. So what is acknowledged after this moment is here already.
 	c.state.joined = StateTag{}
 	if c.state.logBroken {
 		c.change.deadline = c.now + c.timing.SnapshotTimeout
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -190,7 +190,7 @@
 	go r.maintain()
 	go r.longWork.Run()
 	go r.server.Run()
-	r.log.Info("started", "part", "router", "node", env.NodeName)
+	r.log.Info("router started", "part", "router", "node", env.NodeName)
 	<-r.ctx.Done()
 	_ = readinessServer.Close()
 	_ = stateServer.Close()
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -69,7 +69,7 @@
 		return
 	}
 	close(r.becameReady)
-	r.log.Info("ready", "part", "router", "revision", view.Config.Revision, "replicas", len(view.Replicas))
+	r.log.Info("router ready", "part", "router", "revision", view.Config.Revision, "replicas", len(view.Replicas))
 }
 
 // fleetSize is the number of routers that share the budgets.
