--- a/internal/frontend/clientconn_test.go
+++ b/internal/frontend/clientconn_test.go
@@ -24,8 +24,8 @@
 	return n, nil
 }
 
-// TestClientConn_HeadInAnyChunks_HeldWithoutBody also sees that a head over the limit counts as ambiguous.
-func TestClientConn_HeadInAnyChunks_HeldWithoutBody(t *testing.T) {
+// TestClientConn_HeadInAnyChunks_KeptWithoutBody also sees that a head over the limit counts as ambiguous.
+func TestClientConn_HeadInAnyChunks_KeptWithoutBody(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 1))
 	for range 500 {
 		head := "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
--- a/internal/router/admit.go
+++ b/internal/router/admit.go
@@ -19,7 +19,9 @@
 const (
 	// defaultClientTimeout is that of a request that names none.
 	defaultClientTimeout = 30 * time.Second
-	// maxClientTimeoutMs bounds the number that is read, in ms: a day.
+	// maxClientTimeout bounds the time that a request may name.
+	maxClientTimeout = 24 * defaultClientTimeout
+	// maxClientTimeoutMs bounds the number before it is converted, so that it fits into a Duration: a day, in ms.
 	maxClientTimeoutMs = 24 * 3600 * 1e3
 	// rejectFraction is the part of the latency target up to which a request that could be sent nowhere is rejected.
 	rejectFraction = 0.2
@@ -41,7 +43,7 @@
 	if err != nil || !(ms >= 0) || math.IsInf(ms, 0) {
 		return defaultClientTimeout
 	}
-	return min(durations.FromMilliseconds(min(ms, maxClientTimeoutMs)), 24*defaultClientTimeout)
+	return min(durations.FromMilliseconds(min(ms, maxClientTimeoutMs)), maxClientTimeout)
 }
 
 // rejectAfter is when a request that could be sent nowhere is rejected.
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -145,7 +145,7 @@
 		return urgencyMissed
 	}
 	part := float64(unloaded) / float64(max(req.route.LatencyTarget, 1))
-	return min(urgencyMissed-1, int(part*7))
+	return min(urgencyMissed-1, int(part*(urgencyMissed-1)))
 }
 
 // handleSendError handles a request that was not sent completely.
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -64,10 +64,10 @@
 // maintain measures this machine periodically and closes expired idle connections at every sweepEvery-th measurement. One
 // timer serves both, to wake an idle process less often.
 func (r *Router) maintain() {
-	looks := 0
+	measurements := 0
 	wait.Every(r.ctx, slowness.Interval, func() bool {
 		r.machine.Measure()
-		if looks++; looks%sweepEvery == 0 {
+		if measurements++; measurements%sweepEvery == 0 {
 			r.sweepIdle()
 		}
 		return true
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -99,9 +99,9 @@
 	})
 }
 
-// TestServe_RouteTimeout_NothingHeldLonger plays what keeps a request waiting, with the route's timeout
+// TestServe_RouteTimeout_EveryRequestEndsInTime plays what keeps a request waiting, with the route's timeout
 // before the client's and the other way round.
-func TestServe_RouteTimeout_NothingHeldLonger(t *testing.T) {
+func TestServe_RouteTimeout_EveryRequestEndsInTime(t *testing.T) {
 	slow := stepStream
 	slow.sent, slow.ending = 160, silence
 	for _, timeout := range []time.Duration{300 * time.Millisecond, time.Second, 4 * time.Second} {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -127,13 +127,13 @@
 }
 
 // Write sends bytes; ErrTooLate if the first of them would leave too late.
-func (s *attemptWriter) Write(b []byte) (int, error) {
-	if s.state == attempt.NotSent && time.Until(s.notAfter) <= 0 {
+func (w *attemptWriter) Write(b []byte) (int, error) {
+	if w.state == attempt.NotSent && time.Until(w.notAfter) <= 0 {
 		return 0, ErrTooLate
 	}
-	n, err := s.conn.Write(b)
+	n, err := w.conn.Write(b)
 	if n > 0 {
-		s.state = attempt.PartlySent
+		w.state = attempt.PartlySent
 	}
 	return n, err
 }
--- a/internal/upstream/mutation_test.go
+++ b/internal/upstream/mutation_test.go
@@ -11,8 +11,8 @@
 	mutation.AllFound(t, []mutation.Mutation{
 		{Name: "Attempt-Id not compared", File: "reader.go", From: "response.Header.Get(HeaderAttemptID) == x.request.AttemptID", To: "true", Run: "Response|Surplus"},
 		{Name: "one connection for the same Attempt-Id", File: "connection.go", From: "c.used && c.lastID == request.AttemptID", To: "false", Run: "Surplus"},
-		{Name: "sent in part counts as not sent", File: "connection.go", From: "s.state = attempt.PartlySent", To: "_ = n", Run: "Request_Cut"},
-		{Name: "no look at the clock", File: "connection.go", From: "time.Until(s.notAfter) <= 0", To: "time.Until(s.notAfter) < -1<<62", Run: "FrozenPastNotAfter"},
+		{Name: "sent in part counts as not sent", File: "connection.go", From: "w.state = attempt.PartlySent", To: "_ = n", Run: "Request_Cut"},
+		{Name: "no look at the clock", File: "connection.go", From: "time.Until(w.notAfter) <= 0", To: "time.Until(w.notAfter) < -1<<62", Run: "FrozenPastNotAfter"},
 		{Name: "reused before it was written", File: "reader.go", From: "case <-c.written: // an answer may come before its request was written completely", To: "default:\n\t\tgo func() { <-c.written }()", Run: "EarlyResponse"},
 		{Name: "a cut body is complete", File: "reader.go", From: "err != nil || len(body) > MaxResponseBytes", To: "errors.Is(err, io.ErrShortWrite) || len(body) > MaxResponseBytes", Run: "Response_Cut"},
 		{Name: "a cut event is an end", File: "reader.go", From: "return errEventCut", To: "return nil", Run: "Response_Cut"},
