--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// headLimit bounds the bytes of a request's head that a connection keeps.
+// headLimit bounds the bytes of a request's head that a connection keeps. It bounds memory only: a longer head is served,
+// unless its body is chunked (see ambiguous).
 const headLimit = 4 << 10
 
 var headEnd = []byte("\r\n\r\n")
