--- a/internal/upstream/keepalive.go
+++ b/internal/upstream/keepalive.go
@@ -10,6 +10,7 @@
 	minIdleTime       = 100 * time.Millisecond // no loss shortens the idle time below this: bursts still share connections
 	staleIdleFraction = 0.7                    // part of the idle time of a stale connection that the others are used up to
 	idleGrowth        = 10 * time.Second       // after a loss the allowed idle time doubles this often
+	maxDoublings      = 16                     // bounds the shift: even minIdleTime exceeds maxIdleTime by then
 	reuseLifetime     = 5 * time.Second        // for so long a connection that worked shows that shorter idle times are safe
 	cautionTime       = 30 * time.Second       // for so long after a loss, what may not be retried takes young connections only
 	minStaleIdle      = 50 * time.Millisecond  // a connection idle less than this was not dropped: its reset is the replica's
@@ -25,8 +26,8 @@
 	reusedAt   time.Time
 }
 
-// RecordReuse records that a connection worked after it had been idle that long.
-func (k *KeepAlive) RecordReuse(idle time.Duration, now time.Time) {
+// recordReuse records that a connection worked after it had been idle that long.
+func (k *KeepAlive) recordReuse(idle time.Duration, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle >= k.reusedIdle || now.Sub(k.reusedAt) > reuseLifetime {
@@ -34,41 +35,42 @@
 	}
 }
 
-// RecordStale records that a connection idle that long was reset when it was reused. It returns false, and learns
+// recordStale records that a connection idle that long was reset when it was reused. It returns false, and learns
 // nothing, if others of the service worked lately after as long: then idleness was not the reason.
-func (k *KeepAlive) RecordStale(idle time.Duration, now time.Time) bool {
+func (k *KeepAlive) recordStale(idle time.Duration, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if idle < k.reusedIdle && now.Sub(k.reusedAt) <= reuseLifetime {
 		return false
 	}
-	k.limit = max(minIdleTime, min(k.maxIdle(now), time.Duration(float64(idle)*staleIdleFraction)))
+	k.limit = max(minIdleTime, min(k.maxIdleLocked(now), time.Duration(float64(idle)*staleIdleFraction)))
 	k.lostAt = now
 	return true
 }
 
-// MaxIdle is how long a connection may have been idle and still carry a request that may be retried. After a loss it
+// maxIdle is how long a connection may have been idle and still carry a request that may be retried. After a loss it
 // grows back.
-func (k *KeepAlive) MaxIdle(now time.Time) time.Duration {
+func (k *KeepAlive) maxIdle(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.maxIdle(now)
+	return k.maxIdleLocked(now)
 }
 
-func (k *KeepAlive) maxIdle(now time.Time) time.Duration {
+// maxIdleLocked is maxIdle for a caller that holds the lock.
+func (k *KeepAlive) maxIdleLocked(now time.Time) time.Duration {
 	if k.limit == 0 {
 		return maxIdleTime
 	}
-	n := min(16, int(now.Sub(k.lostAt)/idleGrowth))
-	return min(maxIdleTime, k.limit<<n)
+	doublings := min(maxDoublings, int(now.Sub(k.lostAt)/idleGrowth))
+	return min(maxIdleTime, k.limit<<doublings)
 }
 
-// MaxIdleUnrepeatable is the same for a request that may not be retried: half as long after a recent loss.
-func (k *KeepAlive) MaxIdleUnrepeatable(now time.Time) time.Duration {
+// maxIdleUnrepeatable is the same for a request that may not be retried: half as long after a recent loss.
+func (k *KeepAlive) maxIdleUnrepeatable(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limit > 0 && now.Sub(k.lostAt) < cautionTime {
-		return k.maxIdle(now) / 2
+		return k.maxIdleLocked(now) / 2
 	}
-	return k.maxIdle(now)
+	return k.maxIdleLocked(now)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -151,8 +151,8 @@
 	for len(p.idle) > 0 {
 		last := p.idle[len(p.idle)-1]
 		idle := now.Sub(last.idleSince)
-		if now.Before(last.expires) && !last.isClosed.Load() && idle < p.keepAlive.MaxIdle(now) {
-			if unrepeatable && idle >= p.keepAlive.MaxIdleUnrepeatable(now) && p.open < p.limit {
+		if now.Before(last.expires) && !last.isClosed.Load() && idle < p.keepAlive.maxIdle(now) {
+			if unrepeatable && idle >= p.keepAlive.maxIdleUnrepeatable(now) && p.open < p.limit {
 				return nil // it is left for a request that may be retried
 			}
 			p.idle = p.idle[:len(p.idle)-1]
@@ -184,7 +184,7 @@
 // KeepAlive shortens the idle time of the whole service. It returns false if idleness was not the reason.
 func (p *Pool) recordStale(idle time.Duration) bool {
 	now := time.Now()
-	if !p.keepAlive.RecordStale(idle, now) {
+	if !p.keepAlive.recordStale(idle, now) {
 		return false
 	}
 	p.counts.Stale.Inc()
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -186,7 +186,7 @@
 		keep = false
 	}
 	if c.idleBefore > 0 {
-		c.pool.keepAlive.RecordReuse(c.idleBefore, time.Now())
+		c.pool.keepAlive.recordReuse(c.idleBefore, time.Now())
 	}
 	c.used, c.lastID = true, x.request.AttemptID
 	keep = keep && c.exchange.CompareAndSwap(x, nil) // not if the answer was dropped at this moment
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -34,12 +34,8 @@
 	Reset          bool // it ended before the first byte of a response
 }
 
-// NotRun reports whether a head says that the replica did not run the request. It is a promise only once the response is
-// complete.
-func (p *Part) NotRun() bool {
-	return notExecuted(p.Status, p.Header)
-}
-
+// notExecuted reports whether a head says that the replica did not run the request. It is a promise only once the response
+// is complete.
 func notExecuted(status int, head http.Header) bool {
 	return status == http.StatusMisdirectedRequest || head.Get(HeaderNotExecuted) != ""
 }
