--- a/coord/handoff/classify.go
+++ b/coord/handoff/classify.go
@@ -13,24 +13,24 @@
 // Demand is what the configuration and a request's own header say of it.
 type Demand struct {
 	Stream                     bool          // the response is a stream of events
-	Aim                        time.Duration // target_latency_ms
+	LatencyTarget              time.Duration // target_latency_ms
 	Timeout                    time.Duration // timeout_ms
-	Gap                        time.Duration // target_gap_ms: the longest pause between events
-	Stride                     float64       // tokens an event may carry
+	EventGapTarget             time.Duration // target_gap_ms: the longest pause between events
+	TokensPerEvent             float64       // tokens an event may carry
 	PromptTokens, OutputTokens int           // Token-Counts
 	PerToken                   time.Duration // time to read one token of a prompt
 }
 
 // IsLong reports whether a request is long work: its client can wait, and it runs long. Where the configuration or the
 // request does not say enough, it is interactive.
-func (m Thresholds) IsLong(a Demand) bool {
-	if !a.Stream || a.Aim <= 0 || a.OutputTokens <= 0 || float64(a.Timeout) < m.Patient*float64(a.Aim) {
+func (t Thresholds) IsLong(demand Demand) bool {
+	if !demand.Stream || demand.LatencyTarget <= 0 || demand.OutputTokens <= 0 || float64(demand.Timeout) < t.Patient*float64(demand.LatencyTarget) {
 		return false
 	}
-	gap := a.Gap
+	gap := demand.EventGapTarget
 	if gap <= 0 {
-		gap = a.Aim
+		gap = demand.LatencyTarget
 	}
-	run := float64(a.PromptTokens)*float64(a.PerToken) + float64(a.OutputTokens)/max(1, a.Stride)*float64(gap)
-	return run >= m.Heavy*float64(a.Aim)
+	run := float64(demand.PromptTokens)*float64(demand.PerToken) + float64(demand.OutputTokens)/max(1, demand.TokensPerEvent)*float64(gap)
+	return run >= t.Heavy*float64(demand.LatencyTarget)
 }
--- a/coord/handoff/example_test.go
+++ b/coord/handoff/example_test.go
@@ -65,7 +65,7 @@
 		number, admitted, ok := queue.Join(time.Second, false)
 		fmt.Println(number, admitted, ok)
 	}
-	queue.RecordPrompt(0, 1.5) // a first event came after one and a half of its target
+	queue.RecordInteractive(0, 1.5) // a first event came after one and a half of its target
 	queue.Release()
 	run, late := queue.Admit(time.Second, false)
 	fmt.Println(run, late)
--- a/coord/handoff/queue.go
+++ b/coord/handoff/queue.go
@@ -29,7 +29,7 @@
 	capacity   float64 // long jobs that may run at once, learned
 	running    int
 	waiting    []waiter // by until
-	lateShare  float64  // share of the latest prompt answers that were late
+	lateShare  float64  // share of the latest interactive responses that were late
 	cutAt      time.Duration
 	cuts       int
 }
@@ -90,8 +90,8 @@
 	return run, late
 }
 
-// RecordPrompt takes the measurement of one interactive response: the part of its target that the first event took.
-func (q *Queue) RecordPrompt(now time.Duration, part float64) {
+// RecordInteractive takes the measurement of one interactive response: the part of its target that the first event took.
+func (q *Queue) RecordInteractive(now time.Duration, part float64) {
 	if part <= q.options.LateFraction {
 		q.lateShare -= q.options.Weight * q.lateShare
 		if float64(q.running) >= q.capacity-1 { // unused capacity is not known to be there
--- a/coord/handoff/queue_test.go
+++ b/coord/handoff/queue_test.go
@@ -46,40 +46,40 @@
 	require.Equal(t, []uint64{n}, run, "idle replicas run what waits")
 }
 
-func TestQueue_RecordPrompt_AdjustsCapacity(t *testing.T) {
+func TestQueue_RecordInteractive_AdjustsCapacity(t *testing.T) {
 	q := NewQueue(20, queueOptions)
 	for range 20 {
 		q.Join(0, false)
 	}
-	q.RecordPrompt(time.Second, 0.9)
+	q.RecordInteractive(time.Second, 0.9)
 	_, _, room := q.Stats()
 	require.InDelta(t, 20, room, 1e-9, "a single late one proves nothing")
-	q.RecordPrompt(time.Second, 0.9)
+	q.RecordInteractive(time.Second, 0.9)
 	_, _, room = q.Stats()
 	require.InDelta(t, 14, room, 1e-9)
-	q.RecordPrompt(time.Second+1, 0.9)
-	q.RecordPrompt(time.Second+2, 0.9)
+	q.RecordInteractive(time.Second+1, 0.9)
+	q.RecordInteractive(time.Second+2, 0.9)
 	_, _, room = q.Stats()
 	require.InDelta(t, 14, room, 1e-9, "a cut has time to work")
-	q.RecordPrompt(5*time.Second, 0.9)
+	q.RecordInteractive(5*time.Second, 0.9)
 	_, _, room = q.Stats()
 	require.InDelta(t, 9.8, room, 1e-9, "new late ones cut it again")
 	for range 10 {
-		q.RecordPrompt(2*time.Second, 0.2)
+		q.RecordInteractive(2*time.Second, 0.2)
 	}
 	_, _, room = q.Stats()
 	require.InDelta(t, 10.8, room, 1e-9)
 	for i := range 40 {
-		q.RecordPrompt(time.Duration(i+3)*2*time.Second, 2)
+		q.RecordInteractive(time.Duration(i+3)*2*time.Second, 2)
 	}
 	_, _, room = q.Stats()
 	require.GreaterOrEqual(t, room, 1.0, "long work never starves")
 }
 
-func TestQueue_RecordPrompt_GrowsOnlyUsedCapacity(t *testing.T) {
+func TestQueue_RecordInteractive_GrowsOnlyUsedCapacity(t *testing.T) {
 	q := NewQueue(20, queueOptions)
 	for i := range 100 {
-		q.RecordPrompt(time.Duration(i), 0.1)
+		q.RecordInteractive(time.Duration(i), 0.1)
 	}
 	_, _, room := q.Stats()
 	require.InDelta(t, 20, room, 1e-9)
--- a/internal/longwork/admission.go
+++ b/internal/longwork/admission.go
@@ -87,7 +87,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.queue(service)
-	queue.admission.RecordPrompt(c.now(), float64(time.Since(arrivedAt))/float64(latencyTarget))
+	queue.admission.RecordInteractive(c.now(), float64(time.Since(arrivedAt))/float64(latencyTarget))
 	c.admit(queue)
 }
 
--- a/internal/longwork/work.go
+++ b/internal/longwork/work.go
@@ -38,14 +38,14 @@
 	configured := c.router.Settings().LongWork
 	thresholds := handoff.Thresholds{Patient: configured.PatientTargets, Heavy: configured.HeavyTargets}
 	return thresholds.IsLong(handoff.Demand{
-		Stream:       route.Kind == routing.Streaming,
-		Aim:          route.LatencyTarget,
-		Timeout:      route.Timeout,
-		Gap:          route.EventGapTarget,
-		Stride:       engine.Stride,
-		PromptTokens: promptTokens,
-		OutputTokens: outputTokens,
-		PerToken:     placement.InitialPrefillPerToken,
+		Stream:         route.Kind == routing.Streaming,
+		LatencyTarget:  route.LatencyTarget,
+		Timeout:        route.Timeout,
+		EventGapTarget: route.EventGapTarget,
+		TokensPerEvent: engine.Stride,
+		PromptTokens:   promptTokens,
+		OutputTokens:   outputTokens,
+		PerToken:       placement.InitialPrefillPerToken,
 	})
 }
 
