--- a/coord/handoff/message.go
+++ b/coord/handoff/message.go
@@ -24,7 +24,8 @@
 
 var kindNames = [...]string{"", "offer", "go", "drop", "accept", "decline", "begun", "part", "done", "returned", "failed", "unknown"}
 
-// String is the name that stands for the kind in messages between processes; it must not change.
+// String is the name that stands for the kind in messages between processes. It must not change: nodes of other releases
+// read it.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
--- a/internal/retrybudget/shares_test.go
+++ b/internal/retrybudget/shares_test.go
@@ -47,7 +47,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.NotEmpty(t, retries)
-		require.False(t, newShares(Options{Ratio: ratio, Slack: slack, Window: time.Second, Margin: 0.8}).take("p", 1000), "a share below one is none")
+		require.False(t, newShares(Options{Ratio: ratio, Slack: slack, Window: time.Second, Margin: 0.8}).take("p", 1000), "a share below one retry gives none")
 	})
 }
 
--- a/internal/router/warmup_test.go
+++ b/internal/router/warmup_test.go
@@ -76,10 +76,10 @@
 	apply(state.UpdateReplicas{Changed: []*state.Replica{{ID: "r", Pool: "p", State: "ready", Models: []state.Model{{Name: "m", Revision: 4}}}}})
 	require.Equal(t, int64(4), router.revisions.Load().of("p", "m"))
 	require.True(t, router.placer.Allowed("r"))
-	require.Equal(t, 20*warmupMargin/2, router.warmupShares.Load().rate(20, "r"), "a list leaves the shares")
+	require.Equal(t, 20*warmupMargin/2, router.warmupShares.Load().rate(20, "r"), "a new list of replicas does not change the shares")
 	apply(state.UpdateFleet{Size: 1, Nodes: []string{"10.0.0.2:702"}})
 	require.Zero(t, router.warmupShares.Load().rate(20, "r"))
-	require.True(t, router.placer.Allowed("r"), "a change of the fleet leaves the replicas")
+	require.True(t, router.placer.Allowed("r"), "a change of the fleet does not change the replicas")
 	apply(state.EvacuateZone{Zone: ""})
 	require.False(t, router.placer.Allowed("r"))
 	o := *e
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -56,6 +56,9 @@
 	abandoned chan struct{} // closed when nobody wants the response any more
 }
 
+// partsAhead is how many parts the reader of a connection may be ahead of whoever relays them.
+const partsAhead = 32
+
 // abandonedExchange stands for an exchange whose response nobody wants any more.
 var abandonedExchange = &exchange{}
 
@@ -145,7 +148,7 @@
 		c.Close()
 		return nil, attempt.NotSent, ErrSameAttempt
 	}
-	x := &exchange{request: request, http: request.http(), parts: make(chan Part, 32), abandoned: make(chan struct{})}
+	x := &exchange{request: request, http: request.http(), parts: make(chan Part, partsAhead), abandoned: make(chan struct{})}
 	c.exchange.Store(x)
 	select {
 	case <-c.closed:
