--- a/coord/distribution/catchup_test.go
+++ b/coord/distribution/catchup_test.go
@@ -12,12 +12,11 @@
 	"testing/synctest"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/coord/rpc"
+	"shaletrestle/coord/wait"
 )
 
 // slowNetwork is a network to one feed whose bytes from the feed share one rate.
--- a/coord/failuredetector/watcher_test.go
+++ b/coord/failuredetector/watcher_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"shaletrestle/coord/rpc"
-
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
+
+	"shaletrestle/coord/rpc"
 )
 
 func nodeNames(n int) (out []string) {
--- a/internal/emulator/await.go
+++ b/internal/emulator/await.go
@@ -8,7 +8,6 @@
 
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/errkind"
 )
 
--- a/internal/emulator/cell.go
+++ b/internal/emulator/cell.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/errkind"
 )
 
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -12,7 +12,6 @@
 
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/upstream"
 )
 
--- a/internal/emulator/components.go
+++ b/internal/emulator/components.go
@@ -4,9 +4,8 @@
 	"encoding/json"
 	"fmt"
 
-	"shaletrestle/internal/durations"
-
 	"shaletrestle/coord/fairshare"
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/routing"
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -7,7 +7,6 @@
 
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/replicamodel"
 )
 
--- a/internal/emulator/measure.go
+++ b/internal/emulator/measure.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"shaletrestle/coord/wait"
-
 	"gonum.org/v1/gonum/floats"
 	"gonum.org/v1/gonum/stat"
+
+	"shaletrestle/coord/wait"
 )
 
 // How a fleet is measured.
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"shaletrestle/coord/wait"
-
 	"shaletrestle/internal/errkind"
 )
 
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -11,7 +11,6 @@
 
 	"shaletrestle/coord/wait"
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/state"
 )
--- a/internal/emulator/recovery.go
+++ b/internal/emulator/recovery.go
@@ -4,10 +4,9 @@
 	"context"
 	"log/slog"
 	"slices"
+	"time"
 
 	"shaletrestle/coord/wait"
-
-	"time"
 )
 
 // measureTarget measures the fleet of the target size, and how long it takes to come
--- a/internal/emulator/replica.go
+++ b/internal/emulator/replica.go
@@ -9,11 +9,9 @@
 	"sync"
 	"time"
 
-	"shaletrestle/internal/settings"
-
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/replicamodel"
+	"shaletrestle/internal/settings"
 	"shaletrestle/internal/state"
 )
 
--- a/internal/emulator/replica_http.go
+++ b/internal/emulator/replica_http.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"shaletrestle/internal/durations"
-
 	"shaletrestle/internal/httpreply"
 	"shaletrestle/internal/prefixindex"
 	"shaletrestle/internal/replicamodel"
--- a/internal/emulator/roles.go
+++ b/internal/emulator/roles.go
@@ -6,9 +6,8 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/settings"
-
 	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/settings"
 )
 
 // The roles of controllers. A relay is in no view.
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -10,11 +10,10 @@
 	"strings"
 	"testing"
 
-	"shaletrestle/internal/settings"
-
 	"github.com/stretchr/testify/require"
 
 	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/settings"
 )
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/emulator/series.go
+++ b/internal/emulator/series.go
@@ -12,9 +12,8 @@
 	"slices"
 	"time"
 
-	"shaletrestle/internal/version"
-
 	"shaletrestle/internal/errkind"
+	"shaletrestle/internal/version"
 )
 
 // minPoints is the number of points that a line is fitted to at least.
--- a/internal/emulator/testbed.go
+++ b/internal/emulator/testbed.go
@@ -10,10 +10,9 @@
 	"slices"
 	"sync"
 
-	"shaletrestle/internal/durations"
-
 	"gopkg.in/yaml.v3"
 
+	"shaletrestle/internal/durations"
 	"shaletrestle/internal/errkind"
 	"shaletrestle/internal/placement"
 	"shaletrestle/internal/settings"
